--- a/fleet/src/main/java/burlarch/fleet/node/NodeSettings.java
+++ b/fleet/src/main/java/burlarch/fleet/node/NodeSettings.java
@@ -20,21 +20,36 @@
  * @param contracts names of the parts of the rules that are in force
  * @param zones the region of each zone
  */
-public record NodeSettings(String nodeName, String role, String machineClass, List<String> serves, String ip,
-        String zone, String region, PortRange portRange, List<String> seeds, boolean bootstrap,
-        boolean countsForQuorum, Path dataDir, String discovery, String entry, long heartbeatNanos,
-        List<String> contracts, Map<String, String> zones, Listen listen, Limits limits,
-        FaultTolerance faultTolerance, NodeBounds bounds) {
+public record NodeSettings(
+        String nodeName,
+        String role,
+        String machineClass,
+        List<String> serves,
+        String ip,
+        String zone,
+        String region,
+        PortRange portRange,
+        List<String> seeds,
+        boolean bootstrap,
+        boolean countsForQuorum,
+        Path dataDir,
+        String discovery,
+        String entry,
+        long heartbeatNanos,
+        List<String> contracts,
+        Map<String, String> zones,
+        Listen listen,
+        Limits limits,
+        FaultTolerance faultTolerance,
+        NodeBounds bounds) {
     /** The environment variable that names the file. */
     public static final String FILE_VARIABLE = "BURLARCH_NODE_FILE";
 
     /** Ports from the first to the last, both included. */
-    public record PortRange(int first, int last) {
-    }
+    public record PortRange(int first, int last) {}
 
     /** Where the role serves; each null where it does not. */
-    public record Listen(InetSocketAddress front, InetSocketAddress readiness, InetSocketAddress control) {
-    }
+    public record Listen(InetSocketAddress front, InetSocketAddress readiness, InetSocketAddress control) {}
 
     /**
      * What the machine has.
@@ -46,13 +61,16 @@
      * @param linkMegabits in a second
      * @param diskMegabytes 0 without a disk
      */
-    public record Limits(double cpuShare, double cpuCores, int memoryMegabytes, int maxDescriptors,
-            double linkMegabits, int diskMegabytes) {
-    }
+    public record Limits(
+            double cpuShare,
+            double cpuCores,
+            int memoryMegabytes,
+            int maxDescriptors,
+            double linkMegabits,
+            int diskMegabytes) {}
 
     /** How many machines that count, or zones, or regions may be lost at once with all rules kept. */
-    public record FaultTolerance(int machines, int zones, int regions) {
-    }
+    public record FaultTolerance(int machines, int zones, int regions) {}
 
     /**
      * Reads and checks a file. Fields that are not known are passed over.
--- a/fleet/src/main/java/burlarch/fleet/node/NodeSettingsReader.java
+++ b/fleet/src/main/java/burlarch/fleet/node/NodeSettingsReader.java
@@ -84,15 +84,22 @@
     }
 
     private PortRange portRange(Section top) {
-        List<Integer> ports = check.needed(top, "port_range", null,
-                () -> top.wholes("port_range", LEAST_FREE_PORT, MAX_PORT));
-        check.valid(top, "port_range", ports, list -> list.size() == 2 && list.get(0) <= list.get(1),
+        List<Integer> ports =
+                check.needed(top, "port_range", null, () -> top.wholes("port_range", LEAST_FREE_PORT, MAX_PORT));
+        check.valid(
+                top,
+                "port_range",
+                ports,
+                list -> list.size() == 2 && list.get(0) <= list.get(1),
                 "must be a first and a last port");
         return ports == null || ports.size() != 2 ? null : new PortRange(ports.get(0), ports.get(1));
     }
 
     private List<String> seeds(Section top) {
-        return check.valid(top, "seeds", texts(top, "seeds"),
+        return check.valid(
+                top,
+                "seeds",
+                texts(top, "seeds"),
                 list -> list.stream().allMatch(NodeSettingsReader::isAddress),
                 "must be literal addresses and ports, as \"127.0.0.1:9001\"");
     }
@@ -107,19 +114,22 @@
 
     private Listen listen(List<String> serves) {
         Section table = table("listen");
-        return new Listen(address(table, "front", serves.contains("edge")),
+        return new Listen(
+                address(table, "front", serves.contains("edge")),
                 address(table, "readiness", false),
                 address(table, "control", serves.contains("control_plane")));
     }
 
     private InetSocketAddress address(Section table, String key, boolean needed) {
-        return needed ? check.needed(table, key, null, () -> table.address(key))
+        return needed
+                ? check.needed(table, key, null, () -> table.address(key))
                 : check.optional(table, key, null, () -> table.address(key));
     }
 
     private Limits limits() {
         Section table = table("limits");
-        return new Limits(number(table, "cpu_share", 1, 0.001, 1_024),
+        return new Limits(
+                number(table, "cpu_share", 1, 0.001, 1_024),
                 number(table, "cpu_cores", 1, 0.001, 1_024),
                 (int) number(table, "memory_mb", 256, 1, MAX_COUNT),
                 (int) number(table, "max_fds", 1_024, 1, MAX_COUNT),
@@ -129,8 +139,7 @@
 
     private FaultTolerance faultTolerance() {
         Section table = table("fault_tolerance");
-        return new FaultTolerance(count(table, "machines", 1), count(table, "zones", 0),
-                count(table, "regions", 0));
+        return new FaultTolerance(count(table, "machines", 1), count(table, "zones", 0), count(table, "regions", 0));
     }
 
     private NodeBounds bounds() {
--- a/fleet/src/main/java/burlarch/fleet/node/Roles.java
+++ b/fleet/src/main/java/burlarch/fleet/node/Roles.java
@@ -7,6 +7,5 @@
     /** Keeps the control state and serves the operator. */
     public static final String CONTROLLER = "controller";
 
-    private Roles() {
-    }
+    private Roles() {}
 }
--- a/fleet/src/main/java/burlarch/fleet/node/Shutdown.java
+++ b/fleet/src/main/java/burlarch/fleet/node/Shutdown.java
@@ -2,8 +2,7 @@
 
 /** What a process does between SIGTERM and its end. */
 public final class Shutdown {
-    private Shutdown() {
-    }
+    private Shutdown() {}
 
     /** Runs the task when the process is told to end; the process ends when the task has. */
     public static void onSignal(Runnable task) {
--- a/fleet/src/main/java/burlarch/fleet/rehearsal/Caller.java
+++ b/fleet/src/main/java/burlarch/fleet/rehearsal/Caller.java
@@ -33,8 +33,8 @@
 
     /** Sends one request; {@code headers} end with a line break each. */
     void send(String method, String target, String headers, String body) throws IOException {
-        String text = method + " " + target + " HTTP/1.1\r\nHost: a.example\r\n" + headers
-                + "Content-Length: " + body.length() + "\r\n\r\n" + body;
+        String text = method + " " + target + " HTTP/1.1\r\nHost: a.example\r\n" + headers + "Content-Length: "
+                + body.length() + "\r\n\r\n" + body;
         socket.getOutputStream().write(text.getBytes(StandardCharsets.ISO_8859_1));
     }
 
--- a/fleet/src/main/java/burlarch/fleet/rehearsal/Place.java
+++ b/fleet/src/main/java/burlarch/fleet/rehearsal/Place.java
@@ -15,6 +15,7 @@
 final class Place {
     /** Loopback has an address for each machine, as the port of messages is alike on all. */
     private static final String NETWORK = "127.0.0.";
+
     static final int CONTROLLERS = 2;
     private static final int ROUTER = CONTROLLERS + 1;
     private static final int FIRST_PORT = 20_000;
@@ -51,19 +52,28 @@
     /** Settings of a controller, numbered from 1, with a disk. */
     NodeSettings controller(int number) throws IOException, SettingsException {
         Path disk = Files.createDirectories(folder.resolve("disk-" + number));
-        return load("controller-" + number, number, "serves = [\"control_plane\"]\ncounts_for_quorum = true\n"
-                + "data_dir = \"" + disk + "\"\n", "control = \"" + control(number) + "\"\n");
+        return load(
+                "controller-" + number,
+                number,
+                "serves = [\"control_plane\"]\ncounts_for_quorum = true\n" + "data_dir = \"" + disk + "\"\n",
+                "control = \"" + control(number) + "\"\n");
     }
 
     /** Settings of the router. */
     NodeSettings router() throws IOException, SettingsException {
-        return load("router", ROUTER, "serves = [\"edge\"]\n", "front = \"" + NETWORK + ROUTER + ":"
-                + frontPort + "\"\nreadiness = \"" + NETWORK + ROUTER + ":" + readinessPort + "\"\n");
+        return load(
+                "router",
+                ROUTER,
+                "serves = [\"edge\"]\n",
+                "front = \"" + NETWORK + ROUTER + ":" + frontPort + "\"\nreadiness = \"" + NETWORK + ROUTER + ":"
+                        + readinessPort + "\"\n");
     }
 
     private NodeSettings load(String name, int number, String more, String listen)
             throws IOException, SettingsException {
-        Path file = Files.writeString(folder.resolve(name + ".toml"), """
+        Path file = Files.writeString(
+                folder.resolve(name + ".toml"),
+                """
                 node_name = "%s"
                 role = "any"
                 ip = "%s"
@@ -88,8 +98,8 @@
                 grace_s = 1
                 fencing = true
                 lease_ms = 3000
-                """.formatted(name, NETWORK + number, nodePort, nodePort, control(1), control(2), more,
-                listen));
+                """
+                        .formatted(name, NETWORK + number, nodePort, nodePort, control(1), control(2), more, listen));
         return NodeSettings.load(file);
     }
 
--- a/fleet/src/main/java/burlarch/fleet/router/Attempt.java
+++ b/fleet/src/main/java/burlarch/fleet/router/Attempt.java
@@ -18,18 +18,21 @@
     private final Placement.Send send;
     /** Whether it takes up a stream that another attempt began. */
     private final boolean takesUp;
+
     private final Callback passed;
     private RelayCall call;
     private boolean over;
     private SendState state = SendState.NOT_SENT;
     /** What a rejection is to the planner; null without one. */
     private AttemptOutcome rejection;
+
     private String retryAfter;
     private ServerLoad load;
     private int status;
     private HttpFields head;
     /** Bytes of the body that are still to come, negative where the head did not tell. */
     private long left;
+
     private ByteBuffer tail = BufferUtil.EMPTY_BUFFER;
     private boolean firstSeen;
     private boolean complete;
@@ -39,7 +42,8 @@
         this.request = request;
         this.send = send;
         this.takesUp = takesUp;
-        this.passed = Callback.from(Invocable.InvocationType.NON_BLOCKING,
+        this.passed = Callback.from(
+                Invocable.InvocationType.NON_BLOCKING,
                 () -> exchange.inTurn(this::proceed),
                 cause -> exchange.inTurn(exchange::clientGone));
     }
--- a/fleet/src/main/java/burlarch/fleet/router/Chunks.java
+++ b/fleet/src/main/java/burlarch/fleet/router/Chunks.java
@@ -7,8 +7,7 @@
 final class Chunks {
     private static final byte[] LAST = "0\r\n\r\n".getBytes(StandardCharsets.US_ASCII);
 
-    private Chunks() {
-    }
+    private Chunks() {}
 
     /** A whole chunk around the content, its line end included; the content is consumed. */
     static ByteBuffer frame(ByteBuffer content) {
--- a/fleet/src/main/java/burlarch/fleet/router/ControllerLinks.java
+++ b/fleet/src/main/java/burlarch/fleet/router/ControllerLinks.java
@@ -8,6 +8,7 @@
 import burlarch.transport.Link;
 import burlarch.transport.LinkListener;
 import burlarch.transport.Links;
+import burlarch.transport.NodeMessage;
 import burlarch.transport.NodeMessage.ConfigurationAck;
 import burlarch.transport.NodeMessage.ConfigurationChange;
 import burlarch.transport.NodeMessage.ConfigurationUpdate;
@@ -16,7 +17,6 @@
 import burlarch.transport.NodeMessage.InstancesAck;
 import burlarch.transport.NodeMessage.InstancesUpdate;
 import burlarch.transport.NodeMessage.KeptParts;
-import burlarch.transport.NodeMessage;
 import java.util.Collection;
 import java.util.HashMap;
 import java.util.HashSet;
@@ -56,9 +56,11 @@
     private final Map<Link, Integer> routersSeen = new HashMap<>();
     /** Addresses, those that were told of or lost last at the end. */
     private final Set<String> controllers = new LinkedHashSet<>();
+
     private Links transport;
     /** Connections on which the whole configuration was asked for and has not come yet. */
     private final Set<Link> awaitingWhole = new HashSet<>();
+
     private HeldConfiguration held = HeldConfiguration.NONE;
     /** What is in effect; null until a controller has told. */
     private List<Instance> instances;
@@ -178,8 +180,13 @@
         try {
             onConfiguration(connection, held.changed(change));
         } catch (DeltaMismatch mismatch) {
-            Logger.warn("change of configuration {} to {} from {} not taken, {} is held: {}", change.base(),
-                    change.version(), connection.peer().nodeName(), held.version(), mismatch.getMessage());
+            Logger.warn(
+                    "change of configuration {} to {} from {} not taken, {} is held: {}",
+                    change.base(),
+                    change.version(),
+                    connection.peer().nodeName(),
+                    held.version(),
+                    mismatch.getMessage());
             fetchWhole(connection, change);
         }
     }
--- a/fleet/src/main/java/burlarch/fleet/router/DrainSchedule.java
+++ b/fleet/src/main/java/burlarch/fleet/router/DrainSchedule.java
@@ -16,15 +16,18 @@
      * A connection closed before the first question would mostly be opened again right here.
      */
     private static final long MOST_CLOSE_MILLIS = 1000;
+
     private static final long CLOSE_DIVISOR = 8;
     /**
      * A request sent over 3 s after the signal is owed its whole answer, and the load balancer has taken this
      * router out after 2 s. The rest is for a signal that a busy machine delivers late.
      */
     private static final long MOST_REFUSE_MILLIS = 2500;
+
     private static final long REFUSE_DIVISOR = 2;
     /** Time to tell the members, to stop the threads and to end, also on a machine that is short of time. */
     private static final long MOST_EXIT_MILLIS = 1500;
+
     private static final long EXIT_DIVISOR = 4;
     /** An answer at its deadline needs this long to be written. */
     private static final long WRITE_MILLIS = 50;
--- a/fleet/src/main/java/burlarch/fleet/router/Exchange.java
+++ b/fleet/src/main/java/burlarch/fleet/router/Exchange.java
@@ -40,6 +40,7 @@
     };
     /** Whether it came before the router knew where requests go, so that it may have waited. */
     private boolean mayHaveWaited;
+
     private ByteBuffer body;
     private RouteRequest routed;
     private RequestHead head;
@@ -126,8 +127,8 @@
             return;
         }
         body = whole;
-        Intake intake = Intake.of(context.table(), request.getHttpURI(), request.getHeaders(),
-                request.getHeadersNanoTime());
+        Intake intake =
+                Intake.of(context.table(), request.getHttpURI(), request.getHeaders(), request.getHeadersNanoTime());
         if (intake.status() != 0) {
             end(intake.status(), null, false);
             return;
@@ -138,8 +139,7 @@
             end(503, ELSEWHERE, true);
             return;
         }
-        head = new RequestHead(request.getMethod(), request.getHttpURI().getPathQuery(),
-                request.getHeaders());
+        head = new RequestHead(request.getMethod(), request.getHttpURI().getPathQuery(), request.getHeaders());
         if (!watchClient()) {
             clientGone();
             return;
@@ -149,8 +149,7 @@
             end(503, SOON, false);
             return;
         }
-        deadline = context.scheduler().schedule(() -> inTurn(this::deadlinePassed), left,
-                TimeUnit.NANOSECONDS);
+        deadline = context.scheduler().schedule(() -> inTurn(this::deadlinePassed), left, TimeUnit.NANOSECONDS);
         next();
     }
 
@@ -183,8 +182,8 @@
             relay = null;
         }
         ByteBuffer headBytes = head.bytes(request, send, body.remaining(), after, System.nanoTime());
-        ByteBuffer[] message = body.hasRemaining()
-                ? new ByteBuffer[] {headBytes, body.slice()} : new ByteBuffer[] {headBytes};
+        ByteBuffer[] message =
+                body.hasRemaining() ? new ByteBuffer[] {headBytes, body.slice()} : new ByteBuffer[] {headBytes};
         attempt.begin(context.client(), message, HttpMethod.HEAD.is(this.request.getMethod()));
     }
 
--- a/fleet/src/main/java/burlarch/fleet/router/FollowedSources.java
+++ b/fleet/src/main/java/burlarch/fleet/router/FollowedSources.java
@@ -25,6 +25,7 @@
     private Collection<Instance> instances = List.of();
     /** How many calls each source holds at once. */
     private Map<Source, Integer> places = Map.of();
+
     private int routers = 1;
     private Set<String> others = Set.of();
     private volatile Set<String> shared = Set.of();
@@ -106,7 +107,8 @@
         for (Instance instance : instances) {
             Service service = services.get(instance.service());
             if (service != null && service.engine() != null) {
-                found.put(new Source(instance.id(), instance.address(), false),
+                found.put(
+                        new Source(instance.id(), instance.address(), false),
                         service.engine().maxInFlight());
             }
         }
--- a/fleet/src/main/java/burlarch/fleet/router/FrontConnectionFactory.java
+++ b/fleet/src/main/java/burlarch/fleet/router/FrontConnectionFactory.java
@@ -21,8 +21,7 @@
 
     @Override
     public Connection newConnection(Connector connector, EndPoint endPoint) {
-        return configure(new UnframedConnection(getHttpConfiguration(), connector, endPoint), connector,
-                endPoint);
+        return configure(new UnframedConnection(getHttpConfiguration(), connector, endPoint), connector, endPoint);
     }
 
     private static final class UnframedConnection extends HttpConnection {
--- a/fleet/src/main/java/burlarch/fleet/router/Headers.java
+++ b/fleet/src/main/java/burlarch/fleet/router/Headers.java
@@ -22,16 +22,31 @@
     static final String RETRY_AFTER = "Retry-After";
 
     /** Headers that concern one connection, in lower case. */
-    private static final Set<String> HOP_BY_HOP = Set.of("connection", "keep-alive", "transfer-encoding",
+    private static final Set<String> HOP_BY_HOP = Set.of(
+            "connection",
+            "keep-alive",
+            "transfer-encoding",
             "te",
-            "trailer", "upgrade", "proxy-connection", "proxy-authorization", "proxy-authenticate");
+            "trailer",
+            "upgrade",
+            "proxy-connection",
+            "proxy-authorization",
+            "proxy-authenticate");
     /** Headers of requests that are the router's to set, or that it has acted on; in lower case. */
-    private static final Set<String> OWN = Set.of("content-length", "expect", "x-credential", "x-tenant-id",
-            "x-target-instance", "x-request-deadline", "priority", "expect-version", "cache-salt", "kv-fetch",
+    private static final Set<String> OWN = Set.of(
+            "content-length",
+            "expect",
+            "x-credential",
+            "x-tenant-id",
+            "x-target-instance",
+            "x-request-deadline",
+            "priority",
+            "expect-version",
+            "cache-salt",
+            "kv-fetch",
             "kv-save");
 
-    private Headers() {
-    }
+    private Headers() {}
 
     /** Whether a request's header goes along; {@code named} as {@link #namedByConnection} tells. */
     static boolean passesWithRequest(String name, Set<String> named) {
--- a/fleet/src/main/java/burlarch/fleet/router/Intake.java
+++ b/fleet/src/main/java/burlarch/fleet/router/Intake.java
@@ -34,11 +34,20 @@
             return new Intake(401, null);
         }
         int[] usage = RequestHints.tokenUsage(fields.get("X-Token-Usage"));
-        long wait = Math.min(Headers.number(fields.get(Headers.DEADLINE), LONGEST_MILLIS),
-                route.timeoutMillis());
-        return new Intake(0, new RouteRequest(id, route, tenant, fields.get("X-Model"), usage[0], usage[1],
-                RequestHints.parts(fields.get("X-Prefix-Hash")), fields.contains(Headers.LAST_EVENT_ID),
-                receivedNanos, receivedNanos + wait * 1_000_000));
+        long wait = Math.min(Headers.number(fields.get(Headers.DEADLINE), LONGEST_MILLIS), route.timeoutMillis());
+        return new Intake(
+                0,
+                new RouteRequest(
+                        id,
+                        route,
+                        tenant,
+                        fields.get("X-Model"),
+                        usage[0],
+                        usage[1],
+                        RequestHints.parts(fields.get("X-Prefix-Hash")),
+                        fields.contains(Headers.LAST_EVENT_ID),
+                        receivedNanos,
+                        receivedNanos + wait * 1_000_000));
     }
 
     /** The host without its port; names are matched in lower case. */
--- a/fleet/src/main/java/burlarch/fleet/router/KeepAlive.java
+++ b/fleet/src/main/java/burlarch/fleet/router/KeepAlive.java
@@ -11,6 +11,7 @@
 record KeepAlive(long restMillis) {
     /** A server that tells no time has less than a whole second. */
     static final KeepAlive UNTOLD = new KeepAlive(300);
+
     private static final KeepAlive NONE = new KeepAlive(0);
     private static final long LEAST_MILLIS = 500;
     private static final long MARGIN_MILLIS = 1000;
@@ -25,8 +26,7 @@
             String text = parameter.toLowerCase(Locale.ROOT);
             if (text.startsWith("timeout=")) {
                 long seconds = Math.min(MOST_SECONDS, Headers.number(text.substring("timeout=".length()), 0));
-                return seconds == 0 ? UNTOLD : new KeepAlive(
-                        Math.max(LEAST_MILLIS, seconds * 1000 - MARGIN_MILLIS));
+                return seconds == 0 ? UNTOLD : new KeepAlive(Math.max(LEAST_MILLIS, seconds * 1000 - MARGIN_MILLIS));
             }
         }
         return UNTOLD;
--- a/fleet/src/main/java/burlarch/fleet/router/RelayConnection.java
+++ b/fleet/src/main/java/burlarch/fleet/router/RelayConnection.java
@@ -15,7 +15,12 @@
  */
 final class RelayConnection extends AbstractConnection {
     /** FLUSHED: the answer was there before the word that the last byte of the request is out. */
-    private enum State { IDLE, BUSY, FLUSHED, CLOSED }
+    private enum State {
+        IDLE,
+        BUSY,
+        FLUSHED,
+        CLOSED
+    }
 
     private final RelayPool pool;
     private final String address;
@@ -25,6 +30,7 @@
             Callback.from(Invocable.InvocationType.NON_BLOCKING, this::onFillable, this::fail);
     /** Guards state, call and written. The parser belongs to whoever reads for the present call. */
     private State state = State.IDLE;
+
     private RelayCall call;
     private boolean written;
     private ByteBuffer input;
@@ -72,8 +78,13 @@
         if (news) {
             getEndPoint().close();
         } else if (begun) {
-            getEndPoint().write(Callback.from(Invocable.InvocationType.NON_BLOCKING, () -> sent(next),
-                    cause -> notSent(next, cause)), next.message());
+            getEndPoint()
+                    .write(
+                            Callback.from(
+                                    Invocable.InvocationType.NON_BLOCKING,
+                                    () -> sent(next),
+                                    cause -> notSent(next, cause)),
+                            next.message());
         } else {
             pool.resting(this);
         }
@@ -229,8 +240,11 @@
     }
 
     private State afterAnswer() {
-        boolean reusable = state == State.BUSY && !input.hasRemaining() && parser.keepAlive().reusable()
-                && !parser.isAtEnd() && getEndPoint().isOpen();
+        boolean reusable = state == State.BUSY
+                && !input.hasRemaining()
+                && parser.keepAlive().reusable()
+                && !parser.isAtEnd()
+                && getEndPoint().isOpen();
         if (!reusable) {
             return State.CLOSED;
         }
--- a/fleet/src/main/java/burlarch/fleet/router/RelayPool.java
+++ b/fleet/src/main/java/burlarch/fleet/router/RelayPool.java
@@ -13,8 +13,7 @@
     /** More connections than this do not rest at one address. */
     private static final int MOST_AT_REST = 256;
 
-    private record Resting(RelayConnection connection, long untilNanos) {
-    }
+    private record Resting(RelayConnection connection, long untilNanos) {}
 
     private final Executor executor;
     private final Map<String, ArrayDeque<Resting>> byAddress = new HashMap<>();
@@ -36,8 +35,7 @@
         return taken;
     }
 
-    private synchronized RelayConnection take(String address, long nowNanos,
-            List<RelayConnection> expired) {
+    private synchronized RelayConnection take(String address, long nowNanos, List<RelayConnection> expired) {
         ArrayDeque<Resting> stack = byAddress.get(address);
         while (stack != null && !stack.isEmpty()) {
             Resting resting = stack.pop();
@@ -52,8 +50,7 @@
     void resting(RelayConnection connection) {
         long until = System.nanoTime() + connection.keepAlive().restMillis() * 1_000_000;
         synchronized (this) {
-            ArrayDeque<Resting> stack = byAddress.computeIfAbsent(connection.address(),
-                    a -> new ArrayDeque<>());
+            ArrayDeque<Resting> stack = byAddress.computeIfAbsent(connection.address(), a -> new ArrayDeque<>());
             if (!closed && stack.size() < MOST_AT_REST) {
                 stack.push(new Resting(connection, until));
                 return;
@@ -76,9 +73,9 @@
 
     private synchronized List<RelayConnection> removeExpired(long nowNanos) {
         List<RelayConnection> expired = new ArrayList<>(0);
-        for (Iterator<ArrayDeque<Resting>> all = byAddress.values().iterator(); all.hasNext();) {
+        for (Iterator<ArrayDeque<Resting>> all = byAddress.values().iterator(); all.hasNext(); ) {
             ArrayDeque<Resting> stack = all.next();
-            for (Iterator<Resting> each = stack.iterator(); each.hasNext();) {
+            for (Iterator<Resting> each = stack.iterator(); each.hasNext(); ) {
                 Resting resting = each.next();
                 if (resting.untilNanos() - nowNanos <= 0) {
                     expired.add(resting.connection());
--- a/fleet/src/main/java/burlarch/fleet/router/Repeats.java
+++ b/fleet/src/main/java/burlarch/fleet/router/Repeats.java
@@ -6,8 +6,7 @@
 
 /** What a route's kind says of running a request again. */
 final class Repeats {
-    private Repeats() {
-    }
+    private Repeats() {}
 
     /** Whether it may run more than once. */
     static boolean mayRepeat(Route route) {
@@ -21,8 +20,16 @@
 
     /** The request as the planner sees it when a stream of it is taken up. */
     static RouteRequest takenUp(RouteRequest request) {
-        return new RouteRequest(request.id(), request.route(), request.tenant(), request.model(),
-                request.promptTokens(), request.maxOutputTokens(), request.parts(), true,
-                request.receivedNanos(), request.deadlineNanos());
+        return new RouteRequest(
+                request.id(),
+                request.route(),
+                request.tenant(),
+                request.model(),
+                request.promptTokens(),
+                request.maxOutputTokens(),
+                request.parts(),
+                true,
+                request.receivedNanos(),
+                request.deadlineNanos());
     }
 }
--- a/fleet/src/main/java/burlarch/fleet/router/RequestHead.java
+++ b/fleet/src/main/java/burlarch/fleet/router/RequestHead.java
@@ -24,13 +24,11 @@
         this.target = target;
         this.fields = fields;
         this.named = Headers.namedByConnection(fields);
-        this.hasBody = fields.contains(HttpHeader.CONTENT_LENGTH)
-                || fields.contains(HttpHeader.TRANSFER_ENCODING);
+        this.hasBody = fields.contains(HttpHeader.CONTENT_LENGTH) || fields.contains(HttpHeader.TRANSFER_ENCODING);
     }
 
     /** Bytes of the head for one attempt; {@code resumeAfter} replaces Last-Event-Id unless null. */
-    ByteBuffer bytes(RouteRequest request, Placement.Send send, int bodyLength, String resumeAfter,
-            long nowNanos) {
+    ByteBuffer bytes(RouteRequest request, Placement.Send send, int bodyLength, String resumeAfter, long nowNanos) {
         StringBuilder head = new StringBuilder(512);
         head.append(method).append(' ').append(target).append(" HTTP/1.1").append(LINE_END);
         for (HttpField field : fields) {
@@ -46,7 +44,10 @@
         long left = Math.max(1, (request.deadlineNanos() - nowNanos) / 1_000_000);
         add(head, Headers.DEADLINE, Long.toString(left));
         add(head, Headers.TARGET, send.instance().id());
-        add(head, Headers.TENANT, request.tenant() == null ? null : request.tenant().name());
+        add(
+                head,
+                Headers.TENANT,
+                request.tenant() == null ? null : request.tenant().name());
         add(head, "Cache-Salt", send.cacheSalt());
         add(head, "Expect-Version", send.expectVersion() > 0 ? Long.toString(send.expectVersion()) : null);
         add(head, "Kv-Fetch", send.kvFetch());
--- a/fleet/src/main/java/burlarch/fleet/router/RequestHints.java
+++ b/fleet/src/main/java/burlarch/fleet/router/RequestHints.java
@@ -10,8 +10,7 @@
     /** No prompt has more parts than fit the largest head; this bounds what a hostile one makes us keep. */
     private static final int MOST_PARTS = 4096;
 
-    private RequestHints() {
-    }
+    private RequestHints() {}
 
     /** Tokens of the prompt and most tokens out, {0, 0} if not told. */
     static int[] tokenUsage(String value) {
--- a/fleet/src/main/java/burlarch/fleet/router/RouterProgram.java
+++ b/fleet/src/main/java/burlarch/fleet/router/RouterProgram.java
@@ -33,31 +33,41 @@
 public final class RouterProgram {
     private static final double NANOS_A_SECOND = 1e9;
 
-    private RouterProgram() {
-    }
+    private RouterProgram() {}
 
     /** Starts the router; it lives on by its own threads. */
     public static void run(NodeSettings settings) throws Exception {
         Planner planner = new FleetPlanner(plannerSettings(settings));
         Object lock = new Object();
         long graceMillis = TimeUnit.NANOSECONDS.toMillis(settings.bounds().graceNanos());
-        RouterServer server = new RouterServer(new RouterServerSettings(settings.listen().front(),
-                settings.listen().readiness(), graceMillis), planner, lock, IndexedRouteTable::of);
+        RouterServer server = new RouterServer(
+                new RouterServerSettings(
+                        settings.listen().front(), settings.listen().readiness(), graceMillis),
+                planner,
+                lock,
+                IndexedRouteTable::of);
         server.start();
         NodeLoop loop = new NodeLoop("node");
         IndexFeed feed = new IndexFeed(planner, lock);
         KeptRelay relay = new KeptRelay(loop, feed);
-        EventFollower follower = new EventFollower(new EngineClient(server.newEngineHttp()), relay,
-                server.delays(), System::nanoTime,
+        EventFollower follower = new EventFollower(
+                new EngineClient(server.newEngineHttp()),
+                relay,
+                server.delays(),
+                System::nanoTime,
                 () -> ThreadLocalRandom.current().nextDouble());
         FollowedSources sources = new FollowedSources(settings.nodeName(), follower, feed);
-        FleetSize size = new FleetSize(loop, new RouterCount(
-                BudgetSettings.forWindow(settings.bounds().budgetWindowNanos()), settings.bootstrap(),
-                loop.nanoTime()), sharers -> tellPlanner(planner, lock, sharers), sources::onRouters);
+        FleetSize size = new FleetSize(
+                loop,
+                new RouterCount(
+                        BudgetSettings.forWindow(settings.bounds().budgetWindowNanos()),
+                        settings.bootstrap(),
+                        loop.nanoTime()),
+                sharers -> tellPlanner(planner, lock, sharers),
+                sources::onRouters);
         ControllerLinks links = new ControllerLinks(new InForce(planner, lock, server, sources, size, relay));
         Membership membership = join(settings, loop, links, size, sources);
-        loop.execute(() -> relay.start(sources::isShared,
-                () -> links.relayFor(settings.nodeName(), settings.zone())));
+        loop.execute(() -> relay.start(sources::isShared, () -> links.relayFor(settings.nodeName(), settings.zone())));
         SettingsWatch.start(newer -> loop.execute(() -> links.learn(NodeAddresses.seeds(newer))));
         Shutdown.onSignal(() -> {
             server.drain().join();
@@ -67,17 +77,24 @@
     }
 
     /** Connects with the controllers and joins the members. */
-    private static Membership join(NodeSettings settings, NodeLoop loop, ControllerLinks links,
-            FleetSize size,
-            FollowedSources sources) throws IOException {
+    private static Membership join(
+            NodeSettings settings, NodeLoop loop, ControllerLinks links, FleetSize size, FollowedSources sources)
+            throws IOException {
         String address = NodeAddresses.own(settings);
         List<String> seeds = NodeAddresses.seeds(settings);
         UUID incarnation = UUID.randomUUID();
-        NodeTransport transport = new NodeTransport(loop, new NodeMessage.Hello(settings.nodeName(),
-                Roles.ROUTER, address, settings.zone(), "", incarnation.toString()),
-                NodeAddresses.socket(address), NodeTransport.Listener.of(links));
-        Membership membership = new Membership(loop, new Membership.Self(settings.nodeName(), Roles.ROUTER,
-                settings.zone(), incarnation.getLeastSignificantBits()), NodeAddresses.socket(address), seeds,
+        NodeTransport transport = new NodeTransport(
+                loop,
+                new NodeMessage.Hello(
+                        settings.nodeName(), Roles.ROUTER, address, settings.zone(), "", incarnation.toString()),
+                NodeAddresses.socket(address),
+                NodeTransport.Listener.of(links));
+        Membership membership = new Membership(
+                loop,
+                new Membership.Self(
+                        settings.nodeName(), Roles.ROUTER, settings.zone(), incarnation.getLeastSignificantBits()),
+                NodeAddresses.socket(address),
+                seeds,
                 SwimSettings.defaults());
         loop.execute(() -> {
             links.start(transport, seeds);
@@ -98,8 +115,12 @@
 
     private static PlannerSettings plannerSettings(NodeSettings settings) {
         NodeBounds bounds = settings.bounds();
-        return PlannerSettings.of(settings.zone(), settings.zones(), bounds.retryBudget(),
-                bounds.budgetWindowNanos() / NANOS_A_SECOND, bounds.budgetSlack(),
+        return PlannerSettings.of(
+                settings.zone(),
+                settings.zones(),
+                bounds.retryBudget(),
+                bounds.budgetWindowNanos() / NANOS_A_SECOND,
+                bounds.budgetSlack(),
                 TimeUnit.NANOSECONDS.toMillis(bounds.versionNanos()));
     }
 
@@ -115,8 +136,13 @@
         private Configuration configuration;
         private InstanceViews instances;
 
-        InForce(Planner planner, Object lock, RouterServer server, FollowedSources sources,
-                FleetSize size, KeptRelay relay) {
+        InForce(
+                Planner planner,
+                Object lock,
+                RouterServer server,
+                FollowedSources sources,
+                FleetSize size,
+                KeptRelay relay) {
             this.relay = relay;
             this.sources = sources;
             this.size = size;
--- a/fleet/src/main/java/burlarch/fleet/router/RouterServer.java
+++ b/fleet/src/main/java/burlarch/fleet/router/RouterServer.java
@@ -29,6 +29,7 @@
     private static final int ACCEPT_QUEUE = 512;
     /** Further clients wait in the queue of the listening socket. */
     private static final int MOST_CLIENTS = 2500;
+
     private static final int POOL_FACTOR = 4096;
     private static final int POOL_LARGEST = 65536;
     private static final int POOL_BUCKET = 64;
@@ -58,7 +59,10 @@
      * @param planner called under {@code plannerLock} only
      * @param tables makes a configuration ready for look-ups
      */
-    public RouterServer(RouterServerSettings settings, Planner planner, Object plannerLock,
+    public RouterServer(
+            RouterServerSettings settings,
+            Planner planner,
+            Object plannerLock,
             Function<Configuration, RouteTable> tables) {
         this.settings = settings;
         this.tables = tables;
@@ -67,8 +71,10 @@
         threads.setName("router");
         threads.setReservedThreads(0);
         threads.setStopTimeout(STOP_MILLIS);
-        this.server = new Server(threads, scheduler, new ArrayByteBufferPool(0, POOL_FACTOR, POOL_LARGEST,
-                POOL_BUCKET, POOL_BYTES, POOL_BYTES));
+        this.server = new Server(
+                threads,
+                scheduler,
+                new ArrayByteBufferPool(0, POOL_FACTOR, POOL_LARGEST, POOL_BUCKET, POOL_BYTES, POOL_BYTES));
         this.client = new RelayClient(threads, scheduler, settings.connectTimeoutMillis());
         this.context = new RouterContext(gate, client, scheduler);
         this.handler = new FrontHandler(context, () -> ready && !draining);
--- a/fleet/src/main/java/burlarch/fleet/router/RouterServerSettings.java
+++ b/fleet/src/main/java/burlarch/fleet/router/RouterServerSettings.java
@@ -10,8 +10,8 @@
  * @param graceMillis time between SIGTERM and SIGKILL
  * @param connectTimeoutMillis longest time until a connection to a server is up
  */
-public record RouterServerSettings(InetSocketAddress front, InetSocketAddress readiness, long graceMillis,
-        long connectTimeoutMillis) {
+public record RouterServerSettings(
+        InetSocketAddress front, InetSocketAddress readiness, long graceMillis, long connectTimeoutMillis) {
     /** A server that takes longer to accept is given up; nothing was sent to it by then. */
     public static final long CONNECT_TIMEOUT_MILLIS = 800;
 
--- a/fleet/src/main/java/burlarch/fleet/router/ServiceCover.java
+++ b/fleet/src/main/java/burlarch/fleet/router/ServiceCover.java
@@ -9,8 +9,7 @@
 
 /** Whether each service has been heard of. After a start of all controllers instances come in one by one. */
 final class ServiceCover {
-    private ServiceCover() {
-    }
+    private ServiceCover() {}
 
     /** Whether there is an instance of each service that takes requests. */
     static boolean isWhole(Configuration configuration, Collection<Instance> instances) {
--- a/fleet/src/main/java/burlarch/fleet/router/StartHold.java
+++ b/fleet/src/main/java/burlarch/fleet/router/StartHold.java
@@ -30,11 +30,14 @@
             next.run();
             return;
         }
-        scheduler.schedule(() -> {
-            if (takeBack(next)) {
-                next.run();
-            }
-        }, MOST_HELD_MILLIS, TimeUnit.MILLISECONDS);
+        scheduler.schedule(
+                () -> {
+                    if (takeBack(next)) {
+                        next.run();
+                    }
+                },
+                MOST_HELD_MILLIS,
+                TimeUnit.MILLISECONDS);
     }
 
     /** Whether {@link #pass} lets everything through at once, from now on. */
--- a/fleet/src/main/java/burlarch/fleet/router/StreamRelay.java
+++ b/fleet/src/main/java/burlarch/fleet/router/StreamRelay.java
@@ -10,6 +10,7 @@
 final class StreamRelay {
     /** An event larger than this is none that a server sends. */
     static final int MOST_EVENT_BYTES = 1 << 20;
+
     private static final long NO_ID = -1;
     private static final int FIRST_BYTES = 512;
 
@@ -17,6 +18,7 @@
     private int length;
     /** Up to where held bytes are scanned, and where the line under scan begins. */
     private int scanned;
+
     private int lineStart;
     private boolean firstLine = true;
     private long idOfEvent = NO_ID;
