--- a/fleet/src/test/java/burlarch/fleet/router/StreamsTest.java
+++ b/fleet/src/test/java/burlarch/fleet/router/StreamsTest.java
@@ -32,15 +32,15 @@
     void eachEventPassesAtOnce() throws Exception {
         Semaphore seen = new Semaphore(0);
         try (FakeEngine engine = new FakeEngine((received, socket, out) -> {
-            head(received, out);
-            for (int id = 1; id <= 5; id++) {
-                event(out, id);
-                if (!seen.tryAcquire(5, TimeUnit.SECONDS)) {
-                    return;
-                }
-            }
-            out.write(ascii("0\r\n\r\n"));
-        });
+                    head(received, out);
+                    for (int id = 1; id <= 5; id++) {
+                        event(out, id);
+                        if (!seen.tryAcquire(5, TimeUnit.SECONDS)) {
+                            return;
+                        }
+                    }
+                    out.write(ascii("0\r\n\r\n"));
+                });
                 RouterFixture fixture = new RouterFixture(engine);
                 RawClient client = fixture.client()) {
             client.send(request("POST", "/stream/a", "id", "", "x"));
@@ -60,10 +60,10 @@
     void clientThatLeavesEndsTheRun() throws Exception {
         CountDownLatch closed = new CountDownLatch(1);
         try (FakeEngine engine = new FakeEngine((received, socket, out) -> {
-            if (socket.getInputStream().read() < 0) {
-                closed.countDown();
-            }
-        });
+                    if (socket.getInputStream().read() < 0) {
+                        closed.countDown();
+                    }
+                });
                 RouterFixture fixture = new RouterFixture(engine)) {
             RawClient client = fixture.client();
             client.send(request("POST", "/stream/a", "id", "", "x"));
@@ -78,12 +78,12 @@
     void clientThatLeavesMidwayEndsTheRun() throws Exception {
         CountDownLatch closed = new CountDownLatch(1);
         try (FakeEngine engine = new FakeEngine((received, socket, out) -> {
-            head(received, out);
-            event(out, 1);
-            if (socket.getInputStream().read() < 0) {
-                closed.countDown();
-            }
-        });
+                    head(received, out);
+                    event(out, 1);
+                    if (socket.getInputStream().read() < 0) {
+                        closed.countDown();
+                    }
+                });
                 RouterFixture fixture = new RouterFixture(engine)) {
             RawClient client = fixture.client();
             client.send(request("POST", "/stream/a", "id", "", "x"));
@@ -98,13 +98,13 @@
     void largeAnswerPassesToASlowClient() throws Exception {
         int length = 3_000_000;
         try (FakeEngine engine = new FakeEngine((received, socket, out) -> {
-            out.write(ascii(FakeEngine.head(received, 200, "Content-Length: " + length + "\r\n")));
-            byte[] bytes = new byte[length];
-            for (int i = 0; i < length; i++) {
-                bytes[i] = (byte) ('a' + i % 23);
-            }
-            out.write(bytes);
-        });
+                    out.write(ascii(FakeEngine.head(received, 200, "Content-Length: " + length + "\r\n")));
+                    byte[] bytes = new byte[length];
+                    for (int i = 0; i < length; i++) {
+                        bytes[i] = (byte) ('a' + i % 23);
+                    }
+                    out.write(bytes);
+                });
                 RouterFixture fixture = new RouterFixture(engine);
                 RawClient client = fixture.client()) {
             RawClient.Answer answer = client.ask(request("POST", "/once/a", "id", "", "x"));
--- a/lab/src/main/java/burlarch/lab/experiment/ExperimentPlan.java
+++ b/lab/src/main/java/burlarch/lab/experiment/ExperimentPlan.java
@@ -11,8 +11,15 @@
 import java.util.List;
 
 /** One file: a fleet with its faults, proxies with their limits and faults, a load, and bars. */
-public record ExperimentPlan(String name, String about, Path file, FleetPlan fleet, LoadPlan load,
-        Proxies proxies, List<ProxyEvent> events, List<Bar> bars) {
+public record ExperimentPlan(
+        String name,
+        String about,
+        Path file,
+        FleetPlan fleet,
+        LoadPlan load,
+        Proxies proxies,
+        List<ProxyEvent> events,
+        List<Bar> bars) {
     /**
      * How the proxies are run.
      *
@@ -21,15 +28,27 @@
      * @param jvm       flags behind the platform's
      * @param pin       the cores that each may use, in the form of taskset's list; empty for any
      */
-    public record Proxies(int heapMb, int sockets, int attemptsMost, List<String> arguments, String pin,
+    public record Proxies(
+            int heapMb,
+            int sockets,
+            int attemptsMost,
+            List<String> arguments,
+            String pin,
             boolean proxyless,
-            double cores, List<String> jvm, double liveHeapAtS) {
-    }
+            double cores,
+            List<String> jvm,
+            double liveHeapAtS) {}
 
     /** What happens to a proxy's process, and when. */
     public record ProxyEvent(double s, Action action, String proxy) {
         /** What can be done to a process. */
-        public enum Action { KILL, TERM, PAUSE, RESUME, START }
+        public enum Action {
+            KILL,
+            TERM,
+            PAUSE,
+            RESUME,
+            START
+        }
 
         @Override
         public String toString() {
@@ -60,15 +79,24 @@
                 throw experiment.wrong("bars", e.getMessage());
             }
         }
-        ExperimentPlan plan = new ExperimentPlan(experiment.text("name", path.getFileName().toString()),
-                experiment.text("about", "-"), path, fleet, load,
-                new Proxies(proxies.whole("heap_mb", 48, 16, 65_536),
+        ExperimentPlan plan = new ExperimentPlan(
+                experiment.text("name", path.getFileName().toString()),
+                experiment.text("about", "-"),
+                path,
+                fleet,
+                load,
+                new Proxies(
+                        proxies.whole("heap_mb", 48, 16, 65_536),
                         proxies.whole("sockets", 1024, 256, 1_000_000),
-                        proxies.whole("attempts_most", 5, 1, 5), proxies.texts("arguments"),
-                        proxies.has("pin") ? proxies.text("pin", "") : "", proxies.flag("none", false),
-                        proxies.number("cores", 0, 0, 64), proxies.texts("jvm"),
+                        proxies.whole("attempts_most", 5, 1, 5),
+                        proxies.texts("arguments"),
+                        proxies.has("pin") ? proxies.text("pin", "") : "",
+                        proxies.flag("none", false),
+                        proxies.number("cores", 0, 0, 64),
+                        proxies.texts("jvm"),
                         proxies.number("live_heap_at_s", 0, 0, 86_400)),
-                events, bars);
+                events,
+                bars);
         if (load.tls() && load.batch() > 0) {
             throw file.wrong("client_tls.on", "and load.batch: a proxy has the one port or the other");
         }
@@ -92,12 +120,15 @@
         }
         return switch (word) {
             case "term" -> List.of(new ProxyEvent(s, ProxyEvent.Action.TERM, proxy));
-            case "pause" -> List.of(new ProxyEvent(s, ProxyEvent.Action.PAUSE, proxy),
+            case "pause" -> List.of(
+                    new ProxyEvent(s, ProxyEvent.Action.PAUSE, proxy),
                     new ProxyEvent(s + forS, ProxyEvent.Action.RESUME, proxy));
-            case "restart" -> List.of(new ProxyEvent(s, ProxyEvent.Action.TERM, proxy),
+            case "restart" -> List.of(
+                    new ProxyEvent(s, ProxyEvent.Action.TERM, proxy),
                     new ProxyEvent(s + Math.max(forS, 0.1), ProxyEvent.Action.START, proxy));
             default -> entry.has("for_s")
-                    ? List.of(new ProxyEvent(s, ProxyEvent.Action.KILL, proxy),
+                    ? List.of(
+                            new ProxyEvent(s, ProxyEvent.Action.KILL, proxy),
                             new ProxyEvent(s + forS, ProxyEvent.Action.START, proxy))
                     : List.of(new ProxyEvent(s, ProxyEvent.Action.KILL, proxy));
         };
--- a/lab/src/main/java/burlarch/lab/experiment/JdkTool.java
+++ b/lab/src/main/java/burlarch/lab/experiment/JdkTool.java
@@ -11,8 +11,7 @@
 final class JdkTool {
     private static final long PATIENCE_S = 30;
 
-    private JdkTool() {
-    }
+    private JdkTool() {}
 
     /** @return what it said @throws IOException with that where it fails, or where it does not end in 30 s */
     static String run(String tool, String... arguments) throws IOException, InterruptedException {
--- a/lab/src/main/java/burlarch/lab/experiment/LabCertificate.java
+++ b/lab/src/main/java/burlarch/lab/experiment/LabCertificate.java
@@ -20,15 +20,37 @@
     static LabCertificate make(Path folder) throws IOException, InterruptedException {
         Path store = folder.resolve("lab.p12");
         Files.deleteIfExists(store);
-        JdkTool.run("keytool", "-genkeypair", "-alias", "lab", "-keyalg", "EC", "-groupname", "secp256r1",
-                "-dname", "CN=burlarch-lab", "-ext", "san=ip:127.0.0.1,ip:::1", "-ext", "bc:c=ca:true",
-                "-validity", "1", "-storetype", "PKCS12", "-keystore", store.toString(), "-storepass", WORD);
+        JdkTool.run(
+                "keytool",
+                "-genkeypair",
+                "-alias",
+                "lab",
+                "-keyalg",
+                "EC",
+                "-groupname",
+                "secp256r1",
+                "-dname",
+                "CN=burlarch-lab",
+                "-ext",
+                "san=ip:127.0.0.1,ip:::1",
+                "-ext",
+                "bc:c=ca:true",
+                "-validity",
+                "1",
+                "-storetype",
+                "PKCS12",
+                "-keystore",
+                store.toString(),
+                "-storepass",
+                WORD);
         try (InputStream in = Files.newInputStream(store)) {
             KeyStore keys = KeyStore.getInstance("PKCS12");
             keys.load(in, WORD.toCharArray());
             Key key = keys.getKey("lab", WORD.toCharArray());
             return new LabCertificate(
-                    pem(folder.resolve("lab-cert.pem"), "CERTIFICATE",
+                    pem(
+                            folder.resolve("lab-cert.pem"),
+                            "CERTIFICATE",
                             keys.getCertificate("lab").getEncoded()),
                     pem(folder.resolve("lab-key.pem"), "PRIVATE KEY", key.getEncoded()));
         } catch (GeneralSecurityException e) {
@@ -39,8 +61,10 @@
     }
 
     private static Path pem(Path file, String label, byte[] bytes) throws IOException {
-        return Files.writeString(file, "-----BEGIN " + label + "-----\n"
-                + Base64.getMimeEncoder(64, new byte[] {'\n'}).encodeToString(bytes) + "\n-----END " + label
-                + "-----\n");
+        return Files.writeString(
+                file,
+                "-----BEGIN " + label + "-----\n"
+                        + Base64.getMimeEncoder(64, new byte[] {'\n'}).encodeToString(bytes) + "\n-----END " + label
+                        + "-----\n");
     }
 }
--- a/lab/src/main/java/burlarch/lab/experiment/LiveHeap.java
+++ b/lab/src/main/java/burlarch/lab/experiment/LiveHeap.java
@@ -11,8 +11,7 @@
 final class LiveHeap {
     private static final Pattern USED = Pattern.compile("used (\\d+)K");
 
-    private LiveHeap() {
-    }
+    private LiveHeap() {}
 
     /** @return kilobytes @throws IOException where it can't be had, with what was said instead */
     static long kilobytes(long pid) throws IOException, InterruptedException {
--- a/lab/src/main/java/burlarch/lab/experiment/Outcome.java
+++ b/lab/src/main/java/burlarch/lab/experiment/Outcome.java
@@ -12,12 +12,17 @@
  * @param marks       what happened when, for the plots
  * @param nodeLoad    requests a second at each node, by second from the load's start
  */
-public record Outcome(ExperimentPlan plan, LoadResult load, Verdict verdict, Map<String, Double> figures,
-        List<Bar.Judged> bars, List<Mark> marks, Map<String, List<Samples.Sample>> usage,
+public record Outcome(
+        ExperimentPlan plan,
+        LoadResult load,
+        Verdict verdict,
+        Map<String, Double> figures,
+        List<Bar.Judged> bars,
+        List<Mark> marks,
+        Map<String, List<Samples.Sample>> usage,
         Map<String, int[]> nodeLoad) {
     /** Something that happened, so many seconds after the load's start. */
-    public record Mark(double s, String text) {
-    }
+    public record Mark(double s, String text) {}
 
     /** The exit code: 0, or 1 where a rule or a bar is broken or the run proves nothing. */
     public int status() {
--- a/lab/src/main/java/burlarch/lab/experiment/Samples.java
+++ b/lab/src/main/java/burlarch/lab/experiment/Samples.java
@@ -22,8 +22,7 @@
      * @param cpuShare of a core, since the sample before
      * @param byThread the same by what the threads are for
      */
-    public record Sample(double s, double cpuShare, double rssMb, Map<String, Double> byThread) {
-    }
+    public record Sample(double s, double cpuShare, double rssMb, Map<String, Double> byThread) {}
 
     private final Map<String, List<Sample>> samples = new LinkedHashMap<>();
     private final Map<String, ProxyProcess.Usage> last = new LinkedHashMap<>();
@@ -56,12 +55,15 @@
             List<Sample> of = samples.get(proxy.name);
             if (usage != null && before != null && usage.cpuS() >= before.cpuS() && of.size() < MOST) {
                 Map<String, Double> byThread = new TreeMap<>();
-                threads.computeIfAbsent(proxy.name, name -> new ThreadCpu()).since(proxy.pid())
+                threads.computeIfAbsent(proxy.name, name -> new ThreadCpu())
+                        .since(proxy.pid())
                         .forEach((group, nanos) ->
-                        byThread.put(group.name().toLowerCase(java.util.Locale.ROOT),
-                                nanos / 1e9 / spanS));
-                of.add(new Sample((nowNanos - startNanos) / 1e9, (usage.cpuS() - before.cpuS()) / spanS,
-                        usage.rssMb(), byThread));
+                                byThread.put(group.name().toLowerCase(java.util.Locale.ROOT), nanos / 1e9 / spanS));
+                of.add(new Sample(
+                        (nowNanos - startNanos) / 1e9,
+                        (usage.cpuS() - before.cpuS()) / spanS,
+                        usage.rssMb(),
+                        byThread));
             }
         }
     }
--- a/lab/src/main/java/burlarch/lab/load/LoadStatistics.java
+++ b/lab/src/main/java/burlarch/lab/load/LoadStatistics.java
@@ -15,7 +15,12 @@
 
     /** How a request ended for its client. */
     enum Outcome {
-        SERVED, REFUSED, FAILED, LOST, UNANSWERED, LEFT,
+        SERVED,
+        REFUSED,
+        FAILED,
+        LOST,
+        UNANSWERED,
+        LEFT,
         /** It never got a connection in its time: nothing was sent. */
         UNSENT
     }
@@ -40,6 +45,7 @@
     final Histogram service = new Histogram(LONGEST_MICROS, DIGITS);
     /** The generator's own: from when a request was due to when it was taken in hand; in nanoseconds. */
     final Histogram lag = new Histogram(LONGEST_MICROS * 1000, DIGITS);
+
     final Histogram[] byClass;
     final long[][] classOutcomes;
     final long[][] tenantOutcomes;
--- a/lab/src/main/java/burlarch/lab/load/MultiGetAnswer.java
+++ b/lab/src/main/java/burlarch/lab/load/MultiGetAnswer.java
@@ -9,11 +9,9 @@
 /** Reads the body of a multi-get's answer: {@code id status length} LF, the body, LF, for each line. */
 final class MultiGetAnswer {
     /** One line's end. */
-    record Line(int status, long bodyDigest) {
-    }
+    record Line(int status, long bodyDigest) {}
 
-    private MultiGetAnswer() {
-    }
+    private MultiGetAnswer() {}
 
     /** @return the lines by id, up to the first that can't be read */
     static Map<String, Line> read(byte[] body) {
@@ -33,8 +31,9 @@
             if (length < 0 || from + length >= body.length || body[from + length] != '\n') {
                 break;
             }
-            lines.put(head[0], new Line(Integer.parseInt(head[1]),
-                    Digest.of(Arrays.copyOfRange(body, from, from + length))));
+            lines.put(
+                    head[0],
+                    new Line(Integer.parseInt(head[1]), Digest.of(Arrays.copyOfRange(body, from, from + length))));
             at = from + length + 1;
         }
         return lines;
--- a/lab/src/main/java/burlarch/lab/load/MultiGetBatcher.java
+++ b/lab/src/main/java/burlarch/lab/load/MultiGetBatcher.java
@@ -13,8 +13,7 @@
     private static final double NANOS_PER_MS = 1e6;
 
     /** Reads that may go together. */
-    private record Group(ConnectionPool pool, int tenant) {
-    }
+    private record Group(ConnectionPool pool, int tenant) {}
 
     private final Map<Group, MultiGet> gathering = new HashMap<>();
     private final EventLoop loop;
--- a/lab/src/main/java/burlarch/lab/load/RequestEncoder.java
+++ b/lab/src/main/java/burlarch/lab/load/RequestEncoder.java
@@ -11,22 +11,25 @@
 final class RequestEncoder {
     /** The one class that the multi-get port takes. */
     static final String MULTI_GET_CLASS = "account-read";
+
     private static final String HOST = " HTTP/1.1\r\nHost: service.internal";
     /** Room for a request's head, in bytes; the buffer grows where a head is longer. */
     private static final int HEAD_BYTES = 384;
+
     private static final int MULTI_GET_HEAD_BYTES = 256;
     private static final int MULTI_GET_LINE_BYTES = 32;
 
     private final List<FleetPlan.RequestKind> classes;
     /** By class: from behind the key up to the request's id. */
     private final byte[][] classHeaders;
+
     private final byte[][] tenantHeaders;
 
     RequestEncoder(LoadPlan plan) {
         this.classes = plan.classes();
         this.classHeaders = classes.stream().map(RequestEncoder::classHeader).toArray(byte[][]::new);
-        this.tenantHeaders = plan.tenants().stream().map(RequestEncoder::tenantHeader)
-                .toArray(byte[][]::new);
+        this.tenantHeaders =
+                plan.tenants().stream().map(RequestEncoder::tenantHeader).toArray(byte[][]::new);
     }
 
     private static byte[] classHeader(FleetPlan.RequestKind kind) {
@@ -70,7 +73,10 @@
         StringBuilder lines = new StringBuilder(multiGet.lines.size() * MULTI_GET_LINE_BYTES);
         for (PendingRequest line : multiGet.lines) {
             if (!line.over) {
-                lines.append(line.planned.id()).append(' ').append(line.planned.key()).append('\n');
+                lines.append(line.planned.id())
+                        .append(' ')
+                        .append(line.planned.key())
+                        .append('\n');
             }
         }
         ByteBuf out = allocator.directBuffer(MULTI_GET_HEAD_BYTES + lines.length());
--- a/lab/src/main/java/burlarch/lab/load/RequestSource.java
+++ b/lab/src/main/java/burlarch/lab/load/RequestSource.java
@@ -83,8 +83,18 @@
                             + ", which the file of this load does not have");
                 }
                 String id = Mix.id(Draw.mix(plan.seed() * 31L + Draw.mix(requests.size() + 1)));
-                requests.add(new PlannedRequest(r.dueNanos(), id, requestClass, tenant, r.key(), r.write(),
-                        r.timeoutMs(), r.costMicros(), r.bodyBytes(), 0, 0));
+                requests.add(new PlannedRequest(
+                        r.dueNanos(),
+                        id,
+                        requestClass,
+                        tenant,
+                        r.key(),
+                        r.write(),
+                        r.timeoutMs(),
+                        r.costMicros(),
+                        r.bodyBytes(),
+                        0,
+                        0));
             }
         }
         return new RequestSource() {
@@ -118,10 +128,15 @@
         try (TraceWriter writer = new TraceWriter(Files.newOutputStream(file), 0)) {
             for (int i = 0; i < source.count(); i++) {
                 PlannedRequest planned = source.request(i);
-                writer.write(new TraceRecord(planned.dueNanos(),
+                writer.write(new TraceRecord(
+                        planned.dueNanos(),
                         plan.classes().get(planned.requestClass()).name(),
-                        plan.tenants().get(planned.tenant()).name(), planned.key(), planned.write(),
-                        planned.timeoutMs(), planned.costMicros(), planned.bodyBytes()));
+                        plan.tenants().get(planned.tenant()).name(),
+                        planned.key(),
+                        planned.write(),
+                        planned.timeoutMs(),
+                        planned.costMicros(),
+                        planned.bodyBytes()));
             }
         }
     }
--- a/lab/src/main/java/burlarch/lab/load/Schedule.java
+++ b/lab/src/main/java/burlarch/lab/load/Schedule.java
@@ -14,8 +14,7 @@
     /** The rate is taken as constant within such a stretch. */
     private static final double STRETCH_S = 0.001;
 
-    private Schedule() {
-    }
+    private Schedule() {}
 
     /**
      * @return nanoseconds from the start, ascending
--- a/overload/src/main/java/burlarch/overload/OwnLoad.java
+++ b/overload/src/main/java/burlarch/overload/OwnLoad.java
@@ -30,6 +30,7 @@
     static final double PART_LEAST = 0.02;
     /** Shares of the ranks follow arrivals within about this many intervals. */
     private static final double SHARE_GAIN = 0.3;
+
     private static final long RETRY_LEAST_NANOS = 200_000_000L;
     /** Steps of the golden ratio lie evenly, however many: refused clients come back apart. */
     private static final double SPREAD_STEP = 0.6180339887498949;
@@ -38,6 +39,7 @@
     private final double[] worths;
     /** By rank, the most worthy first: arrivals of this interval, their part of all, and what is saved up. */
     private final double[] arrivals;
+
     private final double[] shares;
     private final double[] credit;
     private long lastBeatNanos;
--- a/overload/src/test/java/burlarch/overload/OwnLoadTest.java
+++ b/overload/src/test/java/burlarch/overload/OwnLoadTest.java
@@ -19,7 +19,7 @@
 
     /** Beats that are all late by so much, for a span. */
     private void lags(long lagNanos, long spanNanos) {
-        for (long until = nowNanos + spanNanos; nowNanos < until;) {
+        for (long until = nowNanos + spanNanos; nowNanos < until; ) {
             nowNanos += BEAT + lagNanos;
             load.beat(nowNanos);
         }
--- a/proxy/src/main/java/burlarch/proxy/AnswerDecoder.java
+++ b/proxy/src/main/java/burlarch/proxy/AnswerDecoder.java
@@ -31,7 +31,8 @@
     @Override
     protected boolean isContentAlwaysEmpty(HttpMessage head) {
         boolean empty = super.isContentAlwaysEmpty(head);
-        if (!empty && !head.headers().contains(HttpHeaderNames.CONTENT_LENGTH)
+        if (!empty
+                && !head.headers().contains(HttpHeaderNames.CONTENT_LENGTH)
                 && !HttpUtil.isTransferEncodingChunked(head)) {
             throw new IllegalArgumentException("an answer without its length");
         }
--- a/proxy/src/main/java/burlarch/proxy/BodyBudget.java
+++ b/proxy/src/main/java/burlarch/proxy/BodyBudget.java
@@ -7,6 +7,7 @@
 final class BodyBudget {
     /** A body's most bytes by the protocol; some sites have longer ones. */
     static final int ORDINARY = 64 * 1024;
+
     static final int LARGEST = 1 << 20;
     /** Twenty of the longest that were seen. */
     static final int BEYOND_MOST = 4 << 20;
--- a/proxy/src/main/java/burlarch/proxy/BodyCollector.java
+++ b/proxy/src/main/java/burlarch/proxy/BodyCollector.java
@@ -18,6 +18,7 @@
     final BodyBudget budget;
     /** Bytes of the body that is not whole yet. */
     private int partBytes;
+
     private boolean inBody;
     private boolean discards;
 
@@ -41,12 +42,13 @@
     }
 
     @Override
-    protected void decode(ChannelHandlerContext context, HttpObject message, List<Object> out)
-            throws Exception {
+    protected void decode(ChannelHandlerContext context, HttpObject message, List<Object> out) throws Exception {
         if (discards) {
             return;
         }
-        if (!inBody || !(message instanceof HttpContent content) || !content.content().isReadable()) {
+        if (!inBody
+                || !(message instanceof HttpContent content)
+                || !content.content().isReadable()) {
             super.decode(context, message, out);
             return;
         }
@@ -63,8 +65,8 @@
     /** On the heap, as a slice would hold the whole direct buffer of its read while the body is open. */
     HttpContent kept(HttpContent content) {
         ByteBuf bytes = Unpooled.copiedBuffer(content.content());
-        HttpContent copy = content instanceof LastHttpContent ? new DefaultLastHttpContent(bytes)
-                : new DefaultHttpContent(bytes);
+        HttpContent copy =
+                content instanceof LastHttpContent ? new DefaultLastHttpContent(bytes) : new DefaultHttpContent(bytes);
         copy.setDecoderResult(content.decoderResult());
         return copy;
     }
--- a/proxy/src/main/java/burlarch/proxy/ClientConnection.java
+++ b/proxy/src/main/java/burlarch/proxy/ClientConnection.java
@@ -32,11 +32,15 @@
     static final long SLOW_NANOS = TimeUnit.SECONDS.toNanos(2);
 
     /** What a connection is doing, in the order in which one may be given up for a new one. */
-    enum Use { SILENT, IDLE, PART, BUSY }
+    enum Use {
+        SILENT,
+        IDLE,
+        PART,
+        BUSY
+    }
 
     /** A request, or a rejection in its place, and when it was read. */
-    private record Read(Object message, long nanos) {
-    }
+    private record Read(Object message, long nanos) {}
 
     private final ClientListener listener;
     private final RequestHandler handler;
@@ -51,17 +55,25 @@
     private long freeSinceNanos;
     /** When it was last decided to read no more for a while. */
     private long pausedNanos = Long.MIN_VALUE;
+
     private boolean asked;
     private boolean busy;
     /** Whether an answer is on its way to the client: the next request has its turn once that is out. */
     private boolean writing;
+
     private boolean keepAlive;
     private boolean closing;
     /** Gives up the request in hand; null while there is none. */
     private Runnable leave;
 
-    ClientConnection(ClientListener listener, RequestHandler handler, ProxyClock clock, Channel channel,
-            RequestDecoder decoder, RequestCollector collector, BodyBudget budget) {
+    ClientConnection(
+            ClientListener listener,
+            RequestHandler handler,
+            ProxyClock clock,
+            Channel channel,
+            RequestDecoder decoder,
+            RequestCollector collector,
+            BodyBudget budget) {
         super(false);
         this.listener = listener;
         this.handler = handler;
@@ -104,8 +116,7 @@
             return;
         }
         // From the answer before it, as a part that came during that had no turn yet.
-        long sinceNanos = asked ? Math.max(freeSinceNanos, decoder.partSinceNanos(freeSinceNanos))
-                : freeSinceNanos;
+        long sinceNanos = asked ? Math.max(freeSinceNanos, decoder.partSinceNanos(freeSinceNanos)) : freeSinceNanos;
         if (nowNanos - sinceNanos >= SLOW_NANOS) {
             busy = true;
             reject(HttpResponseStatus.REQUEST_TIMEOUT);
@@ -142,8 +153,7 @@
             try {
                 if (message instanceof Rejection rejection) {
                     reject(rejection.status);
-                } else if (read.nanos <= pausedNanos
-                        && clock.nowNanos() - read.nanos > UNSEEN_MOST_NANOS) {
+                } else if (read.nanos <= pausedNanos && clock.nowNanos() - read.nanos > UNSEEN_MOST_NANOS) {
                     keepAlive = HttpUtil.isKeepAlive((FullHttpRequest) message);
                     refused(0, false);
                 } else {
@@ -167,8 +177,7 @@
             RequestReader.checkFraming(request);
             if (request.uri().equals("/_health")) {
                 boolean get = request.method().equals(HttpMethod.GET);
-                failed(!get ? HttpResponseStatus.METHOD_NOT_ALLOWED.code()
-                        : listener.takesMore() ? 200 : 503);
+                failed(!get ? HttpResponseStatus.METHOD_NOT_ALLOWED.code() : listener.takesMore() ? 200 : 503);
                 return;
             }
             Runnable givesUp = handler.handle(request, readNanos, this);
@@ -197,8 +206,7 @@
     public void refused(long retryAfterNanos, boolean unanswered) {
         FullHttpResponse response = response(HttpResponseStatus.TOO_MANY_REQUESTS, Unpooled.EMPTY_BUFFER);
         if (retryAfterNanos > 0) {
-            response.headers().set(HttpHeaderNames.RETRY_AFTER,
-                    Headers.seconds(retryAfterNanos));
+            response.headers().set(HttpHeaderNames.RETRY_AFTER, Headers.seconds(retryAfterNanos));
         }
         write(response);
     }
--- a/proxy/src/main/java/burlarch/proxy/ClientListener.java
+++ b/proxy/src/main/java/burlarch/proxy/ClientListener.java
@@ -34,21 +34,27 @@
     private final RequestReader reader;
     private final BooleanSupplier ready;
     private final int connectionsMost;
-    private final BodyBudget budget =
-            new BodyBudget(RequestCollector.HELD_MOST, BodyBudget.BEYOND_MOST);
+    private final BodyBudget budget = new BodyBudget(RequestCollector.HELD_MOST, BodyBudget.BEYOND_MOST);
     private final BodyBudget answers;
     /** In the order of their opening. */
     private final Set<ClientConnection> connections = new LinkedHashSet<>();
+
     private final List<Channel> servers = new ArrayList<>();
     private boolean sweeping;
     private boolean draining;
     private boolean ending;
     /** How many connections have been accepted. */
     private long accepted;
+
     private Runnable whenEnded;
 
-    ClientListener(EventLoop loop, ProxyClock clock, RequestTable table, BooleanSupplier ready,
-            LongSupplier lag, int connectionsMost) {
+    ClientListener(
+            EventLoop loop,
+            ProxyClock clock,
+            RequestTable table,
+            BooleanSupplier ready,
+            LongSupplier lag,
+            int connectionsMost) {
         this.loop = loop;
         this.clock = clock;
         this.reader = new RequestReader(clock, table.instance(), lag);
@@ -63,7 +69,9 @@
             sweeping = true;
             loop.scheduleWithFixedDelay(this::endSlow, SWEEP_NANOS, SWEEP_NANOS, TimeUnit.NANOSECONDS);
         }
-        ChannelFuture bound = new ServerBootstrap().group(loop, loop).channel(NioServerSocketChannel.class)
+        ChannelFuture bound = new ServerBootstrap()
+                .group(loop, loop)
+                .channel(NioServerSocketChannel.class)
                 .option(ChannelOption.SO_BACKLOG, BACKLOG)
                 .option(ChannelOption.SO_REUSEADDR, true)
                 .childOption(ChannelOption.TCP_NODELAY, true)
@@ -77,7 +85,8 @@
                             channel.close();
                         }
                     }
-                }).bind(address);
+                })
+                .bind(address);
         servers.add(bound.channel());
         bound.channel().closeFuture().addListener(f -> endFreeInATurn());
         return bound;
@@ -87,8 +96,7 @@
         RequestHandler handler = port.open(channel);
         RequestDecoder decoder = new RequestDecoder(clock);
         RequestCollector collector = new RequestCollector(budget);
-        ClientConnection connection =
-                new ClientConnection(this, handler, clock, channel, decoder, collector, budget);
+        ClientConnection connection = new ClientConnection(this, handler, clock, channel, decoder, collector, budget);
         channel.pipeline().addLast(decoder, new HttpResponseEncoder(), collector, connection);
         connections.add(connection);
     }
@@ -104,8 +112,9 @@
             Use use = connection.use();
             if (use != Use.BUSY
                     && (use != Use.IDLE || nowNanos - connection.freeSinceNanos() >= IDLE_LEAST_NANOS)
-                    && (least == null || use.compareTo(least.use()) < 0 || use == least.use()
-                            && connection.freeSinceNanos() < least.freeSinceNanos())) {
+                    && (least == null
+                            || use.compareTo(least.use()) < 0
+                            || use == least.use() && connection.freeSinceNanos() < least.freeSinceNanos())) {
                 least = connection;
             }
         }
@@ -173,13 +182,16 @@
     }
 
     private void closeServer(long before, int turnsLeft) {
-        loop.schedule(() -> {
-            if (accepted == before || turnsLeft == 0) {
-                servers.forEach(Channel::close);
-            } else {
-                closeServer(accepted, turnsLeft - 1);
-            }
-        }, TURN_MS, TimeUnit.MILLISECONDS);
+        loop.schedule(
+                () -> {
+                    if (accepted == before || turnsLeft == 0) {
+                        servers.forEach(Channel::close);
+                    } else {
+                        closeServer(accepted, turnsLeft - 1);
+                    }
+                },
+                TURN_MS,
+                TimeUnit.MILLISECONDS);
     }
 
     /**
--- a/proxy/src/main/java/burlarch/proxy/DrainTimes.java
+++ b/proxy/src/main/java/burlarch/proxy/DrainTimes.java
@@ -14,6 +14,7 @@
     private static final long ACCEPT_ON_MS = 450;
     /** The platform kills no sooner than the longest deadline, of 3 s at most, and 0.7 s after SIGTERM. */
     private static final long KILL_AFTER_MS = 700;
+
     private static final long LONGEST_DEADLINE_MS = 3000;
     /** Loops at half a core of a busy machine were up to 214 ms behind, at the end of a release. */
     private static final long ANSWERED_BEFORE_MS = 250;
@@ -24,7 +25,6 @@
     static DrainTimes of(long longestMs) {
         long killMs = KILL_AFTER_MS + Math.min(LONGEST_DEADLINE_MS, longestMs);
         long answeredMs = killMs - ANSWERED_BEFORE_MS;
-        return new DrainTimes(ACCEPT_ON_MS, Math.max(ACCEPT_ON_MS, answeredMs - ASKED_BEFORE_MS),
-                answeredMs, killMs);
+        return new DrainTimes(ACCEPT_ON_MS, Math.max(ACCEPT_ON_MS, answeredMs - ASKED_BEFORE_MS), answeredMs, killMs);
     }
 }
--- a/proxy/src/main/java/burlarch/proxy/EntryFramer.java
+++ b/proxy/src/main/java/burlarch/proxy/EntryFramer.java
@@ -28,9 +28,11 @@
     private int length;
     /** How many braces and brackets are open: from the object's start, and from the current line's. */
     private int depth;
+
     private int lineDepth;
     /** Where in the text the current line begins, and whether anything but blanks stands on it. */
     private int lineStart;
+
     private boolean lineBegun;
     private boolean inString;
     private boolean escaped;
--- a/proxy/src/main/java/burlarch/proxy/Features.java
+++ b/proxy/src/main/java/burlarch/proxy/Features.java
@@ -11,8 +11,13 @@
 import java.nio.file.Path;
 
 /** What the command line and the operator's file switch on; {@code hotList} is null without its flag. */
-public record Features(MultiGetSettings multiGet, HotListSettings hotList,
-        StatusSettings status, TlsSettings tls, TraceSettings trace, OwnLoadSettings ownLoad) {
+public record Features(
+        MultiGetSettings multiGet,
+        HotListSettings hotList,
+        StatusSettings status,
+        TlsSettings tls,
+        TraceSettings trace,
+        OwnLoadSettings ownLoad) {
     /** All that the arguments behind {@code serve} may say. */
     record Arguments(boolean hotList, Path config) {
         /** @return null where they are none of these */
@@ -33,8 +38,12 @@
     }
 
     public static Features none() {
-        return new Features(new MultiGetSettings(null, 0), null, new StatusSettings(null, 0),
-                new TlsSettings(null, null, null, "1.2", null, 0), TraceSettings.off(),
+        return new Features(
+                new MultiGetSettings(null, 0),
+                null,
+                new StatusSettings(null, 0),
+                new TlsSettings(null, null, null, "1.2", null, 0),
+                TraceSettings.off(),
                 new OwnLoadSettings(false));
     }
 
@@ -63,8 +72,7 @@
     }
 
     static Features load(Arguments arguments) throws SettingsException {
-        OperatorFile file = arguments.config() == null ? OperatorFile.none()
-                : OperatorFile.load(arguments.config());
+        OperatorFile file = arguments.config() == null ? OperatorFile.none() : OperatorFile.load(arguments.config());
         MultiGetSettings multiGet = MultiGetSettings.read(file.section("multiget"));
         // Read without its flag too: a mistake there should not wait for the day that it is wanted.
         HotListSettings hotList = HotListSettings.read(file.section("hotlist"));
@@ -73,7 +81,6 @@
         TraceSettings trace = TraceSettings.read(file.section("trace"));
         OwnLoadSettings ownLoad = OwnLoadSettings.read(file.section("own_load"));
         file.refuseUnread();
-        return new Features(multiGet, arguments.hotList() ? hotList : null, status, tls, trace,
-                ownLoad);
+        return new Features(multiGet, arguments.hotList() ? hotList : null, status, tls, trace, ownLoad);
     }
 }
--- a/proxy/src/main/java/burlarch/proxy/Headers.java
+++ b/proxy/src/main/java/burlarch/proxy/Headers.java
@@ -12,8 +12,7 @@
     public static final AsciiString IDEMPOTENCY_KEY = AsciiString.cached("Idempotency-Key");
     public static final AsciiString NOT_PROCESSED = AsciiString.cached("X-Not-Processed");
 
-    private Headers() {
-    }
+    private Headers() {}
 
     /**
      * A span as Retry-After has it: in seconds, to the millisecond. Not by a formatter, which loads locales,
--- a/proxy/src/main/java/burlarch/proxy/Log.java
+++ b/proxy/src/main/java/burlarch/proxy/Log.java
@@ -14,8 +14,7 @@
     /** Null while each line is written by its caller. */
     private static LogWriter writer;
 
-    private Log() {
-    }
+    private Log() {}
 
     /** From now on a thread writes: for features with texts so long or many that the loop might stall. */
     static synchronized void inBackground() {
--- a/proxy/src/main/java/burlarch/proxy/LogWriter.java
+++ b/proxy/src/main/java/burlarch/proxy/LogWriter.java
@@ -47,8 +47,7 @@
     /** Returns when all is written, or after that time. */
     void flush(long mostMs) throws InterruptedException {
         long startNanos = System.nanoTime();
-        while ((busy || !waiting.isEmpty())
-                && System.nanoTime() - startNanos < TimeUnit.MILLISECONDS.toNanos(mostMs)) {
+        while ((busy || !waiting.isEmpty()) && System.nanoTime() - startNanos < TimeUnit.MILLISECONDS.toNanos(mostMs)) {
             Thread.sleep(1);
         }
     }
--- a/proxy/src/main/java/burlarch/proxy/LoopLag.java
+++ b/proxy/src/main/java/burlarch/proxy/LoopLag.java
@@ -18,7 +18,7 @@
     private long lastBeatNanos;
     private long beatBeforeNanos;
     private final LongConsumer whenBehind;
-    private LongConsumer listener = beatNanos -> { };
+    private LongConsumer listener = beatNanos -> {};
 
     /** @param whenBehind is told for how long the loop has done nothing else, where that was long */
     LoopLag(EventLoop loop, LongSupplier nowNanos, LongConsumer whenBehind) {
--- a/proxy/src/main/java/burlarch/proxy/MembershipWatch.java
+++ b/proxy/src/main/java/burlarch/proxy/MembershipWatch.java
@@ -79,15 +79,15 @@
     private final NodeIds ids = new NodeIds();
     /** The version of the list, or -1 where the whole list is wanted. */
     private long generation;
+
     private Stream stream;
     private boolean closed;
     /** Null where nobody is to be told. */
     private Observer observer;
     /** Runs once, with the first list that a watch brings. */
-    private Runnable whenListed = () -> { };
+    private Runnable whenListed = () -> {};
 
-    MembershipWatch(EventLoop loop, ProxyClock clock, InetSocketAddress discovery, RequestTable table,
-            NodePool nodes) {
+    MembershipWatch(EventLoop loop, ProxyClock clock, InetSocketAddress discovery, RequestTable table, NodePool nodes) {
         this.loop = loop;
         this.clock = clock;
         this.discovery = discovery;
@@ -157,8 +157,11 @@
             Server server = server(entry);
             servers.add(server);
             if (observer != null) {
-                members.add(new Member(server.id(), entry.get("instanceId").text(""),
-                        entry.get("hostPort").text(""), entry.get("lifecycle").text("")));
+                members.add(new Member(
+                        server.id(),
+                        entry.get("instanceId").text(""),
+                        entry.get("hostPort").text(""),
+                        entry.get("lifecycle").text("")));
             }
             if (server.stage() == Stage.OUT) {
                 gone.add(server.id());
@@ -185,13 +188,18 @@
         if (name.isEmpty()) {
             throw new IOException("an entry without instanceId");
         }
-        Stage stage = switch (entry.get("lifecycle").text("")) {
-            case "SERVING" -> Stage.IN;
-            case "DELETED" -> Stage.OUT;
-            default -> Stage.LAME;
-        };
-        return new Server(ids.of(name), clock.bootNanos(entry.get("startedAtMs").integer(0)),
-                Math.max(1e-9, entry.get("weight").number(1)), (int) entry.get("cell").integer(0), stage,
+        Stage stage =
+                switch (entry.get("lifecycle").text("")) {
+                    case "SERVING" -> Stage.IN;
+                    case "DELETED" -> Stage.OUT;
+                    default -> Stage.LAME;
+                };
+        return new Server(
+                ids.of(name),
+                clock.bootNanos(entry.get("startedAtMs").integer(0)),
+                Math.max(1e-9, entry.get("weight").number(1)),
+                (int) entry.get("cell").integer(0),
+                stage,
                 Instance.number(instance.models, entry.get("machineType").text(null)),
                 Instance.number(instance.zones, entry.get("zone").text(null)));
     }
@@ -209,7 +217,7 @@
             Json list = Json.parse(text.getBytes(StandardCharsets.UTF_8));
             apply(list, list.get("reset").flag(false) ? ListKind.REPLACE : ListKind.UPDATE);
             Runnable action = whenListed;
-            whenListed = () -> { };
+            whenListed = () -> {};
             action.run();
         } catch (IOException | RuntimeException e) {
             skipped(String.valueOf(e.getMessage()).lines().findFirst().orElse(""));
@@ -229,7 +237,9 @@
 
         void open() {
             patience(ANSWER_NANOS);
-            ChannelFuture connect = new Bootstrap().group(loop).channel(NioSocketChannel.class)
+            ChannelFuture connect = new Bootstrap()
+                    .group(loop)
+                    .channel(NioSocketChannel.class)
                     .option(ChannelOption.TCP_NODELAY, true)
                     .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, CONNECT_MS)
                     .handler(new ChannelInitializer<Channel>() {
@@ -237,7 +247,8 @@
                         protected void initChannel(Channel c) {
                             c.pipeline().addLast(new HttpClientCodec(), new ChunkReader(), new ListReader());
                         }
-                    }).connect(address);
+                    })
+                    .connect(address);
             channel = connect.channel();
             connect.addListener(f -> {
                 if (f.isSuccess()) {
@@ -249,7 +260,9 @@
         }
 
         private void ask() {
-            DefaultFullHttpRequest request = new DefaultFullHttpRequest(HttpVersion.HTTP_1_1, HttpMethod.GET,
+            DefaultFullHttpRequest request = new DefaultFullHttpRequest(
+                    HttpVersion.HTTP_1_1,
+                    HttpMethod.GET,
                     "/catalog/members?stream=1" + (generation < 0 ? "" : "&index=" + generation),
                     Unpooled.EMPTY_BUFFER);
             request.headers().set(HttpHeaderNames.HOST, NodeMessages.hostHeader(address));
@@ -267,9 +280,12 @@
             if (silence != null) {
                 silence.cancel(false);
             }
-            silence = loop.schedule(() -> {
-                silence = loop.schedule(() -> end("silent"), UNREAD_NANOS, TimeUnit.NANOSECONDS);
-            }, nanos, TimeUnit.NANOSECONDS);
+            silence = loop.schedule(
+                    () -> {
+                        silence = loop.schedule(() -> end("silent"), UNREAD_NANOS, TimeUnit.NANOSECONDS);
+                    },
+                    nanos,
+                    TimeUnit.NANOSECONDS);
         }
 
         /** @param why for the log; null when this proxy ends it */
@@ -296,7 +312,8 @@
             @Override
             public void channelRead(ChannelHandlerContext context, Object message) {
                 if (message instanceof HttpResponse response
-                        && (response.status().code() != 200 || response.decoderResult().isFailure())) {
+                        && (response.status().code() != 200
+                                || response.decoderResult().isFailure())) {
                     end("answered " + response.status().code());
                 } else if (message instanceof HttpResponse) {
                     heard();
@@ -323,8 +340,7 @@
         }
 
         /** Takes the body apart; what one read holds counts in its order. */
-        private final class ListReader extends SimpleChannelInboundHandler<ByteBuf>
-                implements EntryFramer.Sink {
+        private final class ListReader extends SimpleChannelInboundHandler<ByteBuf> implements EntryFramer.Sink {
             private final EntryFramer framer = new EntryFramer(LONGEST_LIST, this);
 
             @Override
--- a/proxy/src/main/java/burlarch/proxy/NodeMessages.java
+++ b/proxy/src/main/java/burlarch/proxy/NodeMessages.java
@@ -14,14 +14,14 @@
 
 /** The form of what goes to a node, and what its answers mean. */
 final class NodeMessages {
-    private NodeMessages() {
-    }
+    private NodeMessages() {}
 
     /** @param leftNanos how long the proxy will wait for the answer */
     static FullHttpRequest request(UpstreamRequest request, InetSocketAddress address, long leftNanos) {
-        FullHttpRequest message = new DefaultFullHttpRequest(HttpVersion.HTTP_1_1, request.method(),
-                request.uri(), Unpooled.wrappedBuffer(request.body()));
-        message.headers().set(HttpHeaderNames.HOST, hostHeader(address))
+        FullHttpRequest message = new DefaultFullHttpRequest(
+                HttpVersion.HTTP_1_1, request.method(), request.uri(), Unpooled.wrappedBuffer(request.body()));
+        message.headers()
+                .set(HttpHeaderNames.HOST, hostHeader(address))
                 .set(Headers.REQUEST_ID, request.requestId())
                 .set(Headers.TIMEOUT_MS, Math.max(1, TimeUnit.NANOSECONDS.toMillis(leftNanos)));
         if (request.idempotencyKey() != null) {
@@ -43,7 +43,8 @@
             case 200 -> Outcome.GOOD;
             case 404 -> Outcome.MISS;
             case 503, 504 -> "1".equals(response.headers().get(Headers.NOT_PROCESSED))
-                    ? first && !HttpUtil.isKeepAlive(response) ? Outcome.CROWDED : Outcome.FULL : Outcome.BAD;
+                    ? first && !HttpUtil.isKeepAlive(response) ? Outcome.CROWDED : Outcome.FULL
+                    : Outcome.BAD;
             default -> Outcome.BAD;
         };
     }
--- a/proxy/src/main/java/burlarch/proxy/NodePool.java
+++ b/proxy/src/main/java/burlarch/proxy/NodePool.java
@@ -37,6 +37,7 @@
 final class NodePool {
     /** Connects to one node at a time: each costs it work that waiting calls would rather have done. */
     private static final int CONNECTS_AT_ONCE = 4;
+
     private static final long SWEEP_NANOS = TimeUnit.MILLISECONDS.toNanos(500);
     /**
      * How long a connection rests after an answer before it is given the next call. A second answer that
@@ -68,17 +69,18 @@
     }
 
     /** Where discovery says that a node listens, and whether it takes new requests. */
-    record Endpoint(long id, InetSocketAddress address, boolean serving) {
-    }
+    record Endpoint(long id, InetSocketAddress address, boolean serving) {}
 
     private static final class Node {
         Endpoint endpoint;
         /** Idle connections, the one used last at the end. */
         final ArrayDeque<Connection> idle = new ArrayDeque<>();
+
         final ArrayDeque<Call> waiting = new ArrayDeque<>();
         int connecting;
         /** How long idle connections are kept where the node's places are short. */
         long spareNanos = Long.MAX_VALUE;
+
         ScheduledFuture<?> trimmer;
 
         Node(Endpoint endpoint) {
@@ -115,18 +117,19 @@
         this.limits = limits;
         // Clearly before the node does: what is written to a connection that it has just closed may have run.
         this.idleCloseNanos = Math.min(limits.idleCloseNanos() / 2, TimeUnit.SECONDS.toNanos(6));
-        this.bootstrap = new Bootstrap().group(loop).channel(NioSocketChannel.class)
+        this.bootstrap = new Bootstrap()
+                .group(loop)
+                .channel(NioSocketChannel.class)
                 .option(ChannelOption.TCP_NODELAY, true)
-                .option(ChannelOption.CONNECT_TIMEOUT_MILLIS,
-                        (int) Math.max(1, TimeUnit.NANOSECONDS.toMillis(limits.connectTimeoutNanos())))
+                .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, (int)
+                        Math.max(1, TimeUnit.NANOSECONDS.toMillis(limits.connectTimeoutNanos())))
                 .handler(new ChannelInitializer<Channel>() {
                     @Override
                     protected void initChannel(Channel channel) {
                         // Its handlers come with its node, once it is up: see add.
                     }
                 });
-        this.sweeper =
-                loop.scheduleWithFixedDelay(this::sweep, SWEEP_NANOS, SWEEP_NANOS, TimeUnit.NANOSECONDS);
+        this.sweeper = loop.scheduleWithFixedDelay(this::sweep, SWEEP_NANOS, SWEEP_NANOS, TimeUnit.NANOSECONDS);
     }
 
     /**
@@ -152,8 +155,9 @@
     /** @param complete whether nodes that are not among the endpoints are gone */
     void update(Collection<Endpoint> endpoints, Collection<Long> gone, boolean complete) {
         if (complete) {
-            for (Long id : nodes.keySet().stream().filter(id ->
-                    endpoints.stream().noneMatch(endpoint -> endpoint.id() == id)).toList()) {
+            for (Long id : nodes.keySet().stream()
+                    .filter(id -> endpoints.stream().noneMatch(endpoint -> endpoint.id() == id))
+                    .toList()) {
                 remove(id);
             }
         }
@@ -197,14 +201,13 @@
         call.waitsAt = node;
         node.waiting.add(call);
         long waitNanos = Math.min(limits.connectTimeoutNanos(), call.giveUpAtNanos - clock.nowNanos());
-        call.timer = loop.schedule(() -> end(call, Outcome.NOCONN, null, null), waitNanos,
-                TimeUnit.NANOSECONDS);
+        call.timer = loop.schedule(() -> end(call, Outcome.NOCONN, null, null), waitNanos, TimeUnit.NANOSECONDS);
         connectForWaiting(node);
     }
 
     /** The rested connection that was used last. */
     private static Connection takeIdle(Node node) {
-        for (Iterator<Connection> i = node.idle.descendingIterator(); i.hasNext();) {
+        for (Iterator<Connection> i = node.idle.descendingIterator(); i.hasNext(); ) {
             Connection connection = i.next();
             if (!connection.channel.isActive()) {
                 i.remove();
@@ -252,7 +255,8 @@
         if (node.waiting.isEmpty()) {
             return;
         }
-        int resting = (int) node.idle.stream().filter(connection -> connection.resting).count();
+        int resting = (int)
+                node.idle.stream().filter(connection -> connection.resting).count();
         while (node.connecting < Math.min(CONNECTS_AT_ONCE, node.waiting.size() - resting) && hasRoom()) {
             node.connecting++;
             open++;
@@ -269,8 +273,10 @@
             return true;
         }
         Connection least = lingering.stream().findFirst().orElseGet(() -> nodes.values().stream()
-                .map(node -> node.idle.peek()).filter(c -> c != null)
-                .min(Comparator.comparingLong(c -> c.idleSinceNanos)).orElse(null));
+                .map(node -> node.idle.peek())
+                .filter(c -> c != null)
+                .min(Comparator.comparingLong(c -> c.idleSinceNanos))
+                .orElse(null));
         if (least != null) {
             least.node.idle.remove(least);
             lingering.remove(least);
@@ -305,8 +311,8 @@
 
     private void add(Node node, InetSocketAddress address, Channel channel) {
         Connection connection = new Connection(node, address, channel);
-        channel.pipeline().addLast(new HttpRequestEncoder(), connection.decoder,
-                new AnswerCollector(answers), connection);
+        channel.pipeline()
+                .addLast(new HttpRequestEncoder(), connection.decoder, new AnswerCollector(answers), connection);
         connection.free();
     }
 
@@ -353,10 +359,13 @@
             node.idle.poll().channel.close();
         }
         if (!node.idle.isEmpty() && node.trimmer == null) {
-            node.trimmer = loop.schedule(() -> {
-                node.trimmer = null;
-                trim(node);
-            }, node.idle.peek().idleSinceNanos + node.spareNanos - nowNanos, TimeUnit.NANOSECONDS);
+            node.trimmer = loop.schedule(
+                    () -> {
+                        node.trimmer = null;
+                        trim(node);
+                    },
+                    node.idle.peek().idleSinceNanos + node.spareNanos - nowNanos,
+                    TimeUnit.NANOSECONDS);
         }
     }
 
@@ -369,7 +378,7 @@
     private void sweep() {
         long nowNanos = clock.nowNanos();
         for (Node node : nodes.values()) {
-            for (Iterator<Connection> i = node.idle.iterator(); i.hasNext();) {
+            for (Iterator<Connection> i = node.idle.iterator(); i.hasNext(); ) {
                 Connection connection = i.next();
                 if (nowNanos - connection.idleSinceNanos >= idleCloseNanos) {
                     i.remove();
@@ -388,14 +397,17 @@
         Call call;
         /** Whether an answer has come in this read, and whether the connection is good for another call. */
         boolean answered;
+
         boolean reusable;
         /** Whether its node has answered on it before. */
         boolean proven;
         /** Whether the last byte of the call's request has been written. */
         boolean written;
+
         boolean awaitsAnswer;
         /** Whether it stands idle only so that what comes behind its answer is seen. */
         boolean resting;
+
         long idleSinceNanos;
         ScheduledFuture<?> lingerTimer;
 
@@ -406,8 +418,7 @@
         }
 
         private boolean isOfUse() {
-            return channel.isActive() && node.endpoint.serving()
-                    && address.equals(node.endpoint.address());
+            return channel.isActive() && node.endpoint.serving() && address.equals(node.endpoint.address());
         }
 
         private void discard() {
@@ -424,8 +435,10 @@
             resting = true;
             idleSinceNanos = clock.nowNanos();
             node.idle.add(this);
-            loop.schedule(() -> loop.schedule(this::rested, REST_TURN_NANOS, TimeUnit.NANOSECONDS),
-                    restNanos, TimeUnit.NANOSECONDS);
+            loop.schedule(
+                    () -> loop.schedule(this::rested, REST_TURN_NANOS, TimeUnit.NANOSECONDS),
+                    restNanos,
+                    TimeUnit.NANOSECONDS);
             trim(node);
         }
 
@@ -468,16 +481,19 @@
             next.connection = this;
             written = false;
             awaitsAnswer = true;
-            next.timer = loop.schedule(() -> end(next, written ? Outcome.LATE : Outcome.NOCONN, null, null),
-                    leftNanos, TimeUnit.NANOSECONDS);
-            channel.writeAndFlush(NodeMessages.request(next.request, address, leftNanos)).addListener(f -> {
-                if (f.isSuccess()) {
-                    written = true;
-                } else {
-                    channel.close();
-                    end(next, Outcome.NOCONN, null, null);
-                }
-            });
+            next.timer = loop.schedule(
+                    () -> end(next, written ? Outcome.LATE : Outcome.NOCONN, null, null),
+                    leftNanos,
+                    TimeUnit.NANOSECONDS);
+            channel.writeAndFlush(NodeMessages.request(next.request, address, leftNanos))
+                    .addListener(f -> {
+                        if (f.isSuccess()) {
+                            written = true;
+                        } else {
+                            channel.close();
+                            end(next, Outcome.NOCONN, null, null);
+                        }
+                    });
         }
 
         /**
@@ -508,7 +524,8 @@
         @Override
         protected void channelRead0(ChannelHandlerContext context, FullHttpResponse response) {
             boolean spoilt = response.decoderResult().isFailure();
-            if (!spoilt && response.status().codeClass() == HttpStatusClass.INFORMATIONAL
+            if (!spoilt
+                    && response.status().codeClass() == HttpStatusClass.INFORMATIONAL
                     && response.status().code() != HttpResponseStatus.SWITCHING_PROTOCOLS.code()) {
                 return;
             }
--- a/proxy/src/main/java/burlarch/proxy/OpenIds.java
+++ b/proxy/src/main/java/burlarch/proxy/OpenIds.java
@@ -14,16 +14,16 @@
     private static final long KEPT_NANOS = TimeUnit.SECONDS.toNanos(5);
     private static final int KEPT_MOST = 8192;
 
-    private record Over(String id, long untilNanos) {
-    }
+    private record Over(String id, long untilNanos) {}
 
     private final Set<String> ids = new HashSet<>();
     /** In the order of their ends. */
     private final ArrayDeque<Over> over = new ArrayDeque<>();
 
     boolean holds(String id, long nowNanos) {
-        for (Over first = over.peek(); first != null
-                && (nowNanos >= first.untilNanos || over.size() > KEPT_MOST); first = over.peek()) {
+        for (Over first = over.peek();
+                first != null && (nowNanos >= first.untilNanos || over.size() > KEPT_MOST);
+                first = over.peek()) {
             ids.remove(over.poll().id);
         }
         return ids.contains(id);
--- a/proxy/src/main/java/burlarch/proxy/ProxyClock.java
+++ b/proxy/src/main/java/burlarch/proxy/ProxyClock.java
@@ -25,8 +25,8 @@
         if (startedAtMs <= 0) {
             return 0;
         }
-        long sinceOriginMs = Math.max(-TimeUnit.DAYS.toMillis(3000),
-                Math.min(TimeUnit.DAYS.toMillis(3000), startedAtMs - originWallMs));
+        long sinceOriginMs = Math.max(
+                -TimeUnit.DAYS.toMillis(3000), Math.min(TimeUnit.DAYS.toMillis(3000), startedAtMs - originWallMs));
         return START_NANOS + TimeUnit.MILLISECONDS.toNanos(sinceOriginMs);
     }
 }
--- a/proxy/src/main/java/burlarch/proxy/ProxyConfig.java
+++ b/proxy/src/main/java/burlarch/proxy/ProxyConfig.java
@@ -11,8 +11,14 @@
 import java.util.Map;
 
 /** What the deployment tells this proxy. */
-public record ProxyConfig(String name, InetSocketAddress listen, InetSocketAddress discovery, long seed,
-        int sockets, Json known, Json settings) {
+public record ProxyConfig(
+        String name,
+        InetSocketAddress listen,
+        InetSocketAddress discovery,
+        long seed,
+        int sockets,
+        Json known,
+        Json settings) {
     /** Descriptors that the platform grants at least. */
     static final int SOCKETS_LEAST = 256;
 
@@ -42,11 +48,14 @@
         if (!settings.isObject() || settings.get("request_classes").items().isEmpty()) {
             throw new ConfigException(file + ": settings with request_classes are missing");
         }
-        return new ProxyConfig(json.get("name").text(environment.getOrDefault("EDGE_NAME", "proxy")),
+        return new ProxyConfig(
+                json.get("name").text(environment.getOrDefault("EDGE_NAME", "proxy")),
                 address(file, json, "listen", environment.get("EDGE_LISTEN")),
                 address(file, json, "discovery", environment.get("EDGE_DISCOVERY")),
                 WireHost.digest(json.get("seed").text("")),
-                (int) json.get("limits").get("sockets").integer(SOCKETS_LEAST), json.get("known"), settings);
+                (int) json.get("limits").get("sockets").integer(SOCKETS_LEAST),
+                json.get("known"),
+                settings);
     }
 
     private static InetSocketAddress address(String file, Json json, String field, String otherwise)
--- a/proxy/src/main/java/burlarch/proxy/ProxyMain.java
+++ b/proxy/src/main/java/burlarch/proxy/ProxyMain.java
@@ -46,6 +46,7 @@
     private static final long FLUSH_MS = 100;
     /** As Linux counts them. */
     private static final int SIGUSR1 = 10;
+
     private static final int SIGURG = 23;
 
     /**
@@ -62,8 +63,8 @@
         InternalLoggerFactory.setDefaultFactory(JdkLoggerFactory.INSTANCE);
     }
 
-    private final EventLoopGroup group = new MultiThreadIoEventLoopGroup(1,
-            new DefaultThreadFactory("burlarch-loop"), NioIoHandler.newFactory());
+    private final EventLoopGroup group =
+            new MultiThreadIoEventLoopGroup(1, new DefaultThreadFactory("burlarch-loop"), NioIoHandler.newFactory());
     private final EventLoop loop = group.next();
     private final ProxyClock clock = new ProxyClock();
     private final Features features;
@@ -71,14 +72,17 @@
     private final TlsPort tls;
     /** Where requests are recorded; null where they are not. */
     private final TraceRecorder.Sink traceSink;
+
     private volatile TraceRecorder trace;
     private RequestTable table;
     private ClientListener clients;
     /** Null where there is none. */
     private volatile HotList hotList;
+
     private volatile StatusPage statusPage;
     /** Where the ports beside the plain one are bound, by the names of their settings. */
     private final Map<String, SocketAddress> sidePorts = new ConcurrentHashMap<>();
+
     private MembershipWatch watch;
     private boolean ready;
     private final AtomicInteger reloads = new AtomicInteger();
@@ -127,8 +131,7 @@
         }
     }
 
-    private static void signal(SignalCommand command, String[] args)
-            throws IOException, InterruptedException {
+    private static void signal(SignalCommand command, String[] args) throws IOException, InterruptedException {
         Optional<String> wrong = command.run(args);
         if (wrong.isPresent()) {
             exit(wrong.get());
@@ -203,11 +206,11 @@
         if (traceSink != null) {
             record();
         }
-        watch = new MembershipWatch(loop, clock,
-                reloadedDiscovery == null ? config.discovery() : reloadedDiscovery, table, nodes);
+        watch = new MembershipWatch(
+                loop, clock, reloadedDiscovery == null ? config.discovery() : reloadedDiscovery, table, nodes);
         if (features.status().port() != null) {
-            StatusBoard board = new StatusBoard(StatusPage.version(), classNames(), clock::nowNanos,
-                    System::currentTimeMillis);
+            StatusBoard board =
+                    new StatusBoard(StatusPage.version(), classNames(), clock::nowNanos, System::currentTimeMillis);
             table.observe(board);
             watch.observe(board);
             statusPage = new StatusPage(board, loop);
@@ -218,8 +221,10 @@
             watch.start();
         }
         // Answers that such a time holds up may be too late: the log has to tell why.
-        LoopLag lag = new LoopLag(loop, clock::nowNanos, behindNanos ->
-                Log.line("the loop was " + TimeUnit.NANOSECONDS.toMillis(behindNanos) + " ms behind"));
+        LoopLag lag = new LoopLag(
+                loop,
+                clock::nowNanos,
+                behindNanos -> Log.line("the loop was " + TimeUnit.NANOSECONDS.toMillis(behindNanos) + " ms behind"));
         LoadGate gate = null;
         if (features.ownLoad().on()) {
             gate = new LoadGate(clock.nowNanos(), LoopLag.BEAT_NANOS, table.instance().settings, lag::nanos);
@@ -237,8 +242,8 @@
     }
 
     /** Where lists are pushed, what the agent has counts as told from a process's first moment. */
-    private void bindWhenListed(ProxyConfig config, RequestHandler plain,
-            io.netty.util.concurrent.Promise<SocketAddress> bound) {
+    private void bindWhenListed(
+            ProxyConfig config, RequestHandler plain, io.netty.util.concurrent.Promise<SocketAddress> bound) {
         AtomicBoolean begun = new AtomicBoolean();
         Runnable once = () -> {
             if (begun.compareAndSet(false, true)) {
@@ -249,8 +254,7 @@
         loop.schedule(once, FIRST_LIST_MS, TimeUnit.MILLISECONDS);
     }
 
-    private void bind(ProxyConfig config, RequestHandler plain,
-            io.netty.util.concurrent.Promise<SocketAddress> bound) {
+    private void bind(ProxyConfig config, RequestHandler plain, io.netty.util.concurrent.Promise<SocketAddress> bound) {
         bindSidePorts(config.listen().getAddress(), plain, bound);
         clients.bind(config.listen(), channel -> plain).addListener((ChannelFuture f) -> {
             if (!f.isSuccess()) {
@@ -272,39 +276,53 @@
     }
 
     /** Before the plain port, as on the loop one bind ends before the next: it is ready with all or none. */
-    private void bindSidePorts(InetAddress host, RequestHandler plain,
-            io.netty.util.concurrent.Promise<SocketAddress> bound) {
+    private void bindSidePorts(
+            InetAddress host, RequestHandler plain, io.netty.util.concurrent.Promise<SocketAddress> bound) {
         if (statusPage != null) {
-            InetSocketAddress statusAt = new InetSocketAddress(host, features.status().port());
-            sidePort("status.listen_port", statusAt,
-                    statusPage.bind(statusAt, features.status().refreshMs()), bound);
+            InetSocketAddress statusAt =
+                    new InetSocketAddress(host, features.status().port());
+            sidePort(
+                    "status.listen_port",
+                    statusAt,
+                    statusPage.bind(statusAt, features.status().refreshMs()),
+                    bound);
         }
         InetSocketAddress multiGetAt = features.multiGet().listen();
         if (tls != null) {
             tls.start(plain);
-            sidePort("tls.listen", features.tls().listen(), clients.bind(features.tls().listen(), tls),
+            sidePort(
+                    "tls.listen",
+                    features.tls().listen(),
+                    clients.bind(features.tls().listen(), tls),
                     bound);
         }
         if (multiGetAt != null) {
-            MultiGet multiGet = new MultiGet(clients.reader(), table, features.multiGet().maxKeys());
+            MultiGet multiGet =
+                    new MultiGet(clients.reader(), table, features.multiGet().maxKeys());
             sidePort("multiget.listen", multiGetAt, clients.bind(multiGetAt, channel -> multiGet), bound);
         }
     }
 
     /** Settles at once where the bind is over, as on the way to the next bind it must be known. */
-    private void sidePort(String name, SocketAddress address, ChannelFuture binding,
+    private void sidePort(
+            String name,
+            SocketAddress address,
+            ChannelFuture binding,
             io.netty.util.concurrent.Promise<SocketAddress> bound) {
         if (!binding.isDone()) {
             binding.addListener(f -> sidePort(name, address, binding, bound));
         } else if (binding.isSuccess()) {
             sidePorts.put(name, binding.channel().localAddress());
         } else {
-            bound.tryFailure(new IOException(name + " " + address + ": " + binding.cause().getMessage()));
+            bound.tryFailure(new IOException(
+                    name + " " + address + ": " + binding.cause().getMessage()));
         }
     }
 
     private List<String> classNames() {
-        return table.instance().settings.classes().stream().map(RequestClass::name).toList();
+        return table.instance().settings.classes().stream()
+                .map(RequestClass::name)
+                .toList();
     }
 
     /** For tests that keep it busy. */
@@ -415,8 +433,8 @@
         Log.line("draining, " + table.owed() + " requests in hand");
         clients.drain(clock.nowNanos() + TimeUnit.MILLISECONDS.toNanos(times.answeredMs()));
         loop.schedule(this::closeServers, times.closeListenersMs(), TimeUnit.MILLISECONDS);
-        loop.schedule(() -> clients.endConnections(drained::countDown), times.endConnectionsMs(),
-                TimeUnit.MILLISECONDS);
+        loop.schedule(
+                () -> clients.endConnections(drained::countDown), times.endConnectionsMs(), TimeUnit.MILLISECONDS);
         return times;
     }
 }
--- a/proxy/src/main/java/burlarch/proxy/Rehearsal.java
+++ b/proxy/src/main/java/burlarch/proxy/Rehearsal.java
@@ -8,7 +8,6 @@
 import java.net.InetSocketAddress;
 import java.net.ServerSocket;
 import java.net.Socket;
-import java.net.SocketException;
 import java.nio.charset.StandardCharsets;
 import java.util.ArrayList;
 import java.util.List;
@@ -21,9 +20,11 @@
 final class Rehearsal implements AutoCloseable {
     /** Requests of each kind; few, as it is loaded and not compiled here. */
     private static final int ROUNDS = 40;
+
     private static final String MISS_KEY = "miss", SILENT_KEY = "silent", RESET_KEY = "reset";
     /** The least that the module needs: classes, a tenant and the origin's kind. */
-    private static final String SETTINGS = """
+    private static final String SETTINGS =
+            """
             {"replicas_of_me":1,"membership_mode":"on_request","quantum_ns":5000000,"request_classes":[
             {"name":"read","aim_ns":300000000,"deadline_ns":600000000,"repeat":"pure","worth":1},
             {"name":"pay","aim_ns":300000000,"deadline_ns":600000000,"repeat":"token","key_scope":"all",
@@ -42,9 +43,15 @@
         for (int i = 0; i < 3; i++) {
             boolean origin = i == 2;
             ServerSocket node = listen(request -> answer(request, origin));
-            instances.append(i == 0 ? "" : ",").append("{\"instanceId\":\"s-").append(i)
-                    .append("\",\"hostPort\":\"").append(node.getInetAddress().getHostAddress()).append(':')
-                    .append(node.getLocalPort()).append("\",\"zone\":\"a\",\"machineType\":\"")
+            instances
+                    .append(i == 0 ? "" : ",")
+                    .append("{\"instanceId\":\"s-")
+                    .append(i)
+                    .append("\",\"hostPort\":\"")
+                    .append(node.getInetAddress().getHostAddress())
+                    .append(':')
+                    .append(node.getLocalPort())
+                    .append("\",\"zone\":\"a\",\"machineType\":\"")
                     .append(origin ? "origin" : "cache")
                     .append("\",\"cell\":0,\"lifecycle\":\"SERVING\",\"weight\":1.0,\"startedAtMs\":0}");
         }
@@ -57,12 +64,16 @@
 
     ProxyConfig config() throws IOException {
         ServerSocket discovery = listen(request -> request.contains("stream=1")
-                ? "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
-                        + Integer.toHexString(list.length() + 1) + "\r\n" + list + "\n\r\n1\r\n\n\r\n"
+                ? "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" + Integer.toHexString(list.length() + 1)
+                        + "\r\n" + list + "\n\r\n1\r\n\n\r\n"
                 : "HTTP/1.1 200 OK\r\nContent-Length: " + list.length() + "\r\n\r\n" + list);
         InetAddress loopback = InetAddress.getLoopbackAddress();
-        return new ProxyConfig("rehearsal", new InetSocketAddress(loopback, 0),
-                (InetSocketAddress) discovery.getLocalSocketAddress(), 1, ProxyConfig.SOCKETS_LEAST,
+        return new ProxyConfig(
+                "rehearsal",
+                new InetSocketAddress(loopback, 0),
+                (InetSocketAddress) discovery.getLocalSocketAddress(),
+                1,
+                ProxyConfig.SOCKETS_LEAST,
                 Json.parse(list.getBytes(StandardCharsets.UTF_8)),
                 Json.parse(SETTINGS.getBytes(StandardCharsets.UTF_8)));
     }
@@ -87,8 +98,9 @@
             }
         }
         try (Socket client = new Socket(proxy.getAddress(), proxy.getPort())) {
-            client.getOutputStream().write("GET /_health HTTP/1.1\r\nHost: r\r\nConnection: close\r\n\r\n"
-                    .getBytes(StandardCharsets.US_ASCII));
+            client.getOutputStream()
+                    .write("GET /_health HTTP/1.1\r\nHost: r\r\nConnection: close\r\n\r\n"
+                            .getBytes(StandardCharsets.US_ASCII));
             client.getInputStream().readAllBytes();
         }
         // A client that leaves while it waits.
@@ -97,19 +109,23 @@
         }
     }
 
-    private static void ask(Socket client, InputStream in, String method, String kind, String key, String id,
-            int timeoutMs) throws IOException {
+    private static void ask(
+            Socket client, InputStream in, String method, String kind, String key, String id, int timeoutMs)
+            throws IOException {
         write(client, method, kind, key, id, timeoutMs);
         head(in);
     }
 
     private static void write(Socket client, String method, String kind, String key, String id, int timeoutMs)
             throws IOException {
-        client.getOutputStream().write((method + " /" + kind + "/" + key + " HTTP/1.1\r\nHost: r\r\n"
-                + "X-Request-ID: " + id + "\r\nX-Priority-Class: " + kind + "\r\nX-Tenant-Id: t\r\n"
-                + "X-Cost: 1000\r\nX-Timeout-Ms: " + timeoutMs
-                + (method.equals("PUT") ? "\r\nIdempotency-Key: " + id + "\r\nContent-Length: 2\r\n\r\nok"
-                        : "\r\n\r\n")).getBytes(StandardCharsets.US_ASCII));
+        client.getOutputStream()
+                .write((method + " /" + kind + "/" + key + " HTTP/1.1\r\nHost: r\r\n"
+                                + "X-Request-ID: " + id + "\r\nX-Priority-Class: " + kind + "\r\nX-Tenant-Id: t\r\n"
+                                + "X-Cost: 1000\r\nX-Timeout-Ms: " + timeoutMs
+                                + (method.equals("PUT")
+                                        ? "\r\nIdempotency-Key: " + id + "\r\nContent-Length: 2\r\n\r\nok"
+                                        : "\r\n\r\n"))
+                        .getBytes(StandardCharsets.US_ASCII));
     }
 
     /** Null for an end without one, and empty for silence. */
--- a/proxy/src/main/java/burlarch/proxy/RequestCollector.java
+++ b/proxy/src/main/java/burlarch/proxy/RequestCollector.java
@@ -25,7 +25,8 @@
     @Override
     protected Object newContinueResponse(HttpMessage start, int maxContentLength, ChannelPipeline pipeline) {
         // Too large a body has its turn to be answered like any other.
-        return isContentLengthInvalid(start, maxContentLength) ? null
+        return isContentLengthInvalid(start, maxContentLength)
+                ? null
                 : super.newContinueResponse(start, maxContentLength, pipeline);
     }
 
--- a/proxy/src/main/java/burlarch/proxy/RequestReader.java
+++ b/proxy/src/main/java/burlarch/proxy/RequestReader.java
@@ -49,13 +49,15 @@
     static void checkFraming(FullHttpRequest request) throws Rejection {
         DecoderResult result = request.decoderResult();
         if (result.isFailure()) {
-            throw new Rejection(result.cause() instanceof TooLongHttpHeaderException
-                    ? HttpResponseStatus.REQUEST_HEADER_FIELDS_TOO_LARGE : HttpResponseStatus.BAD_REQUEST);
+            throw new Rejection(
+                    result.cause() instanceof TooLongHttpHeaderException
+                            ? HttpResponseStatus.REQUEST_HEADER_FIELDS_TOO_LARGE
+                            : HttpResponseStatus.BAD_REQUEST);
         }
         // A body that two readers delimit differently may hide another request.
         List<String> encodings = request.headers().getAll(HttpHeaderNames.TRANSFER_ENCODING);
-        if (encodings.size() > 1 || encodings.size() == 1
-                && !HttpHeaderValues.CHUNKED.contentEqualsIgnoreCase(encodings.get(0))) {
+        if (encodings.size() > 1
+                || encodings.size() == 1 && !HttpHeaderValues.CHUNKED.contentEqualsIgnoreCase(encodings.get(0))) {
             throw new Rejection(HttpResponseStatus.BAD_REQUEST);
         }
     }
@@ -64,8 +66,7 @@
     public RequestTable.Arrival arrival(FullHttpRequest request, long readNanos) throws Rejection {
         String path = path(request.uri());
         int classEnd = path.indexOf('/', 1);
-        String className = !path.startsWith("/") ? ""
-                : path.substring(1, classEnd < 0 ? path.length() : classEnd);
+        String className = !path.startsWith("/") ? "" : path.substring(1, classEnd < 0 ? path.length() : classEnd);
         String key = classEnd < 0 ? "" : path.substring(path.lastIndexOf('/') + 1);
         String stated = request.headers().get(Headers.CLASS);
         int requestClass = Instance.number(instance.classes, className);
@@ -91,18 +92,25 @@
             throw new Rejection(HttpResponseStatus.BAD_REQUEST);
         }
         // Nobody waits longer than the class's deadline, whatever a client says.
-        long timeoutNanos = Math.min(TimeUnit.MILLISECONDS.toNanos(timeoutMs),
-                instance.deadlinesNanos.get(requestClass));
+        long timeoutNanos =
+                Math.min(TimeUnit.MILLISECONDS.toNanos(timeoutMs), instance.deadlinesNanos.get(requestClass));
         longestTimeoutNanos = Math.max(longestTimeoutNanos, timeoutNanos);
         // A loop that is behind has read the request late, and will be late with the answer.
-        long deadlineNanos = Math.min(endNanos, readNanos + timeoutNanos
-                - Math.min(DEADLINE_MARGIN_NANOS + 2 * lag.getAsLong(), timeoutNanos / 2));
-        return new RequestTable.Arrival(requestClass,
-                Instance.number(instance.tenants, tenant), !key.isEmpty(),
-                key.isEmpty() ? 0 : WireHost.digest(key), deadlineNanos,
-                TimeUnit.MICROSECONDS.toNanos(costMicros), tenant == null ? "" : tenant, key,
-                new UpstreamRequest(method, request.uri(), requestId, idempotencyKey,
-                        ByteBufUtil.getBytes(request.content())), (int) timeoutMs);
+        long deadlineNanos = Math.min(
+                endNanos,
+                readNanos + timeoutNanos - Math.min(DEADLINE_MARGIN_NANOS + 2 * lag.getAsLong(), timeoutNanos / 2));
+        return new RequestTable.Arrival(
+                requestClass,
+                Instance.number(instance.tenants, tenant),
+                !key.isEmpty(),
+                key.isEmpty() ? 0 : WireHost.digest(key),
+                deadlineNanos,
+                TimeUnit.MICROSECONDS.toNanos(costMicros),
+                tenant == null ? "" : tenant,
+                key,
+                new UpstreamRequest(
+                        method, request.uri(), requestId, idempotencyKey, ByteBufUtil.getBytes(request.content())),
+                (int) timeoutMs);
     }
 
     /** Whether the settings have a class of that name whose requests may be repeated freely. */
@@ -117,8 +125,7 @@
         return clock.nowNanos() >= arrival.deadlineNanos() - instance.settings.quantumNanos();
     }
 
-    private static long number(FullHttpRequest request, CharSequence header, long otherwise)
-            throws Rejection {
+    private static long number(FullHttpRequest request, CharSequence header, long otherwise) throws Rejection {
         String text = request.headers().get(header);
         if (text == null) {
             return otherwise;
--- a/proxy/src/main/java/burlarch/proxy/RequestTable.java
+++ b/proxy/src/main/java/burlarch/proxy/RequestTable.java
@@ -37,21 +37,26 @@
      *
      * @param timeoutMs what its client said that it waits
      */
-    public record Arrival(int requestClass, int tenant, boolean keyed, long key, long deadlineNanos,
-            long workNanos, String tenantName, String keyText, UpstreamRequest upstream, int timeoutMs) {
-    }
+    public record Arrival(
+            int requestClass,
+            int tenant,
+            boolean keyed,
+            long key,
+            long deadlineNanos,
+            long workNanos,
+            String tenantName,
+            String keyText,
+            UpstreamRequest upstream,
+            int timeoutMs) {}
 
     /** Is told on the loop of what passes through the table, and changes none of it. */
     public interface Observer {
-        default void taken(Arrival arrival) {
-        }
+        default void taken(Arrival arrival) {}
 
         /** The request has had its final answer, or its client has gone. */
-        default void answered(int requestClass) {
-        }
+        default void answered(int requestClass) {}
 
-        default void attemptEnded(long server, Outcome outcome) {
-        }
+        default void attemptEnded(long server, Outcome outcome) {}
     }
 
     /** One request until it is answered and all its attempts have ended. */
@@ -63,10 +68,12 @@
         final Exchange exchange;
         /** By their numbers; null where one was not sent at all. */
         final List<Attempt> attempts = new ArrayList<>(2);
+
         int out;
         boolean answered;
         /** Whether the proxy stopped waiting for the attempt that ended last. */
         boolean unanswered;
+
         ScheduledFuture<?> deadlineTimer;
 
         Open(long id, Arrival arrival, Exchange exchange) {
@@ -106,11 +113,13 @@
     private final OpenIds clientIds = new OpenIds();
     /** Events that came up while the module was handling another: it must not be entered twice. */
     private final ArrayDeque<LongConsumer> events = new ArrayDeque<>();
+
     private boolean inside = true;
-    private Runnable watchStarter = () -> { };
+    private Runnable watchStarter = () -> {};
     private final List<Observer> observers = new ArrayList<>(0);
     /** What the bodies of open requests hold: a node that hangs keeps many open. */
     private final BodyBudget bodies = BodyBudget.ofLongOnes();
+
     private long lastId;
     private int owed;
 
@@ -189,11 +198,18 @@
         clientIds.add(arrival.upstream().requestId());
         owed++;
         observers.forEach(observer -> observer.taken(arrival));
-        open.deadlineTimer = loop.schedule(() -> expire(open), arrival.deadlineNanos() - clock.nowNanos(),
-                TimeUnit.NANOSECONDS);
+        open.deadlineTimer =
+                loop.schedule(() -> expire(open), arrival.deadlineNanos() - clock.nowNanos(), TimeUnit.NANOSECONDS);
         boolean write = !arrival.upstream().method().name().equals("GET");
-        Request request = new Request(id, arrival.requestClass(), arrival.tenant(), arrival.keyed(),
-                arrival.key(), arrival.deadlineNanos(), arrival.workNanos(), write);
+        Request request = new Request(
+                id,
+                arrival.requestClass(),
+                arrival.tenant(),
+                arrival.keyed(),
+                arrival.key(),
+                arrival.deadlineNanos(),
+                arrival.workNanos(),
+                write);
         tell(nowNanos -> {
             try {
                 policy().onRequest(nowNanos, request);
@@ -210,7 +226,7 @@
     public void gone(long id) {
         Open open = requests.get(id);
         if (open != null && !open.answered) {
-            answer(open, () -> { });
+            answer(open, () -> {});
             tell(nowNanos -> policy().onGone(nowNanos, id));
         }
     }
@@ -261,10 +277,9 @@
         tellEnded(open.id, attempt.number, attempt.server, outcome, open.answered, attempt.sentNanos);
     }
 
-    private void tellEnded(long id, int number, long server, Outcome outcome, boolean finished,
-            long sentNanos) {
-        tell(nowNanos -> policy().onEnded(nowNanos,
-                new Ended(id, number, server, outcome, finished, nowNanos - sentNanos)));
+    private void tellEnded(long id, int number, long server, Outcome outcome, boolean finished, long sentNanos) {
+        tell(nowNanos ->
+                policy().onEnded(nowNanos, new Ended(id, number, server, outcome, finished, nowNanos - sentNanos)));
     }
 
     // ---- what the module does
@@ -277,10 +292,11 @@
             tellEnded(request, 0, server, Outcome.NOP, true, nowNanos);
             return;
         }
-        long giveUpAtNanos = abandonAtNanos <= 0 ? open.deadlineNanos
-                : Math.min(abandonAtNanos, open.deadlineNanos);
+        long giveUpAtNanos = abandonAtNanos <= 0 ? open.deadlineNanos : Math.min(abandonAtNanos, open.deadlineNanos);
         int number = open.attempts.size();
-        if (open.answered || nowNanos >= giveUpAtNanos || number >= instance.settings.limits().attemptCap()) {
+        if (open.answered
+                || nowNanos >= giveUpAtNanos
+                || number >= instance.settings.limits().attemptCap()) {
             open.attempts.add(null);
             tellEnded(request, number, server, Outcome.NOP, open.answered, nowNanos);
             return;
@@ -294,8 +310,8 @@
     @Override
     public void cancel(long request, int attempt) {
         Open open = requests.get(request);
-        Attempt named = open == null || attempt < 0 || attempt >= open.attempts.size() ? null
-                : open.attempts.get(attempt);
+        Attempt named =
+                open == null || attempt < 0 || attempt >= open.attempts.size() ? null : open.attempts.get(attempt);
         if (named != null) {
             nodes.cancel(named);
         }
@@ -320,8 +336,7 @@
 
     @Override
     public void timer(long spanNanos, long token) {
-        loop.schedule(() -> tell(nowNanos -> policy().onTimer(nowNanos, token)), spanNanos,
-                TimeUnit.NANOSECONDS);
+        loop.schedule(() -> tell(nowNanos -> policy().onTimer(nowNanos, token)), spanNanos, TimeUnit.NANOSECONDS);
     }
 
     @Override
--- a/proxy/src/main/java/burlarch/proxy/SelfConnection.java
+++ b/proxy/src/main/java/burlarch/proxy/SelfConnection.java
@@ -26,18 +26,20 @@
 final class SelfConnection extends ChannelDuplexHandler {
     /** Lengths of what is on its way: the pipeline's own as they are, the peer's negative. */
     private final ArrayDeque<Integer> onTheWay = new ArrayDeque<>();
+
     private ChannelHandlerContext context;
     private boolean ownCame;
-    private Runnable onOwn = () -> { };
+    private Runnable onOwn = () -> {};
 
-    private SelfConnection() {
-    }
+    private SelfConnection() {}
 
     /** @return the channel once it is connected; it fails where the system does not let a socket do that */
     static Future<Channel> open(EventLoop loop) {
         Promise<Channel> opened = loop.newPromise();
         InetSocketAddress any = new InetSocketAddress(InetAddress.getLoopbackAddress(), 0);
-        Bootstrap bootstrap = new Bootstrap().group(loop).channel(NioSocketChannel.class)
+        Bootstrap bootstrap = new Bootstrap()
+                .group(loop)
+                .channel(NioSocketChannel.class)
                 .option(ChannelOption.TCP_NODELAY, true)
                 .handler(new ChannelInitializer<Channel>() {
                     @Override
--- a/proxy/src/main/java/burlarch/proxy/SingleRequests.java
+++ b/proxy/src/main/java/burlarch/proxy/SingleRequests.java
@@ -30,11 +30,11 @@
         }
         if (gate != null && !gate.admits(arrival)) {
             reply.refused(gate.retryAfterNanos(), false);
-            return () -> { };
+            return () -> {};
         }
         if (!table.hasRoomFor(arrival)) {
             reply.refused(0, false);
-            return () -> { };
+            return () -> {};
         }
         long id = table.take(arrival, reply);
         return () -> table.gone(id);
--- a/proxy/src/main/java/burlarch/proxy/WarmUp.java
+++ b/proxy/src/main/java/burlarch/proxy/WarmUp.java
@@ -26,6 +26,7 @@
 final class WarmUp {
     /** Where more made it no faster, and the most of a restart's time that it may take. */
     private static final int ROUNDS = 100;
+
     private static final long BUDGET_MS = 2000;
     private static final long CACHE = 1;
     private static final long ORIGIN = 2;
@@ -53,15 +54,21 @@
         nodes = new NodePool(loop, clock, Instance.settings(settings).limits(), 2);
         table = new RequestTable(loop, clock, nodes, settings, 1);
         Instance instance = table.instance();
-        classes = settings.get("request_classes").items().stream().map(kind -> kind.get("name").text(""))
+        classes = settings.get("request_classes").items().stream()
+                .map(kind -> kind.get("name").text(""))
                 .toList();
         InetSocketAddress nowhere = new InetSocketAddress(0);
-        nodes.update(List.of(new NodePool.Endpoint(CACHE, nowhere, true),
-                new NodePool.Endpoint(ORIGIN, nowhere, true)), List.of(), true);
+        nodes.update(
+                List.of(new NodePool.Endpoint(CACHE, nowhere, true), new NodePool.Endpoint(ORIGIN, nowhere, true)),
+                List.of(),
+                true);
         int originKind = instance.settings.originKind();
-        table.tell(nowNanos -> instance.policy.onList(nowNanos, ListKind.RESTORED, List.of(
-                new Server(CACHE, 0, 1, 0, Stage.IN, originKind + 1, 0),
-                new Server(ORIGIN, 0, 1, 0, Stage.IN, originKind, 0))));
+        table.tell(nowNanos -> instance.policy.onList(
+                nowNanos,
+                ListKind.RESTORED,
+                List.of(
+                        new Server(CACHE, 0, 1, 0, Stage.IN, originKind + 1, 0),
+                        new Server(ORIGIN, 0, 1, 0, Stage.IN, originKind, 0))));
         clients = new ClientListener(loop, clock, table, () -> true, () -> 0, 1);
     }
 
@@ -91,7 +98,8 @@
     private void open(Consumer<Channel> use) {
         SelfConnection.open(loop).addListener((Future<Channel> opened) -> {
             if (!opened.isSuccess()) {
-                Log.line("no warm-up, the first requests will be slow: " + opened.cause().getMessage());
+                Log.line("no warm-up, the first requests will be slow: "
+                        + opened.cause().getMessage());
                 end();
             } else if (over.isDone()) {
                 opened.getNow().close();
@@ -120,8 +128,8 @@
             connect(ORIGIN);
         } else {
             int round = asked / classes.size();
-            SelfConnection.of(client).send(request(round % 8 == 7 ? "PUT" : "GET",
-                    classes.get(asked % classes.size()), round));
+            SelfConnection.of(client)
+                    .send(request(round % 8 == 7 ? "PUT" : "GET", classes.get(asked % classes.size()), round));
             asked++;
         }
     }
@@ -132,8 +140,8 @@
      */
     private void connect(long node) {
         open(channel -> {
-            SelfConnection.of(channel).onOwn(() -> SelfConnection.of(channel)
-                    .send(node == CACHE && asked % 4 == 0 ? MISS : HIT));
+            SelfConnection.of(channel)
+                    .onOwn(() -> SelfConnection.of(channel).send(node == CACHE && asked % 4 == 0 ? MISS : HIT));
             if (node == CACHE) {
                 cache = channel;
             } else {
--- a/proxy/src/main/java/burlarch/proxy/command/SignalCommand.java
+++ b/proxy/src/main/java/burlarch/proxy/command/SignalCommand.java
@@ -27,8 +27,7 @@
 
     /** @return what is wrong, or nothing once the signal is sent */
     public Optional<String> run(String[] arguments) throws IOException, InterruptedException {
-        if (arguments.length != 3 || !arguments[1].equals("--pid")
-                || !arguments[2].matches("[1-9][0-9]{0,8}")) {
+        if (arguments.length != 3 || !arguments[1].equals("--pid") || !arguments[2].matches("[1-9][0-9]{0,8}")) {
             return Optional.of("usage: burlarch " + name + " --pid PID");
         }
         long pid = Long.parseLong(arguments[2]);
@@ -48,21 +47,25 @@
             return Optional.of("process " + pid + " has no " + feature + " in service, or is not ready yet");
         }
         Process kill = new ProcessBuilder("/bin/sh", "-c", "kill -s " + signal + " " + pid)
-                .redirectErrorStream(true).start();
+                .redirectErrorStream(true)
+                .start();
         String said = new String(kill.getInputStream().readAllBytes(), StandardCharsets.UTF_8).strip();
-        return kill.waitFor() == 0 ? Optional.empty()
-                : Optional.of("cannot signal process " + pid + ": " + said);
+        return kill.waitFor() == 0 ? Optional.empty() : Optional.of("cannot signal process " + pid + ": " + said);
     }
 
     private static boolean serves(List<String> words) {
         int jar = words.indexOf("-jar") + 1;
-        return jar > 0 && jar + 1 < words.size() && Path.of(words.get(jar)).endsWith("burlarch.jar")
+        return jar > 0
+                && jar + 1 < words.size()
+                && Path.of(words.get(jar)).endsWith("burlarch.jar")
                 && words.get(jar + 1).equals("serve");
     }
 
     private boolean catches(List<String> status) {
-        return status.stream().filter(line -> line.startsWith("SigCgt:"))
-                .mapToLong(line -> Long.parseUnsignedLong(line.substring("SigCgt:".length()).strip(), 16))
+        return status.stream()
+                .filter(line -> line.startsWith("SigCgt:"))
+                .mapToLong(line -> Long.parseUnsignedLong(
+                        line.substring("SigCgt:".length()).strip(), 16))
                 .anyMatch(caught -> (caught >>> number - 1 & 1) == 1);
     }
 }
--- a/proxy/src/main/java/burlarch/proxy/hotlist/HotKey.java
+++ b/proxy/src/main/java/burlarch/proxy/hotlist/HotKey.java
@@ -18,8 +18,11 @@
     /** Written out, as those of a record are linked at run time: the first requests would wait for it. */
     @Override
     public boolean equals(Object other) {
-        return other instanceof HotKey that && digest == that.digest && truncated == that.truncated
-                && key.equals(that.key) && tenant.equals(that.tenant);
+        return other instanceof HotKey that
+                && digest == that.digest
+                && truncated == that.truncated
+                && key.equals(that.key)
+                && tenant.equals(that.tenant);
     }
 
     @Override
--- a/proxy/src/main/java/burlarch/proxy/hotlist/HotList.java
+++ b/proxy/src/main/java/burlarch/proxy/hotlist/HotList.java
@@ -20,6 +20,7 @@
     private final List<String> classes;
     /** By the numbers of the classes. */
     private final List<SpaceSaving> summaries = new ArrayList<>();
+
     private final AtomicBoolean writing = new AtomicBoolean();
 
     public HotList(HotListSettings settings, List<String> classes, LongSupplier nowNanos, Executor loop) {
@@ -36,8 +37,9 @@
     @Override
     public void taken(RequestTable.Arrival arrival) {
         if (arrival.keyed()) {
-            summaries.get(arrival.requestClass()).add(
-                    HotKey.of(arrival.tenantName(), arrival.keyText(), arrival.key()), nowNanos.getAsLong());
+            summaries
+                    .get(arrival.requestClass())
+                    .add(HotKey.of(arrival.tenantName(), arrival.keyText(), arrival.key()), nowNanos.getAsLong());
         }
     }
 
--- a/proxy/src/main/java/burlarch/proxy/hotlist/HotListReport.java
+++ b/proxy/src/main/java/burlarch/proxy/hotlist/HotListReport.java
@@ -11,14 +11,12 @@
 
 /** The hot list as its reader gets it: a JSON object a line, the highest count first. */
 final class HotListReport {
-    private static final JsonFactory JSON = JsonFactory.builder()
-            .enable(JsonWriteFeature.ESCAPE_NON_ASCII).build();
+    private static final JsonFactory JSON =
+            JsonFactory.builder().enable(JsonWriteFeature.ESCAPE_NON_ASCII).build();
 
-    record Row(String className, SpaceSaving.Entry entry) {
-    }
+    record Row(String className, SpaceSaving.Entry entry) {}
 
-    private HotListReport() {
-    }
+    private HotListReport() {}
 
     static String text(List<Row> rows, int show) {
         StringWriter text = new StringWriter();
@@ -31,8 +29,10 @@
                 json.writeRaw('\n');
             }
             List<Row> top = rows.stream()
-                    .sorted(Comparator.comparingLong((Row row) -> row.entry().count()).reversed())
-                    .limit(show).toList();
+                    .sorted(Comparator.comparingLong((Row row) -> row.entry().count())
+                            .reversed())
+                    .limit(show)
+                    .toList();
             for (Row row : top) {
                 write(json, row);
             }
--- a/proxy/src/main/java/burlarch/proxy/hotlist/HotListSettings.java
+++ b/proxy/src/main/java/burlarch/proxy/hotlist/HotListSettings.java
@@ -7,11 +7,13 @@
 public record HotListSettings(int capacity, long halfLifeNanos, int show) {
     /** Some 500 bytes each at the longest: 2 MB a class, of a heap that has room for a few of these. */
     private static final int CAPACITY_MOST = 4096;
+
     private static final double SECOND_NANOS = 1e9;
     private static final int DAY_S = 86_400;
 
     public static HotListSettings read(Section section) throws SettingsException {
-        return new HotListSettings(section.whole("capacity", 256, 1, CAPACITY_MOST),
+        return new HotListSettings(
+                section.whole("capacity", 256, 1, CAPACITY_MOST),
                 (long) (section.number("half_life_s", 60, 0.1, DAY_S) * SECOND_NANOS),
                 section.whole("show", 20, 1, CAPACITY_MOST));
     }
--- a/proxy/src/main/java/burlarch/proxy/hotlist/SpaceSaving.java
+++ b/proxy/src/main/java/burlarch/proxy/hotlist/SpaceSaving.java
@@ -12,8 +12,7 @@
  */
 final class SpaceSaving {
     /** One counted key as it stood; {@code perSecond} is 0 for a key that has not come for long. */
-    record Entry(HotKey key, long count, long error, double perSecond) {
-    }
+    record Entry(HotKey key, long count, long error, double perSecond) {}
 
     private static final class Counter {
         HotKey key;
@@ -21,6 +20,7 @@
         long error;
         /** Arrivals, each halved with every half-life since; as of {@code decayedNanos}. */
         double recent;
+
         long decayedNanos;
         int at;
     }
@@ -29,6 +29,7 @@
     private final Map<HotKey, Counter> counters = new HashMap<>();
     /** A heap with the least count at its top. */
     private final Counter[] heap;
+
     private int size;
 
     SpaceSaving(int capacity, long halfLifeNanos) {
@@ -102,8 +103,7 @@
         List<Entry> entries = new ArrayList<>(size);
         for (int i = 0; i < size; i++) {
             Counter counter = heap[i];
-            entries.add(new Entry(counter.key, counter.count, counter.error,
-                    decayed(counter, nowNanos) * perSecond));
+            entries.add(new Entry(counter.key, counter.count, counter.error, decayed(counter, nowNanos) * perSecond));
         }
         return entries;
     }
