--- a/proxy/src/main/java/burlarch/proxy/multiget/Batch.java
+++ b/proxy/src/main/java/burlarch/proxy/multiget/Batch.java
@@ -63,12 +63,16 @@
     private final List<Part> parts = new ArrayList<>();
     /** Lines that are not final. */
     private int open;
+
     private boolean partial;
     private long retryAfterNanos;
     private int heldBytes;
 
-    Batch(List<RequestTable.Arrival> arrivals, AnswerBytes bytes,
-            Predicate<RequestTable.Arrival> timeIsUp, Consumer<Batch> whenFinal) {
+    Batch(
+            List<RequestTable.Arrival> arrivals,
+            AnswerBytes bytes,
+            Predicate<RequestTable.Arrival> timeIsUp,
+            Consumer<Batch> whenFinal) {
         this.bytes = bytes;
         this.timeIsUp = timeIsUp;
         this.whenFinal = whenFinal;
--- a/proxy/src/main/java/burlarch/proxy/multiget/MultiGet.java
+++ b/proxy/src/main/java/burlarch/proxy/multiget/MultiGet.java
@@ -26,6 +26,7 @@
 public final class MultiGet implements RequestHandler {
     /** The class of all lines follows: one of the settings' that may be repeated freely. */
     private static final String PATH = "/multi/";
+
     private static final AsciiString PARTIAL = AsciiString.cached("X-Partial");
     private static final int HELD_MOST_BYTES = 4 << 20;
 
@@ -74,8 +75,8 @@
 
     /** The line as its client would have sent it alone. */
     private static FullHttpRequest single(FullHttpRequest request, String requestClass, Line line) {
-        FullHttpRequest single = new DefaultFullHttpRequest(HttpVersion.HTTP_1_1, HttpMethod.GET,
-                "/" + requestClass + "/" + line.key());
+        FullHttpRequest single =
+                new DefaultFullHttpRequest(HttpVersion.HTTP_1_1, HttpMethod.GET, "/" + requestClass + "/" + line.key());
         single.headers().set(Headers.REQUEST_ID, line.id());
         for (AsciiString name : List.of(Headers.TENANT, Headers.TIMEOUT_MS)) {
             String value = request.headers().get(name);
@@ -87,14 +88,13 @@
     }
 
     private void answer(Batch batch, Reply reply) {
-        HttpHeaders headers = new DefaultHttpHeaders()
-                .set(HttpHeaderNames.CONTENT_TYPE, HttpHeaderValues.APPLICATION_OCTET_STREAM);
+        HttpHeaders headers =
+                new DefaultHttpHeaders().set(HttpHeaderNames.CONTENT_TYPE, HttpHeaderValues.APPLICATION_OCTET_STREAM);
         if (batch.partial()) {
             headers.set(PARTIAL, "1");
         }
         if (batch.retryAfterNanos() > 0) {
-            headers.set(HttpHeaderNames.RETRY_AFTER,
-                    Headers.seconds(batch.retryAfterNanos()));
+            headers.set(HttpHeaderNames.RETRY_AFTER, Headers.seconds(batch.retryAfterNanos()));
         }
         // A client that does not read is cut off by its connection, and so held no longer than that.
         reply.answer(headers, batch.answer()).addListener(f -> batch.release());
--- a/proxy/src/main/java/burlarch/proxy/ownload/LoadGate.java
+++ b/proxy/src/main/java/burlarch/proxy/ownload/LoadGate.java
@@ -23,7 +23,9 @@
      * @param lag       how long what is read now may have lain in its socket, in nanoseconds
      */
     public LoadGate(long nowNanos, long beatNanos, Settings settings, LongSupplier lag) {
-        this.load = new OwnLoad(nowNanos, beatNanos,
+        this.load = new OwnLoad(
+                nowNanos,
+                beatNanos,
                 settings.classes().stream().mapToDouble(RequestClass::worth).toArray());
         this.settings = settings;
         this.lag = lag;
@@ -42,13 +44,16 @@
     }
 
     public boolean admits(RequestTable.Arrival arrival) {
-        return load.admits(settings.classes().get(arrival.requestClass()).worth(), lag.getAsLong(),
+        return load.admits(
+                settings.classes().get(arrival.requestClass()).worth(),
+                lag.getAsLong(),
                 TimeUnit.MILLISECONDS.toNanos(arrival.timeoutMs()));
     }
 
     /** @return for a request that has just been turned away; 0 where the settings allow none */
     public long retryAfterNanos() {
         return settings.limits().retryAfter()
-                ? Math.min(settings.limits().maxRetryAfterNanos(), load.retryAfterNanos()) : 0;
+                ? Math.min(settings.limits().maxRetryAfterNanos(), load.retryAfterNanos())
+                : 0;
     }
 }
--- a/proxy/src/main/java/burlarch/proxy/status/Pages.java
+++ b/proxy/src/main/java/burlarch/proxy/status/Pages.java
@@ -13,8 +13,8 @@
     private static final JsonFactory JSON = new JsonFactory();
 
     static Pages of(Snapshot snapshot) {
-        return new Pages(html(snapshot).getBytes(StandardCharsets.UTF_8),
-                json(snapshot).getBytes(StandardCharsets.UTF_8));
+        return new Pages(
+                html(snapshot).getBytes(StandardCharsets.UTF_8), json(snapshot).getBytes(StandardCharsets.UTF_8));
     }
 
     private static double rounded(double rate) {
@@ -60,13 +60,18 @@
 
     private static String html(Snapshot snapshot) {
         StringBuilder text = new StringBuilder("<!DOCTYPE html>\n<html lang=\"en\">\n<head>"
-                + "<meta charset=\"utf-8\"><title>burlarch status</title></head>\n<body>\n<h1>burlarch</h1>\n"
-                + "<p>Version ")
-                .append(escaped(snapshot.version())).append(", up for ").append(snapshot.uptimeSeconds())
+                        + "<meta charset=\"utf-8\"><title>burlarch status</title></head>\n<body>\n<h1>burlarch</h1>\n"
+                        + "<p>Version ")
+                .append(escaped(snapshot.version()))
+                .append(", up for ")
+                .append(snapshot.uptimeSeconds())
                 .append(" s</p>\n<h2>Load</h2>\n<table border=\"1\">\n"
                         + "<tr><th>class</th><th>requests per second</th><th>in flight</th></tr>\n");
         for (Snapshot.Load load : snapshot.load()) {
-            row(text, load.className(), String.format(Locale.ROOT, "%.1f", load.requestsPerSecond()),
+            row(
+                    text,
+                    load.className(),
+                    String.format(Locale.ROOT, "%.1f", load.requestsPerSecond()),
                     Integer.toString(load.inFlight()));
         }
         text.append("</table>\n<h2>Servers</h2>\n");
@@ -76,8 +81,7 @@
         text.append("<table border=\"1\">\n<tr><th>instanceId</th><th>hostPort</th><th>lifecycle</th>"
                 + "<th>last errors (UTC)</th></tr>\n");
         for (Snapshot.Server server : snapshot.servers()) {
-            row(text, server.instanceId(), server.hostPort(), server.lifecycle(),
-                    String.join(", ", server.errors()));
+            row(text, server.instanceId(), server.hostPort(), server.lifecycle(), String.join(", ", server.errors()));
         }
         return text.append("</table>\n</body>\n</html>\n").toString();
     }
@@ -92,7 +96,10 @@
 
     /** Names come from discovery and the settings: none of them is markup. */
     private static String escaped(String text) {
-        return text.replace("&", "&amp;").replace("<", "&lt;").replace(">", "&gt;").replace("\"", "&quot;")
+        return text.replace("&", "&amp;")
+                .replace("<", "&lt;")
+                .replace(">", "&gt;")
+                .replace("\"", "&quot;")
                 .replace("'", "&#39;");
     }
 }
--- a/proxy/src/main/java/burlarch/proxy/status/StatusBoard.java
+++ b/proxy/src/main/java/burlarch/proxy/status/StatusBoard.java
@@ -18,8 +18,8 @@
 /** Collects on the loop what the page shows: the list of servers, their errors, and the load by class. */
 public final class StatusBoard implements RequestTable.Observer, MembershipWatch.Observer {
     private static final int ERRORS_KEPT = 3;
-    private static final DateTimeFormatter TIME = DateTimeFormatter.ofPattern("HH:mm:ss")
-            .withZone(ZoneOffset.UTC);
+    private static final DateTimeFormatter TIME =
+            DateTimeFormatter.ofPattern("HH:mm:ss").withZone(ZoneOffset.UTC);
 
     private static final class Row {
         Member member;
@@ -45,6 +45,7 @@
     private boolean discoveryAnswered;
     /** By the numbers of the classes. */
     private final List<Counts> counts;
+
     private long snapshotNanos;
 
     public StatusBoard(String version, List<String> classes, LongSupplier nowNanos, LongSupplier wallMs) {
@@ -124,10 +125,16 @@
             of.sinceSnapshot = 0;
         }
         // What the configuration knew is not discovery's word: it may be old.
-        List<Snapshot.Server> rows = !discoveryAnswered ? List.of() : servers.values().stream()
-                .map(row -> new Snapshot.Server(row.member.instanceId(), row.member.hostPort(),
-                        row.member.lifecycle(), List.copyOf(row.errors))).toList();
-        return new Snapshot(version, TimeUnit.NANOSECONDS.toSeconds(now - startNanos), !discoveryAnswered,
-                rows, List.copyOf(load));
+        List<Snapshot.Server> rows = !discoveryAnswered
+                ? List.of()
+                : servers.values().stream()
+                        .map(row -> new Snapshot.Server(
+                                row.member.instanceId(),
+                                row.member.hostPort(),
+                                row.member.lifecycle(),
+                                List.copyOf(row.errors)))
+                        .toList();
+        return new Snapshot(
+                version, TimeUnit.NANOSECONDS.toSeconds(now - startNanos), !discoveryAnswered, rows, List.copyOf(load));
     }
 }
--- a/proxy/src/main/java/burlarch/proxy/status/StatusConnection.java
+++ b/proxy/src/main/java/burlarch/proxy/status/StatusConnection.java
@@ -32,9 +32,11 @@
 
     @Override
     public void channelActive(ChannelHandlerContext context) {
-        limit = context.executor().schedule(
-                () -> answer(context, HttpResponseStatus.REQUEST_TIMEOUT, null, NOTHING), ASK_MOST_MS,
-                TimeUnit.MILLISECONDS);
+        limit = context.executor()
+                .schedule(
+                        () -> answer(context, HttpResponseStatus.REQUEST_TIMEOUT, null, NOTHING),
+                        ASK_MOST_MS,
+                        TimeUnit.MILLISECONDS);
     }
 
     @Override
@@ -47,9 +49,17 @@
         } else if (!request.method().equals(HttpMethod.GET)) {
             answer(context, HttpResponseStatus.METHOD_NOT_ALLOWED, null, NOTHING);
         } else if (path.equals("/status")) {
-            answer(context, HttpResponseStatus.OK, "text/html; charset=utf-8", pages.get().html());
+            answer(
+                    context,
+                    HttpResponseStatus.OK,
+                    "text/html; charset=utf-8",
+                    pages.get().html());
         } else {
-            answer(context, HttpResponseStatus.OK, "application/json", pages.get().json());
+            answer(
+                    context,
+                    HttpResponseStatus.OK,
+                    "application/json",
+                    pages.get().json());
         }
     }
 
@@ -62,11 +72,13 @@
         limit = context.executor().schedule(() -> context.close(), READ_MOST_MS, TimeUnit.MILLISECONDS);
         FullHttpResponse response =
                 new DefaultFullHttpResponse(HttpVersion.HTTP_1_1, status, Unpooled.wrappedBuffer(body));
-        response.headers().set(HttpHeaderNames.CONTENT_LENGTH, body.length)
+        response.headers()
+                .set(HttpHeaderNames.CONTENT_LENGTH, body.length)
                 .set(HttpHeaderNames.CONNECTION, HttpHeaderValues.CLOSE);
         if (type != null) {
             // A page of a moment ago is of no use.
-            response.headers().set(HttpHeaderNames.CONTENT_TYPE, type)
+            response.headers()
+                    .set(HttpHeaderNames.CONTENT_TYPE, type)
                     .set(HttpHeaderNames.CACHE_CONTROL, HttpHeaderValues.NO_STORE);
         }
         if (status.equals(HttpResponseStatus.METHOD_NOT_ALLOWED)) {
--- a/proxy/src/main/java/burlarch/proxy/status/StatusPage.java
+++ b/proxy/src/main/java/burlarch/proxy/status/StatusPage.java
@@ -30,16 +30,18 @@
 public final class StatusPage {
     /** Readers at once: technicians, not clients. */
     private static final int CONNECTIONS_MOST = 8;
+
     private static final int LARGEST_REQUEST = 1024;
 
-    private final EventLoopGroup group = new MultiThreadIoEventLoopGroup(1,
-            new DefaultThreadFactory("status", true), NioIoHandler.newFactory());
+    private final EventLoopGroup group =
+            new MultiThreadIoEventLoopGroup(1, new DefaultThreadFactory("status", true), NioIoHandler.newFactory());
     private final EventLoop own = group.next();
     private final Executor requests;
     private final StatusBoard board;
     private final AtomicBoolean gathering = new AtomicBoolean();
     /** As one, so that a reader has a whole page of one moment. */
     private volatile Pages pages;
+
     private Channel server;
     private int connections;
 
@@ -64,13 +66,17 @@
 
     /** Returns once it is bound or has failed to be. */
     public ChannelFuture bind(SocketAddress address, int refreshMs) {
-        ChannelFuture bound = new ServerBootstrap().group(group).channel(NioServerSocketChannel.class)
+        ChannelFuture bound = new ServerBootstrap()
+                .group(group)
+                .channel(NioServerSocketChannel.class)
                 .childHandler(new ChannelInitializer<Channel>() {
                     @Override
                     protected void initChannel(Channel channel) {
                         accept(channel);
                     }
-                }).bind(address).awaitUninterruptibly();
+                })
+                .bind(address)
+                .awaitUninterruptibly();
         server = bound.channel();
         own.scheduleWithFixedDelay(this::refresh, refreshMs, refreshMs, TimeUnit.MILLISECONDS);
         return bound;
@@ -83,8 +89,11 @@
         }
         connections++;
         channel.closeFuture().addListener(f -> connections--);
-        channel.pipeline().addLast(new HttpServerCodec(), new HttpObjectAggregator(LARGEST_REQUEST, true),
-                new StatusConnection(() -> pages));
+        channel.pipeline()
+                .addLast(
+                        new HttpServerCodec(),
+                        new HttpObjectAggregator(LARGEST_REQUEST, true),
+                        new StatusConnection(() -> pages));
     }
 
     private void refresh() {
--- a/proxy/src/main/java/burlarch/proxy/status/StatusSettings.java
+++ b/proxy/src/main/java/burlarch/proxy/status/StatusSettings.java
@@ -8,7 +8,6 @@
     private static final int HOUR_MS = 3_600_000;
 
     public static StatusSettings read(Section section) throws SettingsException {
-        return new StatusSettings(section.port("listen_port"),
-                section.whole("refresh_ms", 1000, 100, HOUR_MS));
+        return new StatusSettings(section.port("listen_port"), section.whole("refresh_ms", 1000, 100, HOUR_MS));
     }
 }
--- a/proxy/src/main/java/burlarch/proxy/tls/Certificates.java
+++ b/proxy/src/main/java/burlarch/proxy/tls/Certificates.java
@@ -36,7 +36,10 @@
     }
 
     static Certificates read(TlsSettings settings) throws IOException {
-        return new Certificates(settings, bytes(settings.certFile()), bytes(settings.keyFile()),
+        return new Certificates(
+                settings,
+                bytes(settings.certFile()),
+                bytes(settings.keyFile()),
                 settings.clientCa() == null ? NONE : bytes(settings.clientCa()));
     }
 
@@ -52,7 +55,9 @@
 
     /** By content, as a file's time may stay or change without it. */
     boolean sameAs(Certificates other) {
-        return other != null && Arrays.equals(cert, other.cert) && Arrays.equals(key, other.key)
+        return other != null
+                && Arrays.equals(cert, other.cert)
+                && Arrays.equals(key, other.key)
                 && Arrays.equals(clientCa, other.clientCa);
     }
 
@@ -70,8 +75,8 @@
         }
         SslContextBuilder builder =
                 SslContextBuilder.forServer(privateKey, chain).sslProvider(SslProvider.JDK);
-        builder.protocols(settings.minVersion().equals("1.3") ? new String[] {"TLSv1.3"}
-                : new String[] {"TLSv1.3", "TLSv1.2"});
+        builder.protocols(
+                settings.minVersion().equals("1.3") ? new String[] {"TLSv1.3"} : new String[] {"TLSv1.3", "TLSv1.2"});
         if (settings.clientCa() != null) {
             // Asked for, not required; one that is shown and not good ends the handshake.
             builder.trustManager(chain(clientCa, settings.clientCa())).clientAuth(ClientAuth.OPTIONAL);
@@ -82,7 +87,8 @@
     private static X509Certificate[] chain(byte[] pem, Path file) throws IOException {
         try {
             X509Certificate[] chain = CertificateFactory.getInstance("X.509")
-                    .generateCertificates(new ByteArrayInputStream(pem)).toArray(X509Certificate[]::new);
+                    .generateCertificates(new ByteArrayInputStream(pem))
+                    .toArray(X509Certificate[]::new);
             if (chain.length > 0) {
                 return chain;
             }
@@ -93,11 +99,12 @@
     }
 
     private static boolean match(PrivateKey privateKey, PublicKey publicKey) {
-        String algorithm = switch (publicKey.getAlgorithm()) {
-            case "RSA" -> "SHA256withRSA";
-            case "EC" -> "SHA256withECDSA";
-            default -> publicKey.getAlgorithm();
-        };
+        String algorithm =
+                switch (publicKey.getAlgorithm()) {
+                    case "RSA" -> "SHA256withRSA";
+                    case "EC" -> "SHA256withECDSA";
+                    default -> publicKey.getAlgorithm();
+                };
         try {
             Signature signature = Signature.getInstance(algorithm);
             signature.initSign(privateKey);
--- a/proxy/src/main/java/burlarch/proxy/tls/PemKey.java
+++ b/proxy/src/main/java/burlarch/proxy/tls/PemKey.java
@@ -13,14 +13,13 @@
 
 /** Reads a private key in the forms that PEM files have: PKCS#8, or PKCS#1 and SEC 1, which are older. */
 final class PemKey {
-    private static final Pattern KEY = Pattern.compile(
-            "-----BEGIN ((?:RSA |EC )?PRIVATE KEY)-----\\s+([A-Za-z0-9+/=\\s]+)-----END \\1-----");
+    private static final Pattern KEY =
+            Pattern.compile("-----BEGIN ((?:RSA |EC )?PRIVATE KEY)-----\\s+([A-Za-z0-9+/=\\s]+)-----END \\1-----");
     private static final int SEQUENCE = 0x30;
     private static final int OCTETS = 0x04;
     private static final byte[] VERSION_0 = {0x02, 0x01, 0x00};
 
-    private PemKey() {
-    }
+    private PemKey() {}
 
     /** @param of the certificate's key, whose algorithm an older form does not state */
     static PrivateKey read(byte[] pem, PublicKey of) throws GeneralSecurityException {
@@ -30,8 +29,9 @@
         }
         try {
             byte[] der = Base64.getMimeDecoder().decode(key.group(2));
-            return KeyFactory.getInstance(of.getAlgorithm()).generatePrivate(new PKCS8EncodedKeySpec(
-                    key.group(1).equals("PRIVATE KEY") ? der : pkcs8(der, of)));
+            return KeyFactory.getInstance(of.getAlgorithm())
+                    .generatePrivate(
+                            new PKCS8EncodedKeySpec(key.group(1).equals("PRIVATE KEY") ? der : pkcs8(der, of)));
         } catch (GeneralSecurityException | RuntimeException e) {
             throw new GeneralSecurityException("no " + of.getAlgorithm() + " key, as the certificate has", e);
         }
--- a/proxy/src/main/java/burlarch/proxy/tls/TlsPort.java
+++ b/proxy/src/main/java/burlarch/proxy/tls/TlsPort.java
@@ -19,6 +19,7 @@
 public final class TlsPort implements RequestHandler.Port {
     /** Under the 3 s within which a peer is owed an error or a close. */
     private static final long HANDSHAKE_MOST_MS = 2000;
+
     private static final long CLOSE_MOST_MS = 500;
 
     private final TlsSettings settings;
@@ -32,6 +33,7 @@
     private volatile SslContext context;
     /** What was last tried, good or not, and what was wrong with it. */
     private Certificates tried;
+
     private String wrong = "";
 
     private TlsPort(TlsSettings settings, Certificates certificates) throws IOException {
@@ -52,8 +54,8 @@
     /** From now on looks for changed certificates. */
     public void start(RequestHandler requests) {
         plain = requests;
-        loader.scheduleWithFixedDelay(() -> reload(false), settings.checkSeconds(), settings.checkSeconds(),
-                TimeUnit.SECONDS);
+        loader.scheduleWithFixedDelay(
+                () -> reload(false), settings.checkSeconds(), settings.checkSeconds(), TimeUnit.SECONDS);
     }
 
     @Override
--- a/proxy/src/main/java/burlarch/proxy/trace/TraceRecorder.java
+++ b/proxy/src/main/java/burlarch/proxy/trace/TraceRecorder.java
@@ -26,6 +26,7 @@
     private static final int WAITING_MOST = 4096;
     /** Longer keys and tenants are cut: a client chooses them. */
     private static final int TEXT_MOST = 256;
+
     private static final long LAST_WRITES_MS = 2000;
     /** A block of the trace is begun again this often, so that a kill loses little. */
     private static final long FLUSH_NANOS = TimeUnit.SECONDS.toNanos(1);
@@ -70,11 +71,12 @@
         /** @throws SettingsException where the file is there already or can't be made */
         public static Sink create(TraceSettings settings) throws SettingsException {
             try {
-                return new Sink(settings.file(), Files.newOutputStream(settings.file(),
-                        StandardOpenOption.CREATE_NEW, StandardOpenOption.WRITE));
+                return new Sink(
+                        settings.file(),
+                        Files.newOutputStream(
+                                settings.file(), StandardOpenOption.CREATE_NEW, StandardOpenOption.WRITE));
             } catch (java.nio.file.FileAlreadyExistsException e) {
-                throw new SettingsException("trace.file " + settings.file()
-                        + ": is there already: move it away");
+                throw new SettingsException("trace.file " + settings.file() + ": is there already: move it away");
             } catch (IOException e) {
                 throw new SettingsException("trace.file " + settings.file() + ": cannot be made: " + e);
             }
@@ -100,11 +102,15 @@
         if (over) {
             return;
         }
-        TraceRecord record = new TraceRecord(clock.getAsLong() - startNanos,
+        TraceRecord record = new TraceRecord(
+                clock.getAsLong() - startNanos,
                 classes.get(arrival.requestClass()),
-                cut(arrival.tenantName()), cut(arrival.keyText()),
-                !arrival.upstream().method().name().equals("GET"), arrival.timeoutMs(),
-                TimeUnit.NANOSECONDS.toMicros(arrival.workNanos()), arrival.upstream().body().length);
+                cut(arrival.tenantName()),
+                cut(arrival.keyText()),
+                !arrival.upstream().method().name().equals("GET"),
+                arrival.timeoutMs(),
+                TimeUnit.NANOSECONDS.toMicros(arrival.workNanos()),
+                arrival.upstream().body().length);
         if (!waiting.offer(record)) {
             leftOut.incrementAndGet();
         }
--- a/proxy/src/main/java/burlarch/wire/Instance.java
+++ b/proxy/src/main/java/burlarch/wire/Instance.java
@@ -25,6 +25,7 @@
     public final Settings settings;
     /** By class, how long a client may wait at most, with all its tries. */
     public final List<Long> deadlinesNanos;
+
     public final Policy policy;
 
     public Instance(Json config, long seed, Api.Actions actions) {
@@ -34,7 +35,8 @@
         models = index(texts(config.get("models")));
         settings = settings(config);
         deadlinesNanos = config.get("request_classes").items().stream()
-                .map(item -> item.get("deadline_ns").integer(Long.MAX_VALUE)).toList();
+                .map(item -> item.get("deadline_ns").integer(Long.MAX_VALUE))
+                .toList();
         policy = new Policy(settings, seed, actions);
     }
 
@@ -54,42 +56,57 @@
                 config.get("membership_mode").text("").equals("on_request"),
                 (int) config.get("specifics").get("origin_kind").integer(Integer.MIN_VALUE),
                 Math.max(1, config.get("quantum_ns").integer(1_000_000)),
-                new Limits((int) Math.max(1, limits.get("attempts_cap").integer(1)),
+                new Limits(
+                        (int) Math.max(1, limits.get("attempts_cap").integer(1)),
                         limits.get("cancel").flag(false),
                         limits.get("may_duplicate").flag(false),
                         limits.get("retry_after").flag(false),
                         limits.get("max_retry_after_ns").integer(SECOND_NANOS),
                         limits.get("connect_timeout_ns").integer(SECOND_NANOS),
                         limits.get("idle_close_ns").integer(60 * SECOND_NANOS)),
-                new Charges(charges.get("handshake").number(0), charges.get("connection").number(0)),
-                new Obligations(rules.get("cold_from").number(0.1),
+                new Charges(
+                        charges.get("handshake").number(0),
+                        charges.get("connection").number(0)),
+                new Obligations(
+                        rules.get("cold_from").number(0.1),
                         rules.get("cold_ns").integer(30 * SECOND_NANOS),
                         rules.get("fall_multiple").number(2),
                         Math.max(1, rules.get("fall_ns").integer(SECOND_NANOS)),
                         Math.max(2, rules.get("must_ask_in_ns").integer(10 * SECOND_NANOS))),
-                config.get("request_classes").items().stream().map(Instance::requestClass).toList(),
+                config.get("request_classes").items().stream()
+                        .map(Instance::requestClass)
+                        .toList(),
                 config.get("tenants").items().stream().map(Instance::tenant).toList());
     }
 
     private static RequestClass requestClass(Json json) {
-        Repeat repeat = switch (json.get("repeat").text("")) {
-            case "pure" -> Repeat.PURE;
-            case "token" -> Repeat.TOKEN;
-            default -> Repeat.SIDE_EFFECT;
-        };
-        Scope scope = switch (json.get("key_scope").text("")) {
-            case "all" -> Scope.ALL;
-            case "zone" -> Scope.ZONE;
-            default -> Scope.CELL;
-        };
-        return new RequestClass(json.get("name").text(""), json.get("aim_ns").integer(SECOND_NANOS),
-                json.get("aim_stretch").number(0), repeat, scope, json.get("memory_span_ns").integer(0),
+        Repeat repeat =
+                switch (json.get("repeat").text("")) {
+                    case "pure" -> Repeat.PURE;
+                    case "token" -> Repeat.TOKEN;
+                    default -> Repeat.SIDE_EFFECT;
+                };
+        Scope scope =
+                switch (json.get("key_scope").text("")) {
+                    case "all" -> Scope.ALL;
+                    case "zone" -> Scope.ZONE;
+                    default -> Scope.CELL;
+                };
+        return new RequestClass(
+                json.get("name").text(""),
+                json.get("aim_ns").integer(SECOND_NANOS),
+                json.get("aim_stretch").number(0),
+                repeat,
+                scope,
+                json.get("memory_span_ns").integer(0),
                 json.get("worth").number(1),
                 json.get("late_worth").number(0));
     }
 
     private static Tenant tenant(Json json) {
-        return new Tenant(json.get("name").text(""), json.get("fraction").number(0),
+        return new Tenant(
+                json.get("name").text(""),
+                json.get("fraction").number(0),
                 json.get("quota_per_s").number(0));
     }
 
--- a/proxy/src/main/java/burlarch/wire/ReplyWriter.java
+++ b/proxy/src/main/java/burlarch/wire/ReplyWriter.java
@@ -75,8 +75,7 @@
 
     /** The simulator's wire has no such action: its connections close as they do. */
     @Override
-    public void trim(long server, long idleNanos) {
-    }
+    public void trim(long server, long idleNanos) {}
 
     @Override
     public void letGo(long server) {
--- a/proxy/src/main/java/burlarch/wire/WireHost.java
+++ b/proxy/src/main/java/burlarch/wire/WireHost.java
@@ -2,7 +2,6 @@
 
 import static burlarch.wire.Instance.number;
 
-import burlarch.decisions.Api;
 import burlarch.decisions.Api.Ended;
 import burlarch.decisions.Api.ListKind;
 import burlarch.decisions.Api.Outcome;
@@ -32,9 +31,8 @@
     private final Event event = new Event();
 
     /** A list entry with the wire's names: each instance numbers them by its own settings. */
-    private record ListedServer(long id, long bootNanos, double size, int cell, Stage stage, String model,
-            String zone) {
-    }
+    private record ListedServer(
+            long id, long bootNanos, double size, int cell, Stage stage, String model, String zone) {}
 
     /** The fields of the event being read; only those that its kind has are set. */
     private static final class Event {
@@ -187,7 +185,8 @@
     /** A seed may use all 64 bits, unsigned. */
     private static long seed(JsonParser in) throws IOException {
         return in.getNumberType() == JsonParser.NumberType.BIG_INTEGER
-                ? in.getBigIntegerValue().longValue() : in.getLongValue();
+                ? in.getBigIntegerValue().longValue()
+                : in.getLongValue();
     }
 
     private static List<ListedServer> rows(JsonParser in) throws IOException {
@@ -197,14 +196,20 @@
         }
         while (in.nextToken() != JsonToken.END_ARRAY) {
             Json row = Json.read(in);
-            Stage stage = switch (row.get("stage_state").text("")) {
-                case "IN" -> Stage.IN;
-                case "OUT" -> Stage.OUT;
-                default -> Stage.LAME;
-            };
-            rows.add(new ListedServer(row.get("node").integer(0), row.get("boot_time_ns").integer(0),
-                    Math.max(1e-9, row.get("scale").number(1)), (int) row.get("stripe").integer(0), stage,
-                    row.get("generation_hw").text(""), row.get("az").text("")));
+            Stage stage =
+                    switch (row.get("stage_state").text("")) {
+                        case "IN" -> Stage.IN;
+                        case "OUT" -> Stage.OUT;
+                        default -> Stage.LAME;
+                    };
+            rows.add(new ListedServer(
+                    row.get("node").integer(0),
+                    row.get("boot_time_ns").integer(0),
+                    Math.max(1e-9, row.get("scale").number(1)),
+                    (int) row.get("stripe").integer(0),
+                    stage,
+                    row.get("generation_hw").text(""),
+                    row.get("az").text("")));
         }
         return rows;
     }
@@ -217,8 +222,7 @@
                 if (event.config == null) {
                     throw new IOException("settings are missing");
                 }
-                guarded(name, out, () ->
-                        instances.put(event.who, new Instance(event.config, event.seed, writer)));
+                guarded(name, out, () -> instances.put(event.who, new Instance(event.config, event.seed, writer)));
             }
             case "SHUTDOWN" -> instances.remove(event.who);
             default -> {
@@ -241,20 +245,28 @@
 
     private void deliver(String name, long nowNanos, Instance instance) {
         switch (name) {
-            case "QUERY" -> instance.policy.onRequest(nowNanos, new Request(event.ref,
-                    number(instance.classes, event.profile), number(instance.tenants, event.tenant),
-                    event.key != null, event.key == null ? 0 : digest(event.key), event.deadlineNanos,
-                    (event.bits & KNOWN_WORK) != 0 ? event.workNanos : 0, (event.bits & WRITE) != 0));
+            case "QUERY" -> instance.policy.onRequest(
+                    nowNanos,
+                    new Request(
+                            event.ref,
+                            number(instance.classes, event.profile),
+                            number(instance.tenants, event.tenant),
+                            event.key != null,
+                            event.key == null ? 0 : digest(event.key),
+                            event.deadlineNanos,
+                            (event.bits & KNOWN_WORK) != 0 ? event.workNanos : 0,
+                            (event.bits & WRITE) != 0));
             case "REPLY" -> {
                 Outcome outcome = outcome(event.code);
-                instance.policy.onEnded(nowNanos, new Ended(event.ref, event.attempt, event.node, outcome,
-                        event.complete, event.elapsedNanos));
+                instance.policy.onEnded(
+                        nowNanos,
+                        new Ended(event.ref, event.attempt, event.node, outcome, event.complete, event.elapsedNanos));
             }
             case "HEAD_RECEIVED" -> instance.policy.onStarted(nowNanos, event.ref);
             case "LEFT" -> instance.policy.onGone(nowNanos, event.ref);
             case "TIMEOUT_FIRED" -> instance.policy.onTimer(nowNanos, timer(event.token));
             case "FLEET" -> fleet(nowNanos, instance);
-            default -> { }
+            default -> {}
         }
     }
 
@@ -278,21 +290,28 @@
     }
 
     private void fleet(long nowNanos, Instance instance) {
-        ListKind kind = switch (event.kind == null ? "" : event.kind) {
-            case "update" -> ListKind.UPDATE;
-            case "replace" -> ListKind.REPLACE;
-            case "restored" -> ListKind.RESTORED;
-            case "unavailable" -> ListKind.UNAVAILABLE;
-            default -> null;
-        };
+        ListKind kind =
+                switch (event.kind == null ? "" : event.kind) {
+                    case "update" -> ListKind.UPDATE;
+                    case "replace" -> ListKind.REPLACE;
+                    case "restored" -> ListKind.RESTORED;
+                    case "unavailable" -> ListKind.UNAVAILABLE;
+                    default -> null;
+                };
         if (kind == null) {
             return;
         }
         List<Server> servers = new ArrayList<>();
         if (kind != ListKind.UNAVAILABLE) {
             for (ListedServer row : tables.getOrDefault(event.table, List.of())) {
-                servers.add(new Server(row.id, row.bootNanos, row.size, row.cell, row.stage,
-                        number(instance.models, row.model), number(instance.zones, row.zone)));
+                servers.add(new Server(
+                        row.id,
+                        row.bootNanos,
+                        row.size,
+                        row.cell,
+                        row.stage,
+                        number(instance.models, row.model),
+                        number(instance.zones, row.zone)));
             }
         }
         instance.policy.onList(nowNanos, kind, servers);
--- a/proxy/src/test/java/burlarch/proxy/BrokenConnectionsTest.java
+++ b/proxy/src/test/java/burlarch/proxy/BrokenConnectionsTest.java
@@ -15,6 +15,7 @@
 class BrokenConnectionsTest {
     /** Together fewer than the offers that a throttle takes at once at the capacity it starts with. */
     private static final int RESETS = 5;
+
     private static final int ORDERS = 12;
     private static final int AT_ONCE = 4;
 
--- a/proxy/src/test/java/burlarch/proxy/DrainTimesTest.java
+++ b/proxy/src/test/java/burlarch/proxy/DrainTimesTest.java
@@ -9,6 +9,7 @@
 class DrainTimesTest {
     /** The most that a loop was seen to be behind at half a core, and a little for the end itself. */
     private static final long SEEN_BEHIND_MS = 214;
+
     private static final long END_MS = 30;
 
     @ParameterizedTest
--- a/routing/src/main/java/burlarch/routing/Admission.java
+++ b/routing/src/main/java/burlarch/routing/Admission.java
@@ -13,6 +13,7 @@
 final class Admission {
     /** W of the most urgent rank, more for each rank below, and the most. */
     private static final double WINDOW_BEST = 10;
+
     private static final double WINDOW_PER_RANK = 2.5;
     private static final double WINDOW_MOST = 20;
     /** W for each tenant at least, so that one offer alone lies within an equal share. */
@@ -21,6 +22,7 @@
     private static final double BATCH = 16;
     /** Routers get uneven shares of the clients. */
     private static final double HEADROOM = 2;
+
     private static final double FLEET_FLOOR_PER_SECOND = 20;
     private static final long SHORTEST_RETRY_MILLIS = 50;
     private static final long LONGEST_RETRY_MILLIS = 2_000;
--- a/routing/src/main/java/burlarch/routing/CacheSalt.java
+++ b/routing/src/main/java/burlarch/routing/CacheSalt.java
@@ -12,8 +12,7 @@
     private static final char SEPARATOR = '|';
     private static final long MIX = 0xC2B2AE3D27D4EB4FL;
 
-    private CacheSalt() {
-    }
+    private CacheSalt() {}
 
     /**
      * The salt of a request at one engine.
--- a/routing/src/main/java/burlarch/routing/Candidates.java
+++ b/routing/src/main/java/burlarch/routing/Candidates.java
@@ -12,10 +12,9 @@
     private final List<Engine> doubted = new ArrayList<>();
 
     /** The instances for this attempt; the list is reused by the next call. Empty where none is ready. */
-    List<Engine> of(ServiceState service, RouteRequest request, AttemptHistory.Tried tried, long graceNanos,
-            long nowNanos) {
-        long least = request.model() == null ? 0
-                : service.leastVersion(request.model(), graceNanos, nowNanos);
+    List<Engine> of(
+            ServiceState service, RouteRequest request, AttemptHistory.Tried tried, long graceNanos, long nowNanos) {
+        long least = request.model() == null ? 0 : service.leastVersion(request.model(), graceNanos, nowNanos);
         collect(service, request, tried, least, nowNanos);
         if (usable.isEmpty() && least > 0) {
             // The new weights are nowhere: what brings them is broken, and serving goes on.
@@ -24,13 +23,15 @@
         return usable;
     }
 
-    private void collect(ServiceState service, RouteRequest request, AttemptHistory.Tried tried, long least,
-            long nowNanos) {
+    private void collect(
+            ServiceState service, RouteRequest request, AttemptHistory.Tried tried, long least, long nowNanos) {
         usable.clear();
         doubted.clear();
         for (int i = 0; i < service.engines.size(); i++) {
             Engine engine = service.engines.get(i);
-            if (!engine.isReady() || tried.contains(engine.id) || !engine.serves(request.model())
+            if (!engine.isReady()
+                    || tried.contains(engine.id)
+                    || !engine.serves(request.model())
                     || least > 0 && isBehind(engine, request.model(), least)) {
                 continue;
             }
@@ -54,8 +55,8 @@
             Engine next = null;
             for (int i = 0; i < doubted.size(); i++) {
                 Engine engine = doubted.get(i);
-                if ((unreachableToo || !engine.health.unreachable()) && (next == null
-                        || engine.health.outUntilNanos() - next.health.outUntilNanos() < 0)) {
+                if ((unreachableToo || !engine.health.unreachable())
+                        && (next == null || engine.health.outUntilNanos() - next.health.outUntilNanos() < 0)) {
                     next = engine;
                 }
             }
--- a/routing/src/main/java/burlarch/routing/CostModel.java
+++ b/routing/src/main/java/burlarch/routing/CostModel.java
@@ -45,8 +45,7 @@
     /** Part of the most tokens that a request is taken to put out. */
     static final double OUTPUT_SHARE = 0.5;
 
-    private CostModel() {
-    }
+    private CostModel() {}
 
     /** The time within which a request earns its full worth, from now; may be below 0. */
     static long aimLeftNanos(RouteRequest request, long nowNanos) {
--- a/routing/src/main/java/burlarch/routing/Engine.java
+++ b/routing/src/main/java/burlarch/routing/Engine.java
@@ -51,7 +51,8 @@
 
     /** Whether under half of its places are taken, nothing is known to wait and it has read little. */
     boolean isFree(long nowNanos) {
-        return load.requests(nowNanos) < load.slots() / 2.0 && !load.hasQueue(nowNanos)
+        return load.requests(nowNanos) < load.slots() / 2.0
+                && !load.hasQueue(nowNanos)
                 && reading.load(nowNanos) < FREE_LOAD;
     }
 
--- a/routing/src/main/java/burlarch/routing/EngineLoad.java
+++ b/routing/src/main/java/burlarch/routing/EngineLoad.java
@@ -10,6 +10,7 @@
     private static final double WAIT_FADE_NANOS = 8e8;
     /** How long the same tells that places there are not free for sure. */
     private static final double STRAIN_FADE_NANOS = 2e9;
+
     private static final double WAIT_GAIN = 0.5;
     private static final double UNREAD_PART = 0.5;
     /** Shorter waits are noise, or one prompt that was being read. */
@@ -20,6 +21,7 @@
     private double backlogTokens;
     /** Prompt tokens of our requests whose first event has not come. */
     private long unreadTokens;
+
     private int unread;
     private long backlogAtNanos;
     private double others;
@@ -137,8 +139,7 @@
      * @param oursUnread those of them whose first event had not come
      * @param meanTokensToRead of a request, for those that wait there
      */
-    void onTold(ServerLoad told, int ours, int oursUnread, double meanTokensToRead, EngineSpeed speed,
-            long atNanos) {
+    void onTold(ServerLoad told, int ours, int oursUnread, double meanTokensToRead, EngineSpeed speed, long atNanos) {
         if (wasTold && atNanos - othersAtNanos < 0) {
             return;
         }
--- a/routing/src/main/java/burlarch/routing/EngineSpeed.java
+++ b/routing/src/main/java/burlarch/routing/EngineSpeed.java
@@ -6,10 +6,12 @@
     private static final double MOST_RATE = 300;
     /** Quick requests are surer to have met nobody else: an estimate improves faster than it falls. */
     private static final double GAIN_FASTER = 0.2;
+
     private static final double GAIN_SLOWER = 0.04;
     private static final double FURTHEST = 2;
     /** Prompts that tell the base, and prompts that tell the rate. */
     private static final int SHORT_TOKENS = 400;
+
     private static final int LONG_TOKENS = 1_500;
 
     /** Samples from which an instance is taken at its own word. */
--- a/routing/src/main/java/burlarch/routing/FleetPlanner.java
+++ b/routing/src/main/java/burlarch/routing/FleetPlanner.java
@@ -24,6 +24,7 @@
     private static final int MOST_NEVER_RAN = 2;
     /** Instances announce themselves about every second: one that is new, or all of them to a new router. */
     private static final long NO_INSTANCE_RETRY_MILLIS = 800;
+
     private static final long BUSY_RETRY_MILLIS = 150;
     /** Part of the bound for new weights after which engines with old ones get nothing more. */
     private static final double VERSION_GRACE = 0.75;
@@ -76,8 +77,8 @@
     }
 
     private RetryBudget newBudget(long nowNanos) {
-        RetryBudget budget = new RetryBudget(settings.retryBudget(), settings.budgetWindowSeconds(),
-                settings.budgetSlack());
+        RetryBudget budget =
+                new RetryBudget(settings.retryBudget(), settings.budgetWindowSeconds(), settings.budgetSlack());
         budget.onRouters(liveRouters, nowNanos);
         return budget;
     }
@@ -92,8 +93,8 @@
         for (Instance instance : instances) {
             ids.add(instance.id());
             ServiceState service = services.get(instance.service());
-            Engine engine = engines.computeIfAbsent(instance.id(),
-                    id -> new Engine(instance, service == null ? null : service.speed));
+            Engine engine = engines.computeIfAbsent(
+                    instance.id(), id -> new Engine(instance, service == null ? null : service.speed));
             engine.update(instance);
             if (service != null) {
                 service.engines.add(engine);
@@ -168,8 +169,8 @@
         if (nowNanos >= request.deadlineNanos()) {
             return new Placement.Refuse(BUSY_RETRY_MILLIS, "deadline passed");
         }
-        List<Engine> usable = candidates.of(service, request, tried,
-                (long) (settings.versionMillis() * 1e6 * VERSION_GRACE), nowNanos);
+        List<Engine> usable = candidates.of(
+                service, request, tried, (long) (settings.versionMillis() * 1e6 * VERSION_GRACE), nowNanos);
         if (usable.isEmpty()) {
             return noInstance(request, "no instance is ready", nowNanos);
         }
@@ -189,8 +190,8 @@
     }
 
     /** Whether and why a further attempt is not allowed, else null. */
-    private static Placement.Refuse further(RouteRequest request, ServiceState service,
-            AttemptHistory.Tried tried, int attempt, long nowNanos) {
+    private static Placement.Refuse further(
+            RouteRequest request, ServiceState service, AttemptHistory.Tried tried, int attempt, long nowNanos) {
         int ran = tried == AttemptHistory.NOTHING ? attempt : tried.mayHaveRun();
         int tries = Math.max(1, request.route().retries());
         if (ran > 0 && !mayRepeat(request.route())) {
@@ -206,25 +207,29 @@
     }
 
     private static boolean mayRepeat(Route route) {
-        return route.type() == RouteType.IDEMPOTENT
-                || route.type() == RouteType.STREAMING && route.resumable();
+        return route.type() == RouteType.IDEMPOTENT || route.type() == RouteType.STREAMING && route.resumable();
     }
 
-    private Placement placePlain(RouteRequest request, ServiceState service, List<Engine> usable,
-            int attempt, long nowNanos) {
+    private Placement placePlain(
+            RouteRequest request, ServiceState service, List<Engine> usable, int attempt, long nowNanos) {
         Choice choice = plain.choose(request, usable, nowNanos);
         if (attempt == 0 && hopeless(request, service, choice.predictedNanos, nowNanos)) {
             return busy(request, choice.predictedNanos, nowNanos);
         }
-        Placement.Send send = new Placement.Send(choice.engine.instance(), null,
-                choice.engine.version(request.model()), null, null, priority(request),
+        Placement.Send send = new Placement.Send(
+                choice.engine.instance(),
+                null,
+                choice.engine.version(request.model()),
+                null,
+                null,
+                priority(request),
                 (long) choice.predictedNanos);
         flights.prepare(send, new Flight(choice.engine, service, request));
         return send;
     }
 
-    private Placement placePrompt(RouteRequest request, ServiceState service, List<Engine> usable,
-            int attempt, long nowNanos) {
+    private Placement placePrompt(
+            RouteRequest request, ServiceState service, List<Engine> usable, int attempt, long nowNanos) {
         salts.begin(request);
         Choice choice = prompts.choose(request, service, usable, salts, nowNanos);
         if (attempt == 0 && hopeless(request, service, choice.predictedNanos, nowNanos)) {
@@ -237,15 +242,19 @@
         }
         Moves.Source source = moves.source(request, service, choice, salts, nowNanos);
         String salt = salts.text(choice.engine);
-        Placement.Send send = new Placement.Send(choice.engine.instance(), salt,
-                choice.engine.version(request.model()), source == null ? null : source.address(),
-                moves.saveTo(request, salt, nowNanos), priority(request), (long) choice.predictedNanos);
+        Placement.Send send = new Placement.Send(
+                choice.engine.instance(),
+                salt,
+                choice.engine.version(request.model()),
+                source == null ? null : source.address(),
+                moves.saveTo(request, salt, nowNanos),
+                priority(request),
+                (long) choice.predictedNanos);
         Flight flight = new Flight(choice.engine, service, request);
         flight.fetch = offered;
         flight.tokensToMove = source == null ? 0 : source.gained();
         flight.moveNanos = source == null ? 0 : source.nanos();
-        flight.tokensToRead = Math.max(0,
-                PromptScheduler.promptTokens(request) - choice.kept - flight.tokensToMove);
+        flight.tokensToRead = Math.max(0, PromptScheduler.promptTokens(request) - choice.kept - flight.tokensToMove);
         flight.memoryTokens = PromptScheduler.memoryTokens(request, choice.kept);
         flights.prepare(send, flight);
         return send;
@@ -256,15 +265,13 @@
         return service.admission.offer(request, service.bearableFetches() / liveRouters, nowNanos)
                 || service.hasSparePlaces(nowNanos)
                 || choice.engine.isFree(nowNanos)
-                && choice.predictedNanos < FREE_PART_OF_AIM * CostModel.aimLeftNanos(request, nowNanos);
+                        && choice.predictedNanos < FREE_PART_OF_AIM * CostModel.aimLeftNanos(request, nowNanos);
     }
 
     /** Whether the first event is expected too late to be worth a place that others could use. */
-    private boolean hopeless(RouteRequest request, ServiceState service, double predictedNanos,
-            long nowNanos) {
+    private boolean hopeless(RouteRequest request, ServiceState service, double predictedNanos, long nowNanos) {
         double aims = settings.refuseBeyondAims() * request.route().targetLatencyMillis() * 1e6;
-        boolean late = predictedNanos > request.deadlineNanos() - nowNanos
-                || aims > 0 && predictedNanos > aims;
+        boolean late = predictedNanos > request.deadlineNanos() - nowNanos || aims > 0 && predictedNanos > aims;
         return late && !service.hasSparePlaces(nowNanos);
     }
 
@@ -294,8 +301,8 @@
     }
 
     @Override
-    public void onEnded(RouteRequest request, Placement.Send send, AttemptOutcome outcome, ServerLoad load,
-            long nowNanos) {
+    public void onEnded(
+            RouteRequest request, Placement.Send send, AttemptOutcome outcome, ServerLoad load, long nowNanos) {
         flights.onEnded(request, send, outcome, load, nowNanos);
     }
 }
--- a/routing/src/main/java/burlarch/routing/Flight.java
+++ b/routing/src/main/java/burlarch/routing/Flight.java
@@ -10,6 +10,7 @@
     boolean fetch;
     /** Prompt tokens that the engine reads, and those that it moves in. */
     int tokensToRead;
+
     int tokensToMove;
     long moveNanos;
     double memoryTokens;
@@ -20,6 +21,7 @@
     boolean alone;
     /** When silence begins to tell of a queue. */
     long overdueNanos;
+
     long firstNanos;
     boolean hasEnded;
     int oursAtFirst;
--- a/routing/src/main/java/burlarch/routing/FlightLog.java
+++ b/routing/src/main/java/burlarch/routing/FlightLog.java
@@ -57,8 +57,8 @@
             flight.service.budget.onFurther(nowNanos);
         }
         out.put(send, flight);
-        flight.overdueNanos = nowNanos + (long) (flight.ownNanos()
-                + PATIENCE * request.route().targetLatencyMillis() * 1e6);
+        flight.overdueNanos = nowNanos
+                + (long) (flight.ownNanos() + PATIENCE * request.route().targetLatencyMillis() * 1e6);
         awaited.add(flight);
     }
 
@@ -126,8 +126,7 @@
         }
     }
 
-    void onEnded(RouteRequest request, Placement.Send send, AttemptOutcome outcome, ServerLoad told,
-            long nowNanos) {
+    void onEnded(RouteRequest request, Placement.Send send, AttemptOutcome outcome, ServerLoad told, long nowNanos) {
         Flight flight = out.remove(send);
         if (flight == null) {
             return;
@@ -139,9 +138,13 @@
         }
         if (told != null) {
             boolean begun = flight.hasBegun();
-            engine.load.onTold(told, begun ? flight.oursAtFirst : engine.load.inFlight(),
+            engine.load.onTold(
+                    told,
+                    begun ? flight.oursAtFirst : engine.load.inFlight(),
                     begun ? flight.unreadAtFirst : engine.load.unread(),
-                    flight.service.meanTokensToRead(), engine.speed, begun ? flight.firstNanos : nowNanos);
+                    flight.service.meanTokensToRead(),
+                    engine.speed,
+                    begun ? flight.firstNanos : nowNanos);
         }
         engine.load.onEnded(flight.memoryTokens);
         if (outcome.neverRan()) {
@@ -155,8 +158,7 @@
         }
         teachThrottle(request, flight, outcome, nowNanos);
         boolean corrected = outcome == AttemptOutcome.MISDIRECTED && correctVersion(request, flight);
-        engine.health.onEnded(corrected ? AttemptOutcome.CANCELLED : outcome, flight.trial, flight.sentNanos,
-                nowNanos);
+        engine.health.onEnded(corrected ? AttemptOutcome.CANCELLED : outcome, flight.trial, flight.sentNanos, nowNanos);
         history.onEnded(request.id(), corrected ? null : engine.id, outcome);
     }
 
@@ -169,8 +171,7 @@
     }
 
     /** A first event has taught already. What never arrived takes its offer back. */
-    private static void teachThrottle(RouteRequest request, Flight flight, AttemptOutcome outcome,
-            long nowNanos) {
+    private static void teachThrottle(RouteRequest request, Flight flight, AttemptOutcome outcome, long nowNanos) {
         if (!flight.fetch || flight.hasBegun()) {
             return;
         }
@@ -178,8 +179,7 @@
         boolean late = elapsed > request.route().targetLatencyMillis() * 1_000_000L;
         switch (outcome) {
             case ANSWERED -> flight.service.admission.onOutcome(flight.sentNanos, 0, true, nowNanos);
-            case NOT_CONNECTED, MISDIRECTED ->
-                    flight.service.admission.withdraw(request, elapsed);
+            case NOT_CONNECTED, MISDIRECTED -> flight.service.admission.withdraw(request, elapsed);
             case CANCELLED -> {
                 if (late) {
                     flight.service.admission.onOutcome(flight.sentNanos, 1, false, nowNanos);
--- a/routing/src/main/java/burlarch/routing/Health.java
+++ b/routing/src/main/java/burlarch/routing/Health.java
@@ -7,6 +7,7 @@
 final class Health {
     /** Failures are weighed by how surely they tell of the instance and not of one request. */
     private static final int DOUBT_AT = 6;
+
     private static final int NOT_CONNECTED_WEIGHT = 6;
     private static final int BROKEN_WEIGHT = 3;
     private static final int FAILED_WEIGHT = 2;
@@ -74,7 +75,7 @@
             case MISDIRECTED, BROKEN, TIMED_OUT -> onFailure(BROKEN_WEIGHT, false, sentNanos, nowNanos);
             case NOT_CONNECTED -> onFailure(NOT_CONNECTED_WEIGHT, true, sentNanos, nowNanos);
             case FAILED -> onFailure(FAILED_WEIGHT, false, sentNanos, nowNanos);
-            case CANCELLED -> { }
+            case CANCELLED -> {}
         }
     }
 
--- a/routing/src/main/java/burlarch/routing/Moves.java
+++ b/routing/src/main/java/burlarch/routing/Moves.java
@@ -14,19 +14,20 @@
 final class Moves {
     /** A source from which so many moves in turn took this much longer than they should is taken for dead. */
     private static final long DEAD_NANOS = 200_000_000L;
+
     private static final int DEAD_MOVES = 2;
     private static final long SUSPECT_NANOS = 3_000_000_000L;
     private static final int MOST_LATE = 256;
 
     /** A source that was found. {@code gained} tokens beyond those that the engine keeps itself. */
-    record Source(String address, int gained, long nanos) {
-    }
+    record Source(String address, int gained, long nanos) {}
 
     private final PlannerSettings settings;
     private final PromptIndex index;
     private final List<Service> stores = new ArrayList<>();
     /** By address. */
     private final Map<String, StoreWatch> watches = new HashMap<>();
+
     private final Map<String, Integer> late = new HashMap<>();
     private final Map<String, Long> suspectUntil = new HashMap<>();
 
@@ -63,7 +64,8 @@
         List<PromptPart> parts = request.parts();
         long salt = salts.hash(choice.engine);
         if (PromptScheduler.promptTokens(request) - choice.kept < CostModel.MOVE_TOKENS
-                || parts.isEmpty() || choice.engine.version(request.model()) == 0) {
+                || parts.isEmpty()
+                || choice.engine.version(request.model()) == 0) {
             return null;
         }
         long aimLeft = CostModel.aimLeftNanos(request, nowNanos);
@@ -72,8 +74,7 @@
         for (int i = 0; i < stores.size() + service.engines.size(); i++) {
             Source source = i < stores.size()
                     ? fromStore(stores.get(i), service, choice, salt, parts, nowNanos)
-                    : fromEngine(service.engines.get(i - stores.size()), service, choice, salt, request,
-                            nowNanos);
+                    : fromEngine(service.engines.get(i - stores.size()), service, choice, salt, request, nowNanos);
             if (source == null || isSuspect(source.address(), nowNanos)) {
                 continue;
             }
@@ -91,7 +92,8 @@
     private Source byChance(List<PromptPart> parts, long nowNanos) {
         if (PromptScheduler.sharedTokens(parts) >= CostModel.CHANCE_TOKENS) {
             for (int i = 0; i < stores.size(); i++) {
-                if (index.size(stores.get(i).name()) > 0 && !isSuspect(stores.get(i).kvStore(), nowNanos)) {
+                if (index.size(stores.get(i).name()) > 0
+                        && !isSuspect(stores.get(i).kvStore(), nowNanos)) {
                     return new Source(stores.get(i).kvStore(), 0, 0);
                 }
             }
@@ -111,33 +113,42 @@
         return most;
     }
 
-    private Source fromStore(Service store, ServiceState service, Choice choice, long salt,
-            List<PromptPart> parts, long nowNanos) {
+    private Source fromStore(
+            Service store, ServiceState service, Choice choice, long salt, List<PromptPart> parts, long nowNanos) {
         int gained = index.confirmedPrefixTokens(store.name(), salt, parts, nowNanos) - choice.kept;
-        double link = store.linkMbps() > 0 ? Math.min(store.linkMbps(), service.linkMbps())
-                : service.linkMbps();
+        double link = store.linkMbps() > 0 ? Math.min(store.linkMbps(), service.linkMbps()) : service.linkMbps();
         return made(store.kvStore(), store.zone(), gained, link, service, choice, nowNanos);
     }
 
-    private Source fromEngine(Engine engine, ServiceState service, Choice choice, long salt,
-            RouteRequest request, long nowNanos) {
-        if (engine == choice.engine || engine.health.inDoubt()
+    private Source fromEngine(
+            Engine engine, ServiceState service, Choice choice, long salt, RouteRequest request, long nowNanos) {
+        if (engine == choice.engine
+                || engine.health.inDoubt()
                 || engine.version(request.model()) != choice.engine.version(request.model())) {
             return null;
         }
         int gained = index.confirmedPrefixTokens(engine.id, salt, request.parts(), nowNanos) - choice.kept;
-        return made(engine.instance().address(), engine.instance().zone(), gained, service.linkMbps(),
-                service, choice, nowNanos);
-    }
-
-    private Source made(String address, String zone, int gained, double link, ServiceState service,
-            Choice choice, long nowNanos) {
+        return made(
+                engine.instance().address(),
+                engine.instance().zone(),
+                gained,
+                service.linkMbps(),
+                service,
+                choice,
+                nowNanos);
+    }
+
+    private Source made(
+            String address, String zone, int gained, double link, ServiceState service, Choice choice, long nowNanos) {
         if (gained < CostModel.MOVE_TOKENS) {
             return null;
         }
         double distance = settings.distance(zone, choice.engine.instance().zone());
-        return new Source(address, gained, CostModel.moveNanos(gained, service.tokenBytes(), link, distance,
-                choice.engine.moves.slowness(nowNanos)));
+        return new Source(
+                address,
+                gained,
+                CostModel.moveNanos(
+                        gained, service.tokenBytes(), link, distance, choice.engine.moves.slowness(nowNanos)));
     }
 
     /** Address of the store that is to get the shared parts: those that are read again and it lacks. */
@@ -156,8 +167,11 @@
             if (kept + CostModel.FETCH_TOKENS >= shared) {
                 return null;
             }
-            nearest = nearest == null || settings.distance(store.zone(), settings.zone())
-                    < settings.distance(nearest.zone(), settings.zone()) ? store : nearest;
+            nearest = nearest == null
+                            || settings.distance(store.zone(), settings.zone())
+                                    < settings.distance(nearest.zone(), settings.zone())
+                    ? store
+                    : nearest;
         }
         return nearest.kvStore();
     }
--- a/routing/src/main/java/burlarch/routing/Placement.java
+++ b/routing/src/main/java/burlarch/routing/Placement.java
@@ -14,11 +14,16 @@
      * @param priority 0 (first) to 9
      * @param predictedFirstNanos how long the first event is expected to take
      */
-    record Send(Instance instance, String cacheSalt, long expectVersion, String kvFetch, String kvSave,
-            int priority, long predictedFirstNanos) implements Placement {
-    }
+    record Send(
+            Instance instance,
+            String cacheSalt,
+            long expectVersion,
+            String kvFetch,
+            String kvSave,
+            int priority,
+            long predictedFirstNanos)
+            implements Placement {}
 
     /** Refuse at once with 503 and a time to come back. */
-    record Refuse(long retryAfterMillis, String reason) implements Placement {
-    }
+    record Refuse(long retryAfterMillis, String reason) implements Placement {}
 }
--- a/routing/src/main/java/burlarch/routing/PlainScheduler.java
+++ b/routing/src/main/java/burlarch/routing/PlainScheduler.java
@@ -47,8 +47,7 @@
     /** Servers slow down as they fill: places taken count before the last one is. */
     private double cost(Engine engine, double predicted, long nowNanos) {
         double taken = engine.load.requests(nowNanos) / engine.load.slots();
-        double zone = settings.distance(settings.zone(), engine.instance().zone()) > 1
-                ? CostModel.OTHER_ZONE_NANOS : 0;
+        double zone = settings.distance(settings.zone(), engine.instance().zone()) > 1 ? CostModel.OTHER_ZONE_NANOS : 0;
         double queue = engine.load.hasQueue(nowNanos) ? 1 : 0;
         return predicted * (1 + taken + queue) + zone;
     }
--- a/routing/src/main/java/burlarch/routing/Planner.java
+++ b/routing/src/main/java/burlarch/routing/Planner.java
@@ -41,8 +41,7 @@
     void onFirstEvent(RouteRequest request, Placement.Send send, long nowNanos);
 
     /** The attempt is over. {@code load} null where the answer carried none. */
-    void onEnded(RouteRequest request, Placement.Send send, AttemptOutcome outcome, ServerLoad load,
-            long nowNanos);
+    void onEnded(RouteRequest request, Placement.Send send, AttemptOutcome outcome, ServerLoad load, long nowNanos);
 
     /** An answer or a refusal told which weights an instance has. */
     void onWeightsVersion(String instance, String model, long version, long nowNanos);
--- a/routing/src/main/java/burlarch/routing/PlannerSettings.java
+++ b/routing/src/main/java/burlarch/routing/PlannerSettings.java
@@ -14,16 +14,34 @@
  * @param priorities the Priority header for each rank 0, 1, ...; ranks beyond take the last
  * @param refuseBeyondAims a request whose first event would take so many aims is refused, 0 for never
  */
-public record PlannerSettings(String zone, Map<String, String> regionOfZone, double retryBudget,
-        double budgetWindowSeconds, double budgetSlack, long versionMillis, int[] priorities,
+public record PlannerSettings(
+        String zone,
+        Map<String, String> regionOfZone,
+        double retryBudget,
+        double budgetWindowSeconds,
+        double budgetSlack,
+        long versionMillis,
+        int[] priorities,
         double refuseBeyondAims) {
     private static final int LEAST_URGENT = 9;
 
     /** Ranks map to themselves, and nothing is refused for its aim's sake unless it is far out of reach. */
-    public static PlannerSettings of(String zone, Map<String, String> regionOfZone, double retryBudget,
-            double budgetWindowSeconds, double budgetSlack, long versionMillis) {
-        return new PlannerSettings(zone, regionOfZone, retryBudget, budgetWindowSeconds, budgetSlack,
-                versionMillis, new int[] {0, 1, 2, 3, 4, 5, 6, 7, 8, 9}, 1);
+    public static PlannerSettings of(
+            String zone,
+            Map<String, String> regionOfZone,
+            double retryBudget,
+            double budgetWindowSeconds,
+            double budgetSlack,
+            long versionMillis) {
+        return new PlannerSettings(
+                zone,
+                regionOfZone,
+                retryBudget,
+                budgetWindowSeconds,
+                budgetSlack,
+                versionMillis,
+                new int[] {0, 1, 2, 3, 4, 5, 6, 7, 8, 9},
+                1);
     }
 
     int priorityOf(int rank) {
--- a/routing/src/main/java/burlarch/routing/PromptScheduler.java
+++ b/routing/src/main/java/burlarch/routing/PromptScheduler.java
@@ -19,6 +19,7 @@
     private int[] known = new int[16];
     /** Those of them that can be moved: what is only just being read can not. */
     private int[] movable = new int[16];
+
     private long[] salted = new long[16];
     private double[] predicted = new double[16];
     private double[] cost = new double[16];
@@ -30,8 +31,7 @@
     }
 
     /** The best of the candidates, of which there is at least one. */
-    Choice choose(RouteRequest request, ServiceState service, List<Engine> candidates, Salts salts,
-            long nowNanos) {
+    Choice choose(RouteRequest request, ServiceState service, List<Engine> candidates, Salts salts, long nowNanos) {
         int size = candidates.size();
         ensureRoom(size);
         List<PromptPart> parts = request.parts();
@@ -69,8 +69,9 @@
             if (before == i) {
                 movable[i] = moves.storedTokens(salted[i], parts, nowNanos);
             }
-            int confirmed = kept[i] == 0 ? 0 : Math.min(kept[i],
-                    index.confirmedPrefixTokens(candidates.get(i).id, salted[i], parts, nowNanos));
+            int confirmed = kept[i] == 0
+                    ? 0
+                    : Math.min(kept[i], index.confirmedPrefixTokens(candidates.get(i).id, salted[i], parts, nowNanos));
             movable[before] = Math.max(movable[before], confirmed);
             known[before] = Math.max(known[before], Math.max(kept[i], movable[before]));
             most = Math.max(most, known[before]);
@@ -97,7 +98,9 @@
 
     static int promptTokens(RouteRequest request) {
         List<PromptPart> parts = request.parts();
-        int sum = parts.isEmpty() ? 0 : sharedTokens(parts) + parts.get(parts.size() - 1).tokens();
+        int sum = parts.isEmpty()
+                ? 0
+                : sharedTokens(parts) + parts.get(parts.size() - 1).tokens();
         return Math.max(sum, request.promptTokens());
     }
 
@@ -116,35 +119,41 @@
     private void weigh(RouteRequest request, ServiceState service, Engine engine, int i, long nowNanos) {
         int missing = Math.max(0, movable[i] - kept[i]);
         double readMissing = engine.speed.readNanos(missing);
-        double move = missing < CostModel.MOVE_TOKENS ? Double.MAX_VALUE : CostModel.moveNanos(missing,
-                service.tokenBytes(), service.linkMbps(), 2, engine.moves.slowness(nowNanos));
+        double move = missing < CostModel.MOVE_TOKENS
+                ? Double.MAX_VALUE
+                : CostModel.moveNanos(
+                        missing, service.tokenBytes(), service.linkMbps(), 2, engine.moves.slowness(nowNanos));
         boolean moves = CostModel.movePays(move, readMissing, CostModel.aimLeftNanos(request, nowNanos));
         int toRead = Math.max(0, promptTokens(request) - kept[i] - (moves ? missing : 0));
         double memory = memoryWait(request, service, engine, kept[i], nowNanos);
-        double first = engine.speed.baseNanos() + queueNanos(engine, nowNanos) + memory
-                + engine.speed.readNanos(toRead) + (moves ? move : 0);
+        double first = engine.speed.baseNanos()
+                + queueNanos(engine, nowNanos)
+                + memory
+                + engine.speed.readNanos(toRead)
+                + (moves ? move : 0);
         predicted[i] = engine.isWarmingUp() ? first * CostModel.WARM_UP : first;
         int again = known[i] - (moves ? Math.max(kept[i], movable[i]) : kept[i]);
         double waste = engine.speed.readNanos(again) * (CostModel.REREAD_WEIGHT - 1)
                 + (moves ? move * (CostModel.MOVE_WEIGHT - 1) : 0);
-        cost[i] = CostModel.firstEventCost(predicted[i], CostModel.aimLeftNanos(request, nowNanos)) + waste
+        cost[i] = CostModel.firstEventCost(predicted[i], CostModel.aimLeftNanos(request, nowNanos))
+                + waste
                 + memory * CostModel.MEMORY_WEIGHT
                 + engine.load.requests(nowNanos) * CostModel.RUNNING_NANOS
-                + (settings.distance(settings.zone(), engine.instance().zone()) > 1
-                        ? CostModel.OTHER_ZONE_NANOS : 0);
+                + (settings.distance(settings.zone(), engine.instance().zone()) > 1 ? CostModel.OTHER_ZONE_NANOS : 0);
     }
 
     private static double queueNanos(Engine engine, long nowNanos) {
         EngineLoad load = engine.load;
         double ahead = Math.max(0, load.requests(nowNanos) + 1 - load.slots());
         double reading = engine.speed.readNanos(load.backlogTokens(engine.speed, nowNanos));
-        return reading + Math.max(engine.reading.waitNanos(nowNanos), load.waitNanos(nowNanos))
+        return reading
+                + Math.max(engine.reading.waitNanos(nowNanos), load.waitNanos(nowNanos))
                 + engine.speed.serviceNanos() * ahead / load.slots();
     }
 
     /** Running requests free memory evenly over the time that one takes. */
-    private static double memoryWait(RouteRequest request, ServiceState service, Engine engine,
-            int keptThere, long nowNanos) {
+    private static double memoryWait(
+            RouteRequest request, ServiceState service, Engine engine, int keptThere, long nowNanos) {
         double used = engine.load.memoryTokens(service.meanMemoryTokens(), nowNanos);
         double over = used + memoryTokens(request, keptThere) - service.kvCapacity();
         if (service.kvCapacity() <= 0 || over <= 0 || used <= 0) {
--- a/routing/src/main/java/burlarch/routing/ReadingRate.java
+++ b/routing/src/main/java/burlarch/routing/ReadingRate.java
@@ -8,6 +8,7 @@
     private static final double FADE_NANOS = 5e8;
     /** Expected wait at a load of one half, about. */
     private static final double WAIT_NANOS = 8e7;
+
     private static final double FULL = 1.1;
 
     private double busyNanos;
--- a/routing/src/main/java/burlarch/routing/Rendezvous.java
+++ b/routing/src/main/java/burlarch/routing/Rendezvous.java
@@ -7,8 +7,7 @@
 final class Rendezvous {
     private static final double UNIT = 0x1.0p-53;
 
-    private Rendezvous() {
-    }
+    private Rendezvous() {}
 
     /** The weight of an instance, by the hash of its id, for a key. Compare as unsigned. */
     static long weight(long key, long instanceHash) {
--- a/routing/src/main/java/burlarch/routing/RetryBudget.java
+++ b/routing/src/main/java/burlarch/routing/RetryBudget.java
@@ -18,6 +18,7 @@
     private final long bucketNanos;
     /** One more bucket than the window: the oldest lies only partly within it, and counts against us. */
     private final int[] first = new int[BUCKETS + 1];
+
     private final int[] further = new int[BUCKETS + 1];
     private long current = Long.MIN_VALUE;
     private int live = 1;
--- a/routing/src/main/java/burlarch/routing/RouteRequest.java
+++ b/routing/src/main/java/burlarch/routing/RouteRequest.java
@@ -17,11 +17,18 @@
  * @param receivedNanos when it was read whole
  * @param deadlineNanos until when the client waits
  */
-public record RouteRequest(String id, Route route, Tenant tenant, String model, int promptTokens,
-        int maxOutputTokens, List<PromptPart> parts, boolean resumes, long receivedNanos,
+public record RouteRequest(
+        String id,
+        Route route,
+        Tenant tenant,
+        String model,
+        int promptTokens,
+        int maxOutputTokens,
+        List<PromptPart> parts,
+        boolean resumes,
+        long receivedNanos,
         long deadlineNanos) {
 
     /** A part of a prompt: its id as an unsigned number, and its length. */
-    public record PromptPart(long id, int tokens) {
-    }
+    public record PromptPart(long id, int tokens) {}
 }
--- a/routing/src/main/java/burlarch/routing/ServerLoad.java
+++ b/routing/src/main/java/burlarch/routing/ServerLoad.java
@@ -1,5 +1,4 @@
 package burlarch.routing;
 
 /** X-Server-Load of an answer: requests running, requests waiting, slots. */
-public record ServerLoad(int running, int waiting, int slots) {
-}
+public record ServerLoad(int running, int waiting, int slots) {}
--- a/routing/src/main/java/burlarch/routing/ServiceState.java
+++ b/routing/src/main/java/burlarch/routing/ServiceState.java
@@ -11,8 +11,7 @@
     private static final double MEAN_GAIN = 0.02;
     private static final double FETCH_GAIN = 0.1;
 
-    private record Seen(long version, long sinceNanos) {
-    }
+    private record Seen(long version, long sinceNanos) {}
 
     final String name;
     final EngineSpeed speed = new EngineSpeed();
--- a/routing/src/main/java/burlarch/routing/index/PartTable.java
+++ b/routing/src/main/java/burlarch/routing/index/PartTable.java
@@ -10,6 +10,7 @@
     private static final int SMALLEST = 16;
     /** Occupied places that an eviction looks at: near enough to the least recently used, at a fixed cost. */
     private static final int SAMPLE = 8;
+
     private static final long IN_PLACE_OF_ZERO = 0x5851F42D4C957F2DL;
 
     private final int mostParts;
--- a/routing/src/main/java/burlarch/routing/index/PromptIndex.java
+++ b/routing/src/main/java/burlarch/routing/index/PromptIndex.java
@@ -18,9 +18,11 @@
     private static final int BLOCK = 16;
     /** How long a guess stands that nobody confirms. */
     private static final int EXPECTED_TICKS = 40;
+
     private static final long TICK_NANOS = 100_000_000L;
     /** Parts for each so many tokens of a source's memory, within the two bounds. */
     private static final int TOKENS_PER_PART = 64;
+
     private static final int LEAST_PARTS = 256;
     private static final int MOST_PARTS = 16_384;
     /** What is assumed of a source of which the configuration tells nothing. */
@@ -33,8 +35,7 @@
 
         Source(long capacityTokens) {
             long parts = capacityTokens / TOKENS_PER_PART;
-            this.parts = new PartTable((int) Math.max(LEAST_PARTS, Math.min(MOST_PARTS, parts)),
-                    capacityTokens);
+            this.parts = new PartTable((int) Math.max(LEAST_PARTS, Math.min(MOST_PARTS, parts)), capacityTokens);
         }
     }
 
@@ -129,8 +130,7 @@
         for (int i = 0; i < parts.size(); i++) {
             PromptPart part = parts.get(i);
             if (part.tokens() > 0) {
-                known.parts.put(CacheSalt.key(saltHash, part.id()), part.tokens(), group, ticks(nowNanos),
-                        true);
+                known.parts.put(CacheSalt.key(saltHash, part.id()), part.tokens(), group, ticks(nowNanos), true);
             }
         }
     }
@@ -198,8 +198,7 @@
 
     private static int keptOf(Source source, long key, int guessTicks, int now) {
         int kept = source.parts.tokens(key);
-        boolean stale = kept > 0 && source.parts.isExpected(key)
-                && now - source.parts.touchedAt(key) > guessTicks;
+        boolean stale = kept > 0 && source.parts.isExpected(key) && now - source.parts.touchedAt(key) > guessTicks;
         return stale ? 0 : kept;
     }
 
