--- a/settings/src/main/java/burlarch/settings/Addresses.java
+++ b/settings/src/main/java/burlarch/settings/Addresses.java
@@ -6,8 +6,7 @@
 
 /** Addresses as they stand in files and lists. */
 public final class Addresses {
-    private Addresses() {
-    }
+    private Addresses() {}
 
     /** A literal address and a port, as {@code 10.0.0.4:8081}: there is no DNS, and a look-up would block. */
     public static InetSocketAddress parse(String hostPort) {
--- a/settings/src/main/java/burlarch/settings/OperatorFile.java
+++ b/settings/src/main/java/burlarch/settings/OperatorFile.java
@@ -86,10 +86,15 @@
     /** @param name of the file, for messages */
     public static OperatorFile parse(String name, String text) throws SettingsException {
         try {
-            return new OperatorFile(name, new TomlParser().parse(new StringReader(text)).valueMap());
+            return new OperatorFile(
+                    name, new TomlParser().parse(new StringReader(text)).valueMap());
         } catch (ParsingException e) {
             throw new SettingsException(name + ": not TOML: "
-                    + String.valueOf(e.getMessage()).lines().findFirst().orElse("").strip());
+                    + String.valueOf(e.getMessage())
+                            .lines()
+                            .findFirst()
+                            .orElse("")
+                            .strip());
         }
     }
 
@@ -105,8 +110,7 @@
         if (value != null && !(value instanceof UnmodifiableConfig)) {
             throw new SettingsException(name + ": " + table + " must be a table");
         }
-        Section section = new Section(name, table,
-                value == null ? Map.of() : ((UnmodifiableConfig) value).valueMap());
+        Section section = new Section(name, table, value == null ? Map.of() : ((UnmodifiableConfig) value).valueMap());
         sections.add(section);
         return section;
     }
@@ -121,8 +125,7 @@
         List<Section> found = new ArrayList<>();
         for (Object one : value instanceof List<?> list ? list : List.of(value)) {
             if (!(one instanceof UnmodifiableConfig config) || !(value instanceof List<?>)) {
-                throw new SettingsException(name + ": " + table + " must be tables, each begun by [["
-                        + table + "]]");
+                throw new SettingsException(name + ": " + table + " must be tables, each begun by [[" + table + "]]");
             }
             found.add(new Section(name, table + "[" + found.size() + "]", config.valueMap()));
         }
--- a/settings/src/main/java/burlarch/settings/Section.java
+++ b/settings/src/main/java/burlarch/settings/Section.java
@@ -117,7 +117,8 @@
         List<Integer> numbers = new ArrayList<>();
         for (Object one : value instanceof List<?> list ? list : List.of("")) {
             if (!(one instanceof Integer || one instanceof Long)
-                    || ((Number) one).longValue() < least || ((Number) one).longValue() > most) {
+                    || ((Number) one).longValue() < least
+                    || ((Number) one).longValue() > most) {
                 throw wrong(key, "must be a list of whole numbers from " + least + " to " + most);
             }
             numbers.add(((Number) one).intValue());
--- a/simulation/src/main/java/burlarch/simulation/Machine.java
+++ b/simulation/src/main/java/burlarch/simulation/Machine.java
@@ -9,8 +9,7 @@
     /** What waits in the sockets of a frozen process; more is lost. */
     private static final int MAX_WAITING = 1_000;
 
-    private record Waiting(String from, Object message) {
-    }
+    private record Waiting(String from, Object message) {}
 
     private final Simulation simulation;
     private final String name;
--- a/simulation/src/main/java/burlarch/simulation/SimulatedNode.java
+++ b/simulation/src/main/java/burlarch/simulation/SimulatedNode.java
@@ -12,6 +12,5 @@
     void onTimer(long now);
 
     /** The process is killed. What its kernel still sends for it may be sent from here. */
-    default void end() {
-    }
+    default void end() {}
 }
--- a/simulation/src/main/java/burlarch/simulation/Simulation.java
+++ b/simulation/src/main/java/burlarch/simulation/Simulation.java
@@ -25,8 +25,7 @@
     private final SimulatedNetwork network;
     private final Map<String, Machine> byName = new LinkedHashMap<>();
     private final Map<String, Machine> byAddress = new HashMap<>();
-    private Tap tap = (machine, message) -> {
-    };
+    private Tap tap = (machine, message) -> {};
 
     public Simulation(long seed, NetworkSettings settings) {
         random = new Random(seed);
--- a/simulation/src/main/java/burlarch/simulation/coordination/Calls.java
+++ b/simulation/src/main/java/burlarch/simulation/coordination/Calls.java
@@ -9,11 +9,9 @@
  * lost.
  */
 final class Calls {
-    private Calls() {
-    }
+    private Calls() {}
 
-    record ControlRequest(long id, ControlAction action) {
-    }
+    record ControlRequest(long id, ControlAction action) {}
 
     record ControlAnswer(long id, int status, byte[] body) {
         boolean succeeded() {
@@ -27,9 +25,7 @@
     }
 
     /** @param order null for a report */
-    record EngineRequest(long id, String instance, Order order) {
-    }
+    record EngineRequest(long id, String instance, Order order) {}
 
-    record EngineAnswer(long id, OrderResult result, EngineReport report) {
-    }
+    record EngineAnswer(long id, OrderResult result, EngineReport report) {}
 }
--- a/simulation/src/main/java/burlarch/simulation/coordination/Doubles.java
+++ b/simulation/src/main/java/burlarch/simulation/coordination/Doubles.java
@@ -14,8 +14,7 @@
 /** Parts of controllers and routers that a test may put others in place of; as they are, all is real. */
 public interface Doubles {
     /** Nothing is replaced. */
-    Doubles NONE = new Doubles() {
-    };
+    Doubles NONE = new Doubles() {};
 
     /** Whether disks sync what they say that they synced. */
     default boolean honestDisks() {
--- a/simulation/src/main/java/burlarch/simulation/coordination/EngineNode.java
+++ b/simulation/src/main/java/burlarch/simulation/coordination/EngineNode.java
@@ -30,6 +30,7 @@
     private static final long SHORTEST_PLAIN_LIFE = 20 * Simulation.SECOND;
     /** One instance in so many leaves without having drained. */
     private static final int ONE_SUDDEN_IN = 4;
+
     private static final long SERVES_ON = 2 * Simulation.SECOND;
     private static final long REUSE_AFTER = 2 * Simulation.SECOND;
     private static final long LOAD_NANOS = Simulation.SECOND;
@@ -51,8 +52,13 @@
     private boolean busy;
     private int lives;
 
-    private EngineNode(NodeContext context, Rules rules, Supplier<List<String>> controllers,
-            Supplier<Optional<String>> lure, Triggers triggers, boolean plain) {
+    private EngineNode(
+            NodeContext context,
+            Rules rules,
+            Supplier<List<String>> controllers,
+            Supplier<Optional<String>> lure,
+            Triggers triggers,
+            boolean plain) {
         this.context = context;
         this.rules = rules;
         this.lure = lure;
@@ -68,14 +74,22 @@
      * @param controllers addresses of all that are in use
      * @param lure the controller that this one reports to first, if any
      */
-    static EngineNode engine(NodeContext context, Rules rules, Supplier<List<String>> controllers,
-            Supplier<Optional<String>> lure, Triggers triggers) {
+    static EngineNode engine(
+            NodeContext context,
+            Rules rules,
+            Supplier<List<String>> controllers,
+            Supplier<Optional<String>> lure,
+            Triggers triggers) {
         return new EngineNode(context, rules, controllers, lure, triggers, false);
     }
 
     /** An instance without weights. Parameters as for {@link #engine}. */
-    static EngineNode plain(NodeContext context, Rules rules, Supplier<List<String>> controllers,
-            Supplier<Optional<String>> lure, Triggers triggers) {
+    static EngineNode plain(
+            NodeContext context,
+            Rules rules,
+            Supplier<List<String>> controllers,
+            Supplier<Optional<String>> lure,
+            Triggers triggers) {
         return new EngineNode(context, rules, controllers, lure, triggers, true);
     }
 
@@ -136,13 +150,21 @@
     private void onHeard(String announced, int life) {
         String controller = FleetPlan.controllerAt(caller.lastController());
         rules.instances().onAnnounced(announced, controller);
-        rules.routers().onHeard(announced, controller,
-                () -> life == lives && state == InstanceState.READY);
+        rules.routers().onHeard(announced, controller, () -> life == lives && state == InstanceState.READY);
     }
 
     private Instance instance() {
-        return new Instance(id, "service-1", context.address(), "zone", "v1", 8, state, 0,
-                plain ? List.of() : List.of(new ServedModel(MODEL, version)), ++sequence);
+        return new Instance(
+                id,
+                "service-1",
+                context.address(),
+                "zone",
+                "v1",
+                8,
+                state,
+                0,
+                plain ? List.of() : List.of(new ServedModel(MODEL, version)),
+                ++sequence);
     }
 
     private void drain() {
@@ -185,10 +207,15 @@
         } else if (message instanceof Signals.Drain) {
             end(lives);
         } else if (message instanceof EngineRequest request && state != InstanceState.GONE) {
-            context.send(from, request.order() == null
-                    ? new EngineAnswer(request.id(), null, new EngineReport(
-                            List.of(new ServedModel(MODEL, version)), busy, orders, 0, 0, 0, 1))
-                    : new EngineAnswer(request.id(), take(request.instance(), request.order()), null));
+            context.send(
+                    from,
+                    request.order() == null
+                            ? new EngineAnswer(
+                                    request.id(),
+                                    null,
+                                    new EngineReport(
+                                            List.of(new ServedModel(MODEL, version)), busy, orders, 0, 0, 0, 1))
+                            : new EngineAnswer(request.id(), take(request.instance(), request.order()), null));
         }
         loop.leave();
     }
--- a/simulation/src/main/java/burlarch/simulation/coordination/LossBudget.java
+++ b/simulation/src/main/java/burlarch/simulation/coordination/LossBudget.java
@@ -14,8 +14,7 @@
 
     private static final double STEP_SECONDS = 0.25;
 
-    private record Span(double from, double to, int controllers) {
-    }
+    private record Span(double from, double to, int controllers) {}
 
     private final int tolerance;
     private final List<Span> spans = new ArrayList<>();
--- a/simulation/src/main/java/burlarch/simulation/coordination/NetworkHarms.java
+++ b/simulation/src/main/java/burlarch/simulation/coordination/NetworkHarms.java
@@ -37,8 +37,8 @@
             settings = switch (harm.verb()) {
                 case "loss" -> settings.withLoss(Math.max(figure, settings.loss()));
                 case "duplicate" -> settings.withDuplication(Math.max(figure, settings.duplication()));
-                default -> settings.withDelay((long) (figure * Simulation.SECOND),
-                        (long) (Double.parseDouble(harm.word(1)) * Simulation.SECOND));
+                default -> settings.withDelay((long) (figure * Simulation.SECOND), (long)
+                        (Double.parseDouble(harm.word(1)) * Simulation.SECOND));
             };
         }
         simulation.network().change(settings);
--- a/simulation/src/main/java/burlarch/simulation/disk/DiskOperation.java
+++ b/simulation/src/main/java/burlarch/simulation/disk/DiskOperation.java
@@ -8,21 +8,15 @@
     /** When the caller got its answer. */
     long end();
 
-    record Create(long begin, long end, String name, int file) implements DiskOperation {
-    }
+    record Create(long begin, long end, String name, int file) implements DiskOperation {}
 
-    record Remove(long begin, long end, String name) implements DiskOperation {
-    }
+    record Remove(long begin, long end, String name) implements DiskOperation {}
 
-    record Write(long begin, long end, int file, int position, byte[] data) implements DiskOperation {
-    }
+    record Write(long begin, long end, int file, int position, byte[] data) implements DiskOperation {}
 
-    record Truncate(long begin, long end, int file, int size) implements DiskOperation {
-    }
+    record Truncate(long begin, long end, int file, int size) implements DiskOperation {}
 
-    record Force(long begin, long end, int file) implements DiskOperation {
-    }
+    record Force(long begin, long end, int file) implements DiskOperation {}
 
-    record SyncFolder(long begin, long end) implements DiskOperation {
-    }
+    record SyncFolder(long begin, long end) implements DiskOperation {}
 }
--- a/simulation/src/main/java/burlarch/simulation/link/DiskThread.java
+++ b/simulation/src/main/java/burlarch/simulation/link/DiskThread.java
@@ -18,6 +18,7 @@
     private final SimulatedDisk disk;
     /** From the loop's clock to the disk's. */
     private final long clockOffset;
+
     private final Deque<Runnable> waiting = new ArrayDeque<>();
     private boolean busy;
 
--- a/simulation/src/main/java/burlarch/simulation/link/Packet.java
+++ b/simulation/src/main/java/burlarch/simulation/link/Packet.java
@@ -10,5 +10,11 @@
  */
 public record Packet(Kind kind, long connection, boolean toDialer, long number, Object body) {
     /** What a packet is for. */
-    public enum Kind { OPEN, OPENED, DATA, ACKNOWLEDGEMENT, RESET }
+    public enum Kind {
+        OPEN,
+        OPENED,
+        DATA,
+        ACKNOWLEDGEMENT,
+        RESET
+    }
 }
--- a/standins/src/main/java/burlarch/standins/fleet/CatalogJson.java
+++ b/standins/src/main/java/burlarch/standins/fleet/CatalogJson.java
@@ -12,8 +12,7 @@
 final class CatalogJson {
     private static final JsonFactory FACTORY = new JsonFactory();
 
-    private CatalogJson() {
-    }
+    private CatalogJson() {}
 
     /** @param address of a member, as the asker reaches it */
     static String of(Catalog.Update update, Function<String, String> address) {
