--- a/fleet/src/main/java/burlarch/fleet/controller/AcceptorHost.java
+++ b/controller/src/main/java/burlarch/controller/AcceptorHost.java
@@ -1,4 +1,4 @@
-package burlarch.fleet.controller;
+package burlarch.controller;
 
 import burlarch.coordination.register.Acceptor;
 import burlarch.coordination.register.AcceptorState;
--- a/fleet/src/main/java/burlarch/fleet/controller/ConfigurationStream.java
+++ b/controller/src/main/java/burlarch/controller/ConfigurationStream.java
@@ -1,4 +1,4 @@
-package burlarch.fleet.controller;
+package burlarch.controller;
 
 import burlarch.transport.FrameCodec;
 import burlarch.transport.Link;
--- a/fleet/src/main/java/burlarch/fleet/controller/ControllerCore.java
+++ b/controller/src/main/java/burlarch/controller/ControllerCore.java
@@ -1,5 +1,7 @@
-package burlarch.fleet.controller;
+package burlarch.controller;
 
+import burlarch.controller.api.ControlService;
+import burlarch.controller.state.SystemState;
 import burlarch.coordination.membership.MemberChange;
 import burlarch.coordination.register.AcceptorSet;
 import burlarch.coordination.register.Ballot;
@@ -8,11 +10,9 @@
 import burlarch.coordination.registry.RegistrySettings;
 import burlarch.coordination.rollout.RolloutSettings;
 import burlarch.coordination.rollout.WeightsRollout;
-import burlarch.fleet.controller.api.ControlService;
-import burlarch.fleet.controller.state.SystemState;
-import burlarch.fleet.engine.EngineOrders;
-import burlarch.fleet.node.Membership;
-import burlarch.fleet.node.Roles;
+import burlarch.engine.EngineOrders;
+import burlarch.node.Membership;
+import burlarch.node.Roles;
 import burlarch.transport.LinkListener;
 import burlarch.transport.Links;
 import burlarch.transport.Loop;
--- a/fleet/src/main/java/burlarch/fleet/controller/ControllerMessages.java
+++ b/controller/src/main/java/burlarch/controller/ControllerMessages.java
@@ -1,8 +1,8 @@
-package burlarch.fleet.controller;
+package burlarch.controller;
 
 import burlarch.coordination.register.Ballot;
 import burlarch.coordination.register.RegisterValue;
-import burlarch.fleet.node.Roles;
+import burlarch.node.Roles;
 import burlarch.transport.Link;
 import burlarch.transport.LinkListener;
 import burlarch.transport.Loop;
--- a/fleet/src/main/java/burlarch/fleet/controller/ControllerParts.java
+++ b/controller/src/main/java/burlarch/controller/ControllerParts.java
@@ -1,4 +1,4 @@
-package burlarch.fleet.controller;
+package burlarch.controller;
 
 /** The parts of a controller that messages of other nodes reach. */
 record ControllerParts(
--- a/fleet/src/main/java/burlarch/fleet/controller/ControllerStorage.java
+++ b/controller/src/main/java/burlarch/controller/ControllerStorage.java
@@ -1,4 +1,4 @@
-package burlarch.fleet.controller;
+package burlarch.controller;
 
 import static java.nio.charset.StandardCharsets.UTF_8;
 
--- a/fleet/src/main/java/burlarch/fleet/controller/DecidedState.java
+++ b/controller/src/main/java/burlarch/controller/DecidedState.java
@@ -1,12 +1,12 @@
-package burlarch.fleet.controller;
+package burlarch.controller;
 
+import burlarch.controller.state.SystemState;
+import burlarch.controller.state.SystemStateCodec;
 import burlarch.coordination.register.AcceptorSetChange;
 import burlarch.coordination.register.Ballot;
 import burlarch.coordination.register.Belief;
 import burlarch.coordination.register.Member;
 import burlarch.coordination.register.RegisterValue;
-import burlarch.fleet.controller.state.SystemState;
-import burlarch.fleet.controller.state.SystemStateCodec;
 import java.util.ArrayList;
 import java.util.List;
 import org.tinylog.Logger;
--- a/fleet/src/main/java/burlarch/fleet/controller/Incarnations.java
+++ b/controller/src/main/java/burlarch/controller/Incarnations.java
@@ -1,4 +1,4 @@
-package burlarch.fleet.controller;
+package burlarch.controller;
 
 import java.security.SecureRandom;
 
--- a/fleet/src/main/java/burlarch/fleet/controller/InstanceFeed.java
+++ b/controller/src/main/java/burlarch/controller/InstanceFeed.java
@@ -1,4 +1,4 @@
-package burlarch.fleet.controller;
+package burlarch.controller;
 
 import burlarch.coordination.registry.Instance;
 import burlarch.coordination.registry.InstanceRegistry;
--- a/fleet/src/main/java/burlarch/fleet/controller/KeptForwarder.java
+++ b/controller/src/main/java/burlarch/controller/KeptForwarder.java
@@ -1,7 +1,7 @@
-package burlarch.fleet.controller;
+package burlarch.controller;
 
 import burlarch.coordination.ownership.ShardOwners;
-import burlarch.fleet.node.Roles;
+import burlarch.node.Roles;
 import burlarch.transport.FrameCodec;
 import burlarch.transport.Link;
 import burlarch.transport.Loop;
--- a/fleet/src/main/java/burlarch/fleet/controller/KnownControllers.java
+++ b/controller/src/main/java/burlarch/controller/KnownControllers.java
@@ -1,9 +1,9 @@
-package burlarch.fleet.controller;
+package burlarch.controller;
 
 import burlarch.coordination.membership.MemberChange;
 import burlarch.coordination.membership.MemberInfo;
 import burlarch.coordination.membership.MemberState;
-import burlarch.fleet.node.Roles;
+import burlarch.node.Roles;
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
--- a/fleet/src/main/java/burlarch/fleet/controller/OperatorCalls.java
+++ b/controller/src/main/java/burlarch/controller/OperatorCalls.java
@@ -1,17 +1,17 @@
-package burlarch.fleet.controller;
+package burlarch.controller;
 
 import burlarch.configuration.ConfigurationDocument;
 import burlarch.configuration.ConfigurationPatch;
 import burlarch.configuration.InvalidConfiguration;
+import burlarch.controller.api.ControlService;
+import burlarch.controller.state.ChangeResult;
+import burlarch.controller.state.StateChanges;
+import burlarch.controller.state.SystemState;
 import burlarch.coordination.registry.Instance;
 import burlarch.coordination.registry.InstanceState;
-import burlarch.fleet.controller.api.ControlService;
-import burlarch.fleet.controller.state.ChangeResult;
-import burlarch.fleet.controller.state.StateChanges;
-import burlarch.fleet.controller.state.SystemState;
-import burlarch.fleet.error.ErrorKind;
-import burlarch.fleet.error.FleetException;
-import burlarch.fleet.error.Problem;
+import burlarch.node.error.ErrorKind;
+import burlarch.node.error.FleetException;
+import burlarch.node.error.Problem;
 import burlarch.transport.Loop;
 import java.util.List;
 import java.util.concurrent.CompletableFuture;
--- a/fleet/src/main/java/burlarch/fleet/controller/OwnerWatch.java
+++ b/controller/src/main/java/burlarch/controller/OwnerWatch.java
@@ -1,4 +1,4 @@
-package burlarch.fleet.controller;
+package burlarch.controller;
 
 import burlarch.coordination.membership.MemberState;
 import java.util.ArrayList;
--- a/fleet/src/main/java/burlarch/fleet/controller/OwnershipKeeper.java
+++ b/controller/src/main/java/burlarch/controller/OwnershipKeeper.java
@@ -1,11 +1,11 @@
-package burlarch.fleet.controller;
+package burlarch.controller;
 
+import burlarch.controller.state.Lease;
+import burlarch.controller.state.StateChanges;
+import burlarch.controller.state.SystemState;
 import burlarch.coordination.ownership.LeaseState;
 import burlarch.coordination.ownership.OwnershipLease;
 import burlarch.coordination.ownership.ShardOwners;
-import burlarch.fleet.controller.state.Lease;
-import burlarch.fleet.controller.state.StateChanges;
-import burlarch.fleet.controller.state.SystemState;
 import burlarch.transport.Loop;
 import java.util.List;
 import java.util.function.BooleanSupplier;
--- a/fleet/src/main/java/burlarch/fleet/controller/QuorumWatch.java
+++ b/controller/src/main/java/burlarch/controller/QuorumWatch.java
@@ -1,4 +1,4 @@
-package burlarch.fleet.controller;
+package burlarch.controller;
 
 import burlarch.coordination.ownership.QuorumContact;
 import burlarch.coordination.register.AcceptorSet;
--- a/fleet/src/main/java/burlarch/fleet/controller/Register.java
+++ b/controller/src/main/java/burlarch/controller/Register.java
@@ -1,4 +1,4 @@
-package burlarch.fleet.controller;
+package burlarch.controller;
 
 import burlarch.coordination.register.ProposalResult;
 import burlarch.coordination.register.RegisterChange;
--- a/fleet/src/main/java/burlarch/fleet/controller/RouterPublisher.java
+++ b/controller/src/main/java/burlarch/controller/RouterPublisher.java
@@ -1,10 +1,10 @@
-package burlarch.fleet.controller;
+package burlarch.controller;
 
+import burlarch.controller.state.SystemState;
 import burlarch.coordination.distribution.SubscriberTable;
 import burlarch.coordination.distribution.SubscriberTable.Wait;
 import burlarch.coordination.registry.InstanceChanges;
 import burlarch.coordination.registry.InstanceRegistry;
-import burlarch.fleet.controller.state.SystemState;
 import burlarch.transport.FrameCodec;
 import burlarch.transport.Link;
 import burlarch.transport.Loop;
--- a/fleet/src/main/java/burlarch/fleet/controller/StateRegister.java
+++ b/controller/src/main/java/burlarch/controller/StateRegister.java
@@ -1,16 +1,16 @@
-package burlarch.fleet.controller;
+package burlarch.controller;
 
+import burlarch.controller.state.ChangeResult;
+import burlarch.controller.state.StateProposal;
+import burlarch.controller.state.SystemState;
+import burlarch.controller.state.SystemStateCodec;
 import burlarch.coordination.register.AcceptorSet;
 import burlarch.coordination.register.Decision;
 import burlarch.coordination.register.Member;
 import burlarch.coordination.register.ProposalResult;
 import burlarch.coordination.register.RegisterValue;
-import burlarch.fleet.controller.state.ChangeResult;
-import burlarch.fleet.controller.state.StateProposal;
-import burlarch.fleet.controller.state.SystemState;
-import burlarch.fleet.controller.state.SystemStateCodec;
-import burlarch.fleet.error.ErrorKind;
-import burlarch.fleet.error.FleetException;
+import burlarch.node.error.ErrorKind;
+import burlarch.node.error.FleetException;
 import burlarch.transport.NodeMessage;
 import java.util.List;
 import java.util.concurrent.CompletableFuture;
--- a/fleet/src/main/java/burlarch/fleet/controller/WeightsDuty.java
+++ b/controller/src/main/java/burlarch/controller/WeightsDuty.java
@@ -1,15 +1,15 @@
-package burlarch.fleet.controller;
+package burlarch.controller;
 
+import burlarch.controller.state.SystemState;
 import burlarch.coordination.registry.Instance;
 import burlarch.coordination.registry.InstanceRegistry;
 import burlarch.coordination.registry.InstanceState;
 import burlarch.coordination.rollout.OrderResult;
 import burlarch.coordination.rollout.RolloutAction;
 import burlarch.coordination.rollout.WeightsRollout;
-import burlarch.fleet.controller.state.SystemState;
-import burlarch.fleet.engine.EngineAddress;
-import burlarch.fleet.engine.EngineOrders;
-import burlarch.fleet.engine.Order;
+import burlarch.engine.EngineAddress;
+import burlarch.engine.EngineOrders;
+import burlarch.engine.Order;
 import burlarch.transport.Loop;
 import java.util.List;
 import org.tinylog.Logger;
--- a/fleet/src/main/java/burlarch/fleet/controller/api/Announcements.java
+++ b/controller/src/main/java/burlarch/controller/api/Announcements.java
@@ -1,11 +1,11 @@
-package burlarch.fleet.controller.api;
+package burlarch.controller.api;
 
 import burlarch.coordination.registry.Instance;
 import burlarch.coordination.registry.Instance.ServedModel;
 import burlarch.coordination.registry.InstanceRegistry;
 import burlarch.coordination.registry.InstanceState;
-import burlarch.fleet.error.ErrorKind;
-import burlarch.fleet.error.FleetException;
+import burlarch.node.error.ErrorKind;
+import burlarch.node.error.FleetException;
 import com.fasterxml.jackson.databind.JsonNode;
 import java.util.ArrayList;
 import java.util.List;
--- a/fleet/src/main/java/burlarch/fleet/controller/api/BodyLimits.java
+++ b/controller/src/main/java/burlarch/controller/api/BodyLimits.java
@@ -1,4 +1,4 @@
-package burlarch.fleet.controller.api;
+package burlarch.controller.api;
 
 /** How long the bodies of calls to a controller may be, each and together. */
 final class BodyLimits {
--- a/fleet/src/main/java/burlarch/fleet/controller/api/BodyReader.java
+++ b/controller/src/main/java/burlarch/controller/api/BodyReader.java
@@ -1,8 +1,8 @@
-package burlarch.fleet.controller.api;
+package burlarch.controller.api;
 
-import burlarch.fleet.error.ErrorKind;
-import burlarch.fleet.error.FleetException;
-import burlarch.fleet.http.BodyBudget;
+import burlarch.node.error.ErrorKind;
+import burlarch.node.error.FleetException;
+import burlarch.node.http.BodyBudget;
 import java.nio.ByteBuffer;
 import java.util.Arrays;
 import java.util.function.Consumer;
--- a/fleet/src/main/java/burlarch/fleet/controller/api/ControlCall.java
+++ b/controller/src/main/java/burlarch/controller/api/ControlCall.java
@@ -1,7 +1,7 @@
-package burlarch.fleet.controller.api;
+package burlarch.controller.api;
 
-import burlarch.fleet.error.ErrorKind;
-import burlarch.fleet.error.FleetException;
+import burlarch.node.error.ErrorKind;
+import burlarch.node.error.FleetException;
 import java.nio.ByteBuffer;
 import java.util.concurrent.CancellationException;
 import java.util.concurrent.CompletableFuture;
--- a/fleet/src/main/java/burlarch/fleet/controller/api/ControlHandler.java
+++ b/controller/src/main/java/burlarch/controller/api/ControlHandler.java
@@ -1,8 +1,8 @@
-package burlarch.fleet.controller.api;
+package burlarch.controller.api;
 
-import burlarch.fleet.error.ErrorKind;
-import burlarch.fleet.error.FleetException;
-import burlarch.fleet.http.BodyBudget;
+import burlarch.node.error.ErrorKind;
+import burlarch.node.error.FleetException;
+import burlarch.node.http.BodyBudget;
 import com.fasterxml.jackson.databind.JsonNode;
 import java.util.concurrent.CompletableFuture;
 import java.util.function.Function;
--- a/fleet/src/main/java/burlarch/fleet/controller/api/ControlServer.java
+++ b/controller/src/main/java/burlarch/controller/api/ControlServer.java
@@ -1,6 +1,6 @@
-package burlarch.fleet.controller.api;
+package burlarch.controller.api;
 
-import burlarch.fleet.http.BodyBudget;
+import burlarch.node.http.BodyBudget;
 import java.net.InetSocketAddress;
 import java.nio.channels.ServerSocketChannel;
 import java.util.concurrent.TimeUnit;
--- a/fleet/src/main/java/burlarch/fleet/controller/api/Json.java
+++ b/controller/src/main/java/burlarch/controller/api/Json.java
@@ -1,8 +1,8 @@
-package burlarch.fleet.controller.api;
+package burlarch.controller.api;
 
-import burlarch.fleet.error.ErrorKind;
-import burlarch.fleet.error.FleetException;
-import burlarch.fleet.error.Problem;
+import burlarch.node.error.ErrorKind;
+import burlarch.node.error.FleetException;
+import burlarch.node.error.Problem;
 import com.fasterxml.jackson.core.JsonProcessingException;
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.ObjectMapper;
--- a/fleet/src/main/java/burlarch/fleet/controller/state/ChangeResult.java
+++ b/controller/src/main/java/burlarch/controller/state/ChangeResult.java
@@ -1,8 +1,8 @@
-package burlarch.fleet.controller.state;
+package burlarch.controller.state;
 
-import burlarch.fleet.error.ErrorKind;
-import burlarch.fleet.error.FleetException;
-import burlarch.fleet.error.Problem;
+import burlarch.node.error.ErrorKind;
+import burlarch.node.error.FleetException;
+import burlarch.node.error.Problem;
 import java.util.List;
 
 /** What a change makes of a state. */
--- a/fleet/src/main/java/burlarch/fleet/controller/state/Lease.java
+++ b/controller/src/main/java/burlarch/controller/state/Lease.java
@@ -1,4 +1,4 @@
-package burlarch.fleet.controller.state;
+package burlarch.controller.state;
 
 /**
  * Who owns a key.
--- a/fleet/src/main/java/burlarch/fleet/controller/state/StateChanges.java
+++ b/controller/src/main/java/burlarch/controller/state/StateChanges.java
@@ -1,12 +1,12 @@
-package burlarch.fleet.controller.state;
+package burlarch.controller.state;
 
 import burlarch.configuration.ConfigurationDocument;
 import burlarch.configuration.ConfigurationPatch;
 import burlarch.configuration.InvalidConfiguration;
-import burlarch.fleet.controller.state.ChangeResult.Answer;
-import burlarch.fleet.controller.state.ChangeResult.Changed;
-import burlarch.fleet.controller.state.ChangeResult.Unchanged;
-import burlarch.fleet.error.Problem;
+import burlarch.controller.state.ChangeResult.Answer;
+import burlarch.controller.state.ChangeResult.Changed;
+import burlarch.controller.state.ChangeResult.Unchanged;
+import burlarch.node.error.Problem;
 import java.util.List;
 
 /**
--- a/fleet/src/main/java/burlarch/fleet/controller/state/StateProposal.java
+++ b/controller/src/main/java/burlarch/controller/state/StateProposal.java
@@ -1,15 +1,15 @@
-package burlarch.fleet.controller.state;
+package burlarch.controller.state;
 
+import burlarch.controller.state.ChangeResult.Answer;
+import burlarch.controller.state.ChangeResult.Changed;
+import burlarch.controller.state.ChangeResult.Unchanged;
 import burlarch.coordination.register.Decision;
 import burlarch.coordination.register.Member;
 import burlarch.coordination.register.ProposalResult;
 import burlarch.coordination.register.RegisterChange;
 import burlarch.coordination.register.RegisterValue;
-import burlarch.fleet.controller.state.ChangeResult.Answer;
-import burlarch.fleet.controller.state.ChangeResult.Changed;
-import burlarch.fleet.controller.state.ChangeResult.Unchanged;
-import burlarch.fleet.error.ErrorKind;
-import burlarch.fleet.error.FleetException;
+import burlarch.node.error.ErrorKind;
+import burlarch.node.error.FleetException;
 import java.util.List;
 import java.util.function.Function;
 
--- a/fleet/src/main/java/burlarch/fleet/controller/state/SystemStateCodec.java
+++ b/controller/src/main/java/burlarch/controller/state/SystemStateCodec.java
@@ -1,4 +1,4 @@
-package burlarch.fleet.controller.state;
+package burlarch.controller.state;
 
 import burlarch.configuration.CompressedBytes;
 import com.fasterxml.jackson.core.JsonProcessingException;
--- a/fleet/src/main/java/burlarch/fleet/controller/state/TakenChange.java
+++ b/controller/src/main/java/burlarch/controller/state/TakenChange.java
@@ -1,4 +1,4 @@
-package burlarch.fleet.controller.state;
+package burlarch.controller.state;
 
 import java.nio.ByteBuffer;
 import java.nio.charset.StandardCharsets;
--- a/fleet/src/main/java/burlarch/fleet/controller/state/TakenChanges.java
+++ b/controller/src/main/java/burlarch/controller/state/TakenChanges.java
@@ -1,4 +1,4 @@
-package burlarch.fleet.controller.state;
+package burlarch.controller.state;
 
 import com.fasterxml.jackson.annotation.JsonCreator;
 import com.fasterxml.jackson.annotation.JsonValue;
--- a/fleet/src/test/java/burlarch/fleet/controller/ConfigurationHistoryTest.java
+++ b/controller/src/test/java/burlarch/controller/ConfigurationHistoryTest.java
@@ -1,4 +1,4 @@
-package burlarch.fleet.controller;
+package burlarch.controller;
 
 import static org.assertj.core.api.Assertions.assertThat;
 
--- a/fleet/src/test/java/burlarch/fleet/controller/ControllerPeersTest.java
+++ b/controller/src/test/java/burlarch/controller/ControllerPeersTest.java
@@ -1,9 +1,9 @@
-package burlarch.fleet.controller;
+package burlarch.controller;
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-import burlarch.fleet.links.RecordingLink;
-import burlarch.fleet.links.RecordingLinks;
+import burlarch.testing.RecordingLink;
+import burlarch.testing.RecordingLinks;
 import burlarch.transport.Link;
 import java.util.List;
 import org.junit.jupiter.api.AfterEach;
--- a/fleet/src/test/java/burlarch/fleet/controller/FleetUpdatesTest.java
+++ b/controller/src/test/java/burlarch/controller/FleetUpdatesTest.java
@@ -1,10 +1,10 @@
-package burlarch.fleet.controller;
+package burlarch.controller;
 
 import static org.assertj.core.api.Assertions.assertThat;
 
 import burlarch.coordination.registry.InstanceRegistry;
 import burlarch.coordination.registry.RegistrySettings;
-import burlarch.fleet.node.Roles;
+import burlarch.node.Roles;
 import burlarch.transport.FrameCodec;
 import burlarch.transport.FrameException;
 import burlarch.transport.Link;
--- a/fleet/src/test/java/burlarch/fleet/controller/KeptForwarderTest.java
+++ b/controller/src/test/java/burlarch/controller/KeptForwarderTest.java
@@ -1,8 +1,8 @@
-package burlarch.fleet.controller;
+package burlarch.controller;
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-import burlarch.fleet.node.Roles;
+import burlarch.node.Roles;
 import burlarch.transport.FrameCodec;
 import burlarch.transport.FrameException;
 import burlarch.transport.Link;
--- a/fleet/src/test/java/burlarch/fleet/controller/KnownControllersTest.java
+++ b/controller/src/test/java/burlarch/controller/KnownControllersTest.java
@@ -1,11 +1,11 @@
-package burlarch.fleet.controller;
+package burlarch.controller;
 
 import static org.assertj.core.api.Assertions.assertThat;
 
 import burlarch.coordination.membership.MemberChange;
 import burlarch.coordination.membership.MemberInfo;
 import burlarch.coordination.membership.MemberState;
-import burlarch.fleet.node.Roles;
+import burlarch.node.Roles;
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
--- a/fleet/src/test/java/burlarch/fleet/controller/OperatorCallsTest.java
+++ b/controller/src/test/java/burlarch/controller/OperatorCallsTest.java
@@ -1,4 +1,4 @@
-package burlarch.fleet.controller;
+package burlarch.controller;
 
 import static org.assertj.core.api.Assertions.assertThat;
 
@@ -9,9 +9,9 @@
 import burlarch.coordination.registry.InstanceRegistry;
 import burlarch.coordination.registry.InstanceState;
 import burlarch.coordination.registry.RegistrySettings;
-import burlarch.fleet.error.ErrorKind;
-import burlarch.fleet.error.FleetException;
-import burlarch.fleet.links.RecordingLinks;
+import burlarch.node.error.ErrorKind;
+import burlarch.node.error.FleetException;
+import burlarch.testing.RecordingLinks;
 import java.util.List;
 import java.util.concurrent.CompletableFuture;
 import org.junit.jupiter.api.Test;
--- a/fleet/src/test/java/burlarch/fleet/controller/api/ControlServerTest.java
+++ b/controller/src/test/java/burlarch/controller/api/ControlServerTest.java
@@ -1,12 +1,12 @@
-package burlarch.fleet.controller.api;
+package burlarch.controller.api;
 
 import static org.assertj.core.api.Assertions.assertThat;
 import static org.assertj.core.api.Assertions.assertThatThrownBy;
 
 import burlarch.coordination.registry.Instance;
 import burlarch.coordination.registry.InstanceState;
-import burlarch.fleet.error.ErrorKind;
-import burlarch.fleet.error.FleetException;
+import burlarch.node.error.ErrorKind;
+import burlarch.node.error.FleetException;
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.ObjectMapper;
 import java.io.IOException;
--- a/fleet/src/test/java/burlarch/fleet/controller/api/FakeControlService.java
+++ b/controller/src/test/java/burlarch/controller/api/FakeControlService.java
@@ -1,4 +1,4 @@
-package burlarch.fleet.controller.api;
+package burlarch.controller.api;
 
 import burlarch.coordination.registry.Instance;
 import java.nio.charset.StandardCharsets;
--- a/fleet/src/test/java/burlarch/fleet/controller/state/StateChangesTest.java
+++ b/controller/src/test/java/burlarch/controller/state/StateChangesTest.java
@@ -1,14 +1,14 @@
-package burlarch.fleet.controller.state;
+package burlarch.controller.state;
 
 import static org.assertj.core.api.Assertions.assertThat;
 
 import burlarch.configuration.ConfigurationDocument;
 import burlarch.configuration.ConfigurationPatch;
 import burlarch.configuration.InvalidConfiguration;
-import burlarch.fleet.controller.state.ChangeResult.Answer;
-import burlarch.fleet.controller.state.ChangeResult.Changed;
-import burlarch.fleet.controller.state.ChangeResult.Unchanged;
-import burlarch.fleet.error.ErrorKind;
+import burlarch.controller.state.ChangeResult.Answer;
+import burlarch.controller.state.ChangeResult.Changed;
+import burlarch.controller.state.ChangeResult.Unchanged;
+import burlarch.node.error.ErrorKind;
 import java.nio.charset.StandardCharsets;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
--- a/fleet/src/test/java/burlarch/fleet/controller/state/SystemStateCodecTest.java
+++ b/controller/src/test/java/burlarch/controller/state/SystemStateCodecTest.java
@@ -1,4 +1,4 @@
-package burlarch.fleet.controller.state;
+package burlarch.controller.state;
 
 import static org.assertj.core.api.Assertions.assertThat;
 import static org.assertj.core.api.Assertions.assertThatThrownBy;
--- a/fleet/src/main/java/burlarch/fleet/engine/Delays.java
+++ b/engine-client/src/main/java/burlarch/engine/Delays.java
@@ -1,4 +1,4 @@
-package burlarch.fleet.engine;
+package burlarch.engine;
 
 /** Runs tasks later, on a thread of its own choice. */
 public interface Delays {
--- a/fleet/src/main/java/burlarch/fleet/engine/EngineHttp.java
+++ b/engine-client/src/main/java/burlarch/engine/EngineHttp.java
@@ -1,4 +1,4 @@
-package burlarch.fleet.engine;
+package burlarch.engine;
 
 import java.util.concurrent.Executor;
 import org.eclipse.jetty.client.HttpClient;
--- a/fleet/src/main/java/burlarch/fleet/engine/KvPosition.java
+++ b/engine-client/src/main/java/burlarch/engine/KvPosition.java
@@ -1,4 +1,4 @@
-package burlarch.fleet.engine;
+package burlarch.engine;
 
 /**
  * How far the events of a source are known.
--- a/fleet/src/main/java/burlarch/fleet/engine/KvReader.java
+++ b/engine-client/src/main/java/burlarch/engine/KvReader.java
@@ -1,4 +1,4 @@
-package burlarch.fleet.engine;
+package burlarch.engine;
 
 /** Takes what is told of kept parts. The calls for one source come one after another. */
 public interface KvReader {
--- a/fleet/src/main/java/burlarch/fleet/engine/Order.java
+++ b/engine-client/src/main/java/burlarch/engine/Order.java
@@ -1,4 +1,4 @@
-package burlarch.fleet.engine;
+package burlarch.engine;
 
 import burlarch.coordination.rollout.OrderMode;
 
--- a/fleet/src/main/java/burlarch/fleet/engine/RecentStrings.java
+++ b/engine-client/src/main/java/burlarch/engine/RecentStrings.java
@@ -1,4 +1,4 @@
-package burlarch.fleet.engine;
+package burlarch.engine;
 
 /**
  * Gives the same String for the same characters, so that names that come again and again are made once.
--- a/fleet/src/test/java/burlarch/fleet/engine/EngineClientTest.java
+++ b/engine-client/src/test/java/burlarch/engine/EngineClientTest.java
@@ -1,4 +1,4 @@
-package burlarch.fleet.engine;
+package burlarch.engine;
 
 import static org.assertj.core.api.Assertions.assertThat;
 
--- a/fleet/src/test/java/burlarch/fleet/engine/EventFollowerTest.java
+++ b/engine-client/src/test/java/burlarch/engine/EventFollowerTest.java
@@ -1,8 +1,8 @@
-package burlarch.fleet.engine;
+package burlarch.engine;
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-import burlarch.fleet.engine.EventFollower.Source;
+import burlarch.engine.EventFollower.Source;
 import burlarch.routing.KvEvents;
 import burlarch.routing.KvEvents.KvEvent;
 import java.util.List;
--- a/fleet/src/test/java/burlarch/fleet/engine/FakeEngine.java
+++ b/engine-client/src/test/java/burlarch/engine/FakeEngine.java
@@ -1,4 +1,4 @@
-package burlarch.fleet.engine;
+package burlarch.engine;
 
 import java.nio.ByteBuffer;
 import java.nio.charset.StandardCharsets;
--- a/fleet/src/main/java/burlarch/fleet/Commands.java
+++ b/fleet/src/main/java/burlarch/fleet/Commands.java
@@ -1,10 +1,10 @@
 package burlarch.fleet;
 
-import burlarch.fleet.command.ConfigCommand;
-import burlarch.fleet.controller.ControllerProgram;
-import burlarch.fleet.node.NodeSettings;
+import burlarch.controller.ControllerProgram;
 import burlarch.fleet.rehearsal.Rehearsal;
-import burlarch.fleet.router.RouterProgram;
+import burlarch.node.NodeSettings;
+import burlarch.operator.ConfigCommand;
+import burlarch.router.RouterProgram;
 import java.io.PrintStream;
 import java.nio.file.Path;
 import org.kohsuke.args4j.Argument;
--- a/fleet/src/main/java/burlarch/fleet/Main.java
+++ b/fleet/src/main/java/burlarch/fleet/Main.java
@@ -1,7 +1,7 @@
 package burlarch.fleet;
 
-import burlarch.fleet.command.CommandFailure;
-import burlarch.fleet.node.HangUp;
+import burlarch.node.HangUp;
+import burlarch.operator.CommandFailure;
 import burlarch.settings.SettingsException;
 import java.io.IOException;
 import java.io.InputStream;
--- a/fleet/src/main/java/burlarch/fleet/rehearsal/Place.java
+++ b/fleet/src/main/java/burlarch/fleet/rehearsal/Place.java
@@ -1,6 +1,6 @@
 package burlarch.fleet.rehearsal;
 
-import burlarch.fleet.node.NodeSettings;
+import burlarch.node.NodeSettings;
 import burlarch.settings.SettingsException;
 import java.io.IOException;
 import java.net.BindException;
--- a/fleet/src/main/java/burlarch/fleet/rehearsal/Rehearsal.java
+++ b/fleet/src/main/java/burlarch/fleet/rehearsal/Rehearsal.java
@@ -1,8 +1,8 @@
 package burlarch.fleet.rehearsal;
 
-import burlarch.fleet.controller.ControllerProgram;
-import burlarch.fleet.node.NodeSettings;
-import burlarch.fleet.router.RouterProgram;
+import burlarch.controller.ControllerProgram;
+import burlarch.node.NodeSettings;
+import burlarch.router.RouterProgram;
 import java.io.IOException;
 import java.net.InetAddress;
 import java.net.InetSocketAddress;
--- a/fleet/src/test/java/burlarch/fleet/links/RecordingLink.java
+++ b/node-testing/src/main/java/burlarch/testing/RecordingLink.java
@@ -1,6 +1,6 @@
-package burlarch.fleet.links;
+package burlarch.testing;
 
-import burlarch.fleet.node.Roles;
+import burlarch.node.Roles;
 import burlarch.transport.Link;
 import burlarch.transport.NodeMessage;
 import java.util.ArrayList;
--- a/fleet/src/test/java/burlarch/fleet/links/RecordingLinks.java
+++ b/node-testing/src/main/java/burlarch/testing/RecordingLinks.java
@@ -1,4 +1,4 @@
-package burlarch.fleet.links;
+package burlarch.testing;
 
 import burlarch.transport.FrameCodec;
 import burlarch.transport.Links;
--- a/fleet/src/main/java/burlarch/fleet/node/HangUp.java
+++ b/node/src/main/java/burlarch/node/HangUp.java
@@ -1,4 +1,4 @@
-package burlarch.fleet.node;
+package burlarch.node;
 
 import sun.misc.Signal;
 
--- a/fleet/src/main/java/burlarch/fleet/node/Membership.java
+++ b/node/src/main/java/burlarch/node/Membership.java
@@ -1,4 +1,4 @@
-package burlarch.fleet.node;
+package burlarch.node;
 
 import burlarch.coordination.membership.MemberChange;
 import burlarch.coordination.membership.MemberInfo;
--- a/fleet/src/main/java/burlarch/fleet/node/NodeBounds.java
+++ b/node/src/main/java/burlarch/node/NodeBounds.java
@@ -1,4 +1,4 @@
-package burlarch.fleet.node;
+package burlarch.node;
 
 /**
  * The figures of the rules that hold for this run. Times are in nanoseconds.
--- a/fleet/src/main/java/burlarch/fleet/node/NodeSettings.java
+++ b/node/src/main/java/burlarch/node/NodeSettings.java
@@ -1,4 +1,4 @@
-package burlarch.fleet.node;
+package burlarch.node;
 
 import burlarch.settings.SettingsException;
 import java.net.InetSocketAddress;
--- a/fleet/src/main/java/burlarch/fleet/node/NodeSettingsReader.java
+++ b/node/src/main/java/burlarch/node/NodeSettingsReader.java
@@ -1,9 +1,9 @@
-package burlarch.fleet.node;
+package burlarch.node;
 
-import burlarch.fleet.node.NodeSettings.FaultTolerance;
-import burlarch.fleet.node.NodeSettings.Limits;
-import burlarch.fleet.node.NodeSettings.Listen;
-import burlarch.fleet.node.NodeSettings.PortRange;
+import burlarch.node.NodeSettings.FaultTolerance;
+import burlarch.node.NodeSettings.Limits;
+import burlarch.node.NodeSettings.Listen;
+import burlarch.node.NodeSettings.PortRange;
 import burlarch.settings.Addresses;
 import burlarch.settings.OperatorFile;
 import burlarch.settings.Section;
--- a/fleet/src/main/java/burlarch/fleet/node/Roles.java
+++ b/node/src/main/java/burlarch/node/Roles.java
@@ -1,4 +1,4 @@
-package burlarch.fleet.node;
+package burlarch.node;
 
 /** What processes do in the fleet, as they tell one another. */
 public final class Roles {
--- a/fleet/src/main/java/burlarch/fleet/node/Shutdown.java
+++ b/node/src/main/java/burlarch/node/Shutdown.java
@@ -1,4 +1,4 @@
-package burlarch.fleet.node;
+package burlarch.node;
 
 /** What a process does between SIGTERM and its end. */
 public final class Shutdown {
--- a/fleet/src/main/java/burlarch/fleet/error/ErrorKind.java
+++ b/node/src/main/java/burlarch/node/error/ErrorKind.java
@@ -1,4 +1,4 @@
-package burlarch.fleet.error;
+package burlarch.node.error;
 
 /**
  * Every way in which a call to the system's own interfaces may fail, and how that is told over HTTP. The
--- a/fleet/src/main/java/burlarch/fleet/error/FleetException.java
+++ b/node/src/main/java/burlarch/node/error/FleetException.java
@@ -1,4 +1,4 @@
-package burlarch.fleet.error;
+package burlarch.node.error;
 
 import java.util.List;
 
--- a/fleet/src/main/java/burlarch/fleet/error/Problem.java
+++ b/node/src/main/java/burlarch/node/error/Problem.java
@@ -1,4 +1,4 @@
-package burlarch.fleet.error;
+package burlarch.node.error;
 
 /**
  * One thing that is wrong with a call's content.
--- a/fleet/src/main/java/burlarch/fleet/http/BodyBudget.java
+++ b/node/src/main/java/burlarch/node/http/BodyBudget.java
@@ -1,4 +1,4 @@
-package burlarch.fleet.http;
+package burlarch.node.http;
 
 import java.util.concurrent.atomic.AtomicLong;
 
--- a/fleet/src/main/java/burlarch/fleet/http/package-info.java
+++ b/node/src/main/java/burlarch/node/http/package-info.java
@@ -1,2 +1,2 @@
 /** What the HTTP servers of routers and controllers have in common. */
-package burlarch.fleet.http;
+package burlarch.node.http;
--- a/fleet/src/test/java/burlarch/fleet/node/HangUpTest.java
+++ b/node/src/test/java/burlarch/node/HangUpTest.java
@@ -1,4 +1,4 @@
-package burlarch.fleet.node;
+package burlarch.node;
 
 import static org.assertj.core.api.Assertions.assertThat;
 
--- a/fleet/src/main/java/burlarch/fleet/command/CommandFailure.java
+++ b/operator-cli/src/main/java/burlarch/operator/CommandFailure.java
@@ -1,4 +1,4 @@
-package burlarch.fleet.command;
+package burlarch.operator;
 
 /** A command that could not do what it was asked to, for a reason that its caller is told. */
 public final class CommandFailure extends Exception {
--- a/fleet/src/main/java/burlarch/fleet/command/ConfigCommand.java
+++ b/operator-cli/src/main/java/burlarch/operator/ConfigCommand.java
@@ -1,4 +1,4 @@
-package burlarch.fleet.command;
+package burlarch.operator;
 
 import burlarch.configuration.ConfigurationDocument;
 import burlarch.configuration.ConfigurationPatch;
--- a/fleet/src/main/java/burlarch/fleet/command/ControlClient.java
+++ b/operator-cli/src/main/java/burlarch/operator/ControlClient.java
@@ -1,4 +1,4 @@
-package burlarch.fleet.command;
+package burlarch.operator;
 
 import java.io.IOException;
 import java.net.URI;
--- a/fleet/src/main/java/burlarch/fleet/command/Refusals.java
+++ b/operator-cli/src/main/java/burlarch/operator/Refusals.java
@@ -1,4 +1,4 @@
-package burlarch.fleet.command;
+package burlarch.operator;
 
 import burlarch.configuration.InvalidConfiguration;
 import com.fasterxml.jackson.databind.JsonNode;
--- a/fleet/src/main/java/burlarch/fleet/command/package-info.java
+++ b/operator-cli/src/main/java/burlarch/operator/package-info.java
@@ -1,2 +1,2 @@
 /** What operators call from their shell. */
-package burlarch.fleet.command;
+package burlarch.operator;
--- a/fleet/src/test/java/burlarch/fleet/command/ConfigCommandTest.java
+++ b/operator-cli/src/test/java/burlarch/operator/ConfigCommandTest.java
@@ -1,4 +1,4 @@
-package burlarch.fleet.command;
+package burlarch.operator;
 
 import static org.assertj.core.api.Assertions.assertThat;
 import static org.assertj.core.api.Assertions.catchThrowableOfType;
--- a/fleet/src/main/java/burlarch/fleet/router/Attempt.java
+++ b/router/src/main/java/burlarch/router/Attempt.java
@@ -1,4 +1,4 @@
-package burlarch.fleet.router;
+package burlarch.router;
 
 import burlarch.routing.AttemptOutcome;
 import burlarch.routing.Placement;
--- a/fleet/src/main/java/burlarch/fleet/router/ClientAnswer.java
+++ b/router/src/main/java/burlarch/router/ClientAnswer.java
@@ -1,4 +1,4 @@
-package burlarch.fleet.router;
+package burlarch.router;
 
 import java.nio.ByteBuffer;
 import java.util.Set;
--- a/fleet/src/main/java/burlarch/fleet/router/DrainSchedule.java
+++ b/router/src/main/java/burlarch/router/DrainSchedule.java
@@ -1,4 +1,4 @@
-package burlarch.fleet.router;
+package burlarch.router;
 
 /**
  * When a router that was told to end does what, and which requests it still accepts. It stops being ready at
--- a/fleet/src/main/java/burlarch/fleet/router/Exchange.java
+++ b/router/src/main/java/burlarch/router/Exchange.java
@@ -1,4 +1,4 @@
-package burlarch.fleet.router;
+package burlarch.router;
 
 import burlarch.configuration.Configuration.Limits;
 import burlarch.configuration.RouteTable;
--- a/fleet/src/main/java/burlarch/fleet/router/FleetSize.java
+++ b/router/src/main/java/burlarch/router/FleetSize.java
@@ -1,7 +1,7 @@
-package burlarch.fleet.router;
+package burlarch.router;
 
 import burlarch.coordination.membership.MemberChange;
-import burlarch.fleet.node.Membership;
+import burlarch.node.Membership;
 import burlarch.transport.NodeLoop;
 import java.util.List;
 import java.util.function.BooleanSupplier;
--- a/fleet/src/main/java/burlarch/fleet/router/FollowUp.java
+++ b/router/src/main/java/burlarch/router/FollowUp.java
@@ -1,4 +1,4 @@
-package burlarch.fleet.router;
+package burlarch.router;
 
 /** What follows once a send of a request has ended, its time is over, or no instance may have it. */
 enum FollowUp {
--- a/fleet/src/main/java/burlarch/fleet/router/FollowedSources.java
+++ b/router/src/main/java/burlarch/router/FollowedSources.java
@@ -1,13 +1,13 @@
-package burlarch.fleet.router;
+package burlarch.router;
 
 import burlarch.configuration.Configuration;
 import burlarch.configuration.Configuration.Service;
 import burlarch.coordination.membership.MemberInfo;
 import burlarch.coordination.registry.Instance;
-import burlarch.fleet.engine.EventFollower;
-import burlarch.fleet.engine.EventFollower.Source;
-import burlarch.fleet.kept.SourceOwners;
-import burlarch.fleet.node.Roles;
+import burlarch.engine.EventFollower;
+import burlarch.engine.EventFollower.Source;
+import burlarch.node.Roles;
+import burlarch.router.prefixcache.SourceOwners;
 import java.util.ArrayList;
 import java.util.Collection;
 import java.util.HashMap;
--- a/fleet/src/main/java/burlarch/fleet/router/FrontConnectionFactory.java
+++ b/router/src/main/java/burlarch/router/FrontConnectionFactory.java
@@ -1,4 +1,4 @@
-package burlarch.fleet.router;
+package burlarch.router;
 
 import org.eclipse.jetty.http.HttpException;
 import org.eclipse.jetty.http.HttpGenerator;
--- a/fleet/src/main/java/burlarch/fleet/router/FrontHandler.java
+++ b/router/src/main/java/burlarch/router/FrontHandler.java
@@ -1,4 +1,4 @@
-package burlarch.fleet.router;
+package burlarch.router;
 
 import java.util.function.BooleanSupplier;
 import org.eclipse.jetty.server.Connector;
--- a/fleet/src/main/java/burlarch/fleet/router/IndexFeed.java
+++ b/router/src/main/java/burlarch/router/IndexFeed.java
@@ -1,8 +1,8 @@
-package burlarch.fleet.router;
+package burlarch.router;
 
-import burlarch.fleet.engine.KvNews;
-import burlarch.fleet.engine.KvPosition;
-import burlarch.fleet.kept.SourcePositions;
+import burlarch.engine.KvNews;
+import burlarch.engine.KvPosition;
+import burlarch.router.prefixcache.SourcePositions;
 import burlarch.routing.Planner;
 import java.util.Set;
 
--- a/fleet/src/main/java/burlarch/fleet/router/KeptRelay.java
+++ b/router/src/main/java/burlarch/router/KeptRelay.java
@@ -1,10 +1,10 @@
-package burlarch.fleet.router;
+package burlarch.router;
 
-import burlarch.fleet.engine.KvNews;
-import burlarch.fleet.engine.KvReader;
-import burlarch.fleet.kept.BatchCodec;
-import burlarch.fleet.kept.BatchCodec.GarbledBatch;
-import burlarch.fleet.kept.OutgoingBatch;
+import burlarch.engine.KvNews;
+import burlarch.engine.KvReader;
+import burlarch.router.prefixcache.BatchCodec;
+import burlarch.router.prefixcache.BatchCodec.GarbledBatch;
+import burlarch.router.prefixcache.OutgoingBatch;
 import burlarch.transport.Link;
 import burlarch.transport.NodeLoop;
 import burlarch.transport.NodeMessage.KeptParts;
--- a/fleet/src/main/java/burlarch/fleet/router/Opening.java
+++ b/router/src/main/java/burlarch/router/Opening.java
@@ -1,8 +1,8 @@
-package burlarch.fleet.router;
+package burlarch.router;
 
 import burlarch.configuration.Configuration;
 import burlarch.coordination.registry.Instance;
-import burlarch.fleet.engine.Delays;
+import burlarch.engine.Delays;
 import java.util.Collection;
 
 /**
--- a/fleet/src/main/java/burlarch/fleet/router/RelayConnection.java
+++ b/router/src/main/java/burlarch/router/RelayConnection.java
@@ -1,4 +1,4 @@
-package burlarch.fleet.router;
+package burlarch.router;
 
 import java.io.IOException;
 import java.nio.ByteBuffer;
--- a/fleet/src/main/java/burlarch/fleet/router/Repeats.java
+++ b/router/src/main/java/burlarch/router/Repeats.java
@@ -1,4 +1,4 @@
-package burlarch.fleet.router;
+package burlarch.router;
 
 import burlarch.configuration.Configuration.Route;
 import burlarch.configuration.Configuration.RouteType;
--- a/fleet/src/main/java/burlarch/fleet/router/RequestHead.java
+++ b/router/src/main/java/burlarch/router/RequestHead.java
@@ -1,4 +1,4 @@
-package burlarch.fleet.router;
+package burlarch.router;
 
 import burlarch.routing.Placement;
 import burlarch.routing.RouteRequest;
--- a/fleet/src/main/java/burlarch/fleet/router/RequestProgress.java
+++ b/router/src/main/java/burlarch/router/RequestProgress.java
@@ -1,4 +1,4 @@
-package burlarch.fleet.router;
+package burlarch.router;
 
 /**
  * What is known of one request of a client over all its sends, and what may follow. The only place that
--- a/fleet/src/main/java/burlarch/fleet/router/RouterContext.java
+++ b/router/src/main/java/burlarch/router/RouterContext.java
@@ -1,7 +1,7 @@
-package burlarch.fleet.router;
+package burlarch.router;
 
 import burlarch.configuration.RouteTable;
-import burlarch.fleet.http.BodyBudget;
+import burlarch.node.http.BodyBudget;
 import org.eclipse.jetty.util.thread.Scheduler;
 
 /** What the exchanges of one router share. */
--- a/fleet/src/main/java/burlarch/fleet/router/RouterCount.java
+++ b/router/src/main/java/burlarch/router/RouterCount.java
@@ -1,9 +1,9 @@
-package burlarch.fleet.router;
+package burlarch.router;
 
 import burlarch.coordination.budget.BudgetSettings;
 import burlarch.coordination.budget.LiveCountEstimate;
 import burlarch.coordination.membership.MemberChange;
-import burlarch.fleet.node.Roles;
+import burlarch.node.Roles;
 import java.util.HashSet;
 import java.util.List;
 import java.util.Set;
--- a/fleet/src/main/java/burlarch/fleet/router/RouterServer.java
+++ b/router/src/main/java/burlarch/router/RouterServer.java
@@ -1,10 +1,10 @@
-package burlarch.fleet.router;
+package burlarch.router;
 
 import burlarch.configuration.Configuration;
 import burlarch.configuration.Configuration.Limits;
 import burlarch.configuration.RouteTable;
-import burlarch.fleet.engine.Delays;
-import burlarch.fleet.engine.EngineHttp;
+import burlarch.engine.Delays;
+import burlarch.engine.EngineHttp;
 import burlarch.routing.Planner;
 import java.net.InetSocketAddress;
 import java.util.concurrent.CompletableFuture;
--- a/fleet/src/main/java/burlarch/fleet/router/SendState.java
+++ b/router/src/main/java/burlarch/router/SendState.java
@@ -1,4 +1,4 @@
-package burlarch.fleet.router;
+package burlarch.router;
 
 import java.util.EnumSet;
 import java.util.Set;
--- a/fleet/src/main/java/burlarch/fleet/kept/BatchCodec.java
+++ b/router/src/main/java/burlarch/router/prefixcache/BatchCodec.java
@@ -1,8 +1,8 @@
-package burlarch.fleet.kept;
+package burlarch.router.prefixcache;
 
 import static java.nio.charset.StandardCharsets.UTF_8;
 
-import burlarch.fleet.engine.KvNews;
+import burlarch.engine.KvNews;
 import burlarch.routing.KvEvents;
 import burlarch.routing.KvEvents.KvEvent;
 import java.io.ByteArrayOutputStream;
--- a/fleet/src/main/java/burlarch/fleet/kept/OutgoingBatch.java
+++ b/router/src/main/java/burlarch/router/prefixcache/OutgoingBatch.java
@@ -1,6 +1,6 @@
-package burlarch.fleet.kept;
+package burlarch.router.prefixcache;
 
-import burlarch.fleet.engine.KvNews;
+import burlarch.engine.KvNews;
 import java.util.ArrayList;
 import java.util.List;
 
--- a/fleet/src/main/java/burlarch/fleet/kept/SourceOwners.java
+++ b/router/src/main/java/burlarch/router/prefixcache/SourceOwners.java
@@ -1,4 +1,4 @@
-package burlarch.fleet.kept;
+package burlarch.router.prefixcache;
 
 import burlarch.coordination.ownership.ShardOwners;
 import java.util.Collection;
--- a/fleet/src/main/java/burlarch/fleet/kept/SourcePositions.java
+++ b/router/src/main/java/burlarch/router/prefixcache/SourcePositions.java
@@ -1,7 +1,7 @@
-package burlarch.fleet.kept;
+package burlarch.router.prefixcache;
 
-import burlarch.fleet.engine.KvNews;
-import burlarch.fleet.engine.KvPosition;
+import burlarch.engine.KvNews;
+import burlarch.engine.KvPosition;
 import burlarch.routing.KvEvents;
 import java.util.HashMap;
 import java.util.Map;
--- a/fleet/src/test/java/burlarch/fleet/router/BrokenRequestsTest.java
+++ b/router/src/test/java/burlarch/router/BrokenRequestsTest.java
@@ -1,8 +1,8 @@
-package burlarch.fleet.router;
+package burlarch.router;
 
-import static burlarch.fleet.router.FakeEngine.ascii;
-import static burlarch.fleet.router.FakeEngine.whole;
-import static burlarch.fleet.router.RouterFixture.request;
+import static burlarch.router.FakeEngine.ascii;
+import static burlarch.router.FakeEngine.whole;
+import static burlarch.router.RouterFixture.request;
 import static org.assertj.core.api.Assertions.assertThat;
 
 import org.junit.jupiter.params.ParameterizedTest;
--- a/fleet/src/test/java/burlarch/fleet/router/ControllerLinksInstancesTest.java
+++ b/router/src/test/java/burlarch/router/ControllerLinksInstancesTest.java
@@ -1,11 +1,11 @@
-package burlarch.fleet.router;
+package burlarch.router;
 
 import static org.assertj.core.api.Assertions.assertThat;
 
 import burlarch.coordination.registry.Instance;
 import burlarch.coordination.registry.InstanceState;
 import burlarch.coordination.registry.InstanceViews;
-import burlarch.fleet.links.RecordingLink;
+import burlarch.testing.RecordingLink;
 import burlarch.transport.NodeMessage.ConfigurationAck;
 import burlarch.transport.NodeMessage.InstancesAck;
 import burlarch.transport.NodeMessage.InstancesUpdate;
--- a/fleet/src/test/java/burlarch/fleet/router/ControllerLinksTest.java
+++ b/router/src/test/java/burlarch/router/ControllerLinksTest.java
@@ -1,10 +1,10 @@
-package burlarch.fleet.router;
+package burlarch.router;
 
 import static org.assertj.core.api.Assertions.assertThat;
 
 import burlarch.configuration.DocumentDelta;
-import burlarch.fleet.links.RecordingLink;
-import burlarch.fleet.links.RecordingLinks;
+import burlarch.testing.RecordingLink;
+import burlarch.testing.RecordingLinks;
 import burlarch.transport.NodeMessage.ConfigurationAck;
 import burlarch.transport.NodeMessage.ConfigurationChange;
 import burlarch.transport.NodeMessage.FetchConfiguration;
--- a/fleet/src/test/java/burlarch/fleet/router/ControllerReplacementTest.java
+++ b/router/src/test/java/burlarch/router/ControllerReplacementTest.java
@@ -1,9 +1,9 @@
-package burlarch.fleet.router;
+package burlarch.router;
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-import burlarch.fleet.links.RecordingLink;
-import burlarch.fleet.links.RecordingLinks;
+import burlarch.testing.RecordingLink;
+import burlarch.testing.RecordingLinks;
 import burlarch.transport.Link;
 import burlarch.transport.NodeMessage.FleetUpdate;
 import java.util.ArrayList;
--- a/fleet/src/test/java/burlarch/fleet/router/DrainScheduleTest.java
+++ b/router/src/test/java/burlarch/router/DrainScheduleTest.java
@@ -1,4 +1,4 @@
-package burlarch.fleet.router;
+package burlarch.router;
 
 import static org.assertj.core.api.Assertions.assertThat;
 
--- a/fleet/src/test/java/burlarch/fleet/router/InstanceEndsWhileSentToTest.java
+++ b/router/src/test/java/burlarch/router/InstanceEndsWhileSentToTest.java
@@ -1,6 +1,6 @@
-package burlarch.fleet.router;
+package burlarch.router;
 
-import static burlarch.fleet.router.RouterFixture.request;
+import static burlarch.router.RouterFixture.request;
 import static org.assertj.core.api.Assertions.assertThat;
 
 import java.net.InetAddress;
--- a/fleet/src/test/java/burlarch/fleet/router/ResumeTest.java
+++ b/router/src/test/java/burlarch/router/ResumeTest.java
@@ -1,9 +1,9 @@
-package burlarch.fleet.router;
+package burlarch.router;
 
-import static burlarch.fleet.router.FakeEngine.ascii;
-import static burlarch.fleet.router.RouterFixture.request;
-import static burlarch.fleet.router.StreamsTest.event;
-import static burlarch.fleet.router.StreamsTest.head;
+import static burlarch.router.FakeEngine.ascii;
+import static burlarch.router.RouterFixture.request;
+import static burlarch.router.StreamsTest.event;
+import static burlarch.router.StreamsTest.head;
 import static org.assertj.core.api.Assertions.assertThat;
 
 import burlarch.routing.AttemptOutcome;
--- a/fleet/src/test/java/burlarch/fleet/router/RouterCountTest.java
+++ b/router/src/test/java/burlarch/router/RouterCountTest.java
@@ -1,4 +1,4 @@
-package burlarch.fleet.router;
+package burlarch.router;
 
 import static org.assertj.core.api.Assertions.assertThat;
 
@@ -6,7 +6,7 @@
 import burlarch.coordination.membership.MemberChange;
 import burlarch.coordination.membership.MemberInfo;
 import burlarch.coordination.membership.MemberState;
-import burlarch.fleet.node.Roles;
+import burlarch.node.Roles;
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
--- a/fleet/src/test/java/burlarch/fleet/router/StreamsTest.java
+++ b/router/src/test/java/burlarch/router/StreamsTest.java
@@ -1,7 +1,7 @@
-package burlarch.fleet.router;
+package burlarch.router;
 
-import static burlarch.fleet.router.FakeEngine.ascii;
-import static burlarch.fleet.router.RouterFixture.request;
+import static burlarch.router.FakeEngine.ascii;
+import static burlarch.router.RouterFixture.request;
 import static org.assertj.core.api.Assertions.assertThat;
 
 import burlarch.routing.AttemptOutcome;
--- a/fleet/src/test/java/burlarch/fleet/kept/BatchCodecTest.java
+++ b/router/src/test/java/burlarch/router/prefixcache/BatchCodecTest.java
@@ -1,10 +1,10 @@
-package burlarch.fleet.kept;
+package burlarch.router.prefixcache;
 
 import static org.assertj.core.api.Assertions.assertThat;
 import static org.assertj.core.api.Assertions.assertThatThrownBy;
 
-import burlarch.fleet.engine.KvNews;
-import burlarch.fleet.kept.BatchCodec.GarbledBatch;
+import burlarch.engine.KvNews;
+import burlarch.router.prefixcache.BatchCodec.GarbledBatch;
 import burlarch.routing.KvEvents;
 import burlarch.routing.KvEvents.KvEvent;
 import java.util.Arrays;
--- a/fleet/src/test/java/burlarch/fleet/kept/OutgoingBatchTest.java
+++ b/router/src/test/java/burlarch/router/prefixcache/OutgoingBatchTest.java
@@ -1,8 +1,8 @@
-package burlarch.fleet.kept;
+package burlarch.router.prefixcache;
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-import burlarch.fleet.engine.KvNews;
+import burlarch.engine.KvNews;
 import burlarch.routing.KvEvents;
 import burlarch.routing.KvEvents.KvEvent;
 import java.util.Collections;
--- a/fleet/src/test/java/burlarch/fleet/kept/SharedReadingTest.java
+++ b/router/src/test/java/burlarch/router/prefixcache/SharedReadingTest.java
@@ -1,10 +1,10 @@
-package burlarch.fleet.kept;
+package burlarch.router.prefixcache;
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-import burlarch.fleet.engine.KvNews;
-import burlarch.fleet.engine.KvPosition;
-import burlarch.fleet.kept.BatchCodec.GarbledBatch;
+import burlarch.engine.KvNews;
+import burlarch.engine.KvPosition;
+import burlarch.router.prefixcache.BatchCodec.GarbledBatch;
 import burlarch.routing.KvEvents;
 import burlarch.routing.KvEvents.KvEvent;
 import java.util.ArrayList;
--- a/fleet/src/test/java/burlarch/fleet/kept/SourceOwnersTest.java
+++ b/router/src/test/java/burlarch/router/prefixcache/SourceOwnersTest.java
@@ -1,4 +1,4 @@
-package burlarch.fleet.kept;
+package burlarch.router.prefixcache;
 
 import static org.assertj.core.api.Assertions.assertThat;
 
--- a/fleet/src/test/java/burlarch/fleet/kept/SourcePositionsTest.java
+++ b/router/src/test/java/burlarch/router/prefixcache/SourcePositionsTest.java
@@ -1,9 +1,9 @@
-package burlarch.fleet.kept;
+package burlarch.router.prefixcache;
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-import burlarch.fleet.engine.KvNews;
-import burlarch.fleet.engine.KvPosition;
+import burlarch.engine.KvNews;
+import burlarch.engine.KvPosition;
 import burlarch.routing.KvEvents;
 import java.util.List;
 import java.util.Set;
--- a/simulation/src/main/java/burlarch/simulation/coordination/Calls.java
+++ b/simulation/src/main/java/burlarch/simulation/coordination/Calls.java
@@ -2,7 +2,7 @@
 
 import burlarch.coordination.rollout.EngineReport;
 import burlarch.coordination.rollout.OrderResult;
-import burlarch.fleet.engine.Order;
+import burlarch.engine.Order;
 
 /**
  * Calls that go over HTTP outside the simulation: each a message there and one back, either of which may be
--- a/simulation/src/main/java/burlarch/simulation/coordination/ChainRule.java
+++ b/simulation/src/main/java/burlarch/simulation/coordination/ChainRule.java
@@ -1,10 +1,10 @@
 package burlarch.simulation.coordination;
 
+import burlarch.controller.state.Lease;
+import burlarch.controller.state.SystemState;
+import burlarch.controller.state.SystemStateCodec;
+import burlarch.controller.state.TakenChanges.Recall;
 import burlarch.coordination.register.Ballot;
-import burlarch.fleet.controller.state.Lease;
-import burlarch.fleet.controller.state.SystemState;
-import burlarch.fleet.controller.state.SystemStateCodec;
-import burlarch.fleet.controller.state.TakenChanges.Recall;
 import java.util.Arrays;
 import java.util.HashMap;
 import java.util.Map;
--- a/simulation/src/main/java/burlarch/simulation/coordination/ControlCalls.java
+++ b/simulation/src/main/java/burlarch/simulation/coordination/ControlCalls.java
@@ -1,8 +1,8 @@
 package burlarch.simulation.coordination;
 
-import burlarch.fleet.controller.api.ControlService;
-import burlarch.fleet.error.ErrorKind;
-import burlarch.fleet.error.FleetException;
+import burlarch.controller.api.ControlService;
+import burlarch.node.error.ErrorKind;
+import burlarch.node.error.FleetException;
 import burlarch.simulation.NodeContext;
 import burlarch.simulation.Simulation;
 import burlarch.simulation.coordination.Calls.ControlAnswer;
--- a/simulation/src/main/java/burlarch/simulation/coordination/ControllerNode.java
+++ b/simulation/src/main/java/burlarch/simulation/coordination/ControllerNode.java
@@ -1,11 +1,11 @@
 package burlarch.simulation.coordination;
 
+import burlarch.controller.ControllerCore;
+import burlarch.controller.ControllerSettings;
+import burlarch.controller.ControllerStorage;
+import burlarch.controller.api.ControlService;
 import burlarch.coordination.register.Ballot;
-import burlarch.fleet.controller.ControllerCore;
-import burlarch.fleet.controller.ControllerSettings;
-import burlarch.fleet.controller.ControllerStorage;
-import burlarch.fleet.controller.api.ControlService;
-import burlarch.fleet.node.Roles;
+import burlarch.node.Roles;
 import burlarch.simulation.NodeContext;
 import burlarch.simulation.SimulatedNode;
 import burlarch.simulation.Simulation;
--- a/simulation/src/main/java/burlarch/simulation/coordination/Doubles.java
+++ b/simulation/src/main/java/burlarch/simulation/coordination/Doubles.java
@@ -1,9 +1,9 @@
 package burlarch.simulation.coordination;
 
-import burlarch.fleet.controller.ControllerCore;
-import burlarch.fleet.controller.api.ControlService;
-import burlarch.fleet.engine.EngineOrders;
-import burlarch.fleet.router.ControllerLinks;
+import burlarch.controller.ControllerCore;
+import burlarch.controller.api.ControlService;
+import burlarch.engine.EngineOrders;
+import burlarch.router.ControllerLinks;
 import burlarch.simulation.NodeContext;
 import burlarch.storage.Disk;
 import burlarch.transport.Link;
--- a/simulation/src/main/java/burlarch/simulation/coordination/EngineCalls.java
+++ b/simulation/src/main/java/burlarch/simulation/coordination/EngineCalls.java
@@ -2,9 +2,9 @@
 
 import burlarch.coordination.rollout.EngineReport;
 import burlarch.coordination.rollout.OrderResult;
-import burlarch.fleet.engine.EngineAddress;
-import burlarch.fleet.engine.EngineOrders;
-import burlarch.fleet.engine.Order;
+import burlarch.engine.EngineAddress;
+import burlarch.engine.EngineOrders;
+import burlarch.engine.Order;
 import burlarch.simulation.NodeContext;
 import burlarch.simulation.Simulation;
 import burlarch.simulation.coordination.Calls.EngineAnswer;
--- a/simulation/src/main/java/burlarch/simulation/coordination/EngineNode.java
+++ b/simulation/src/main/java/burlarch/simulation/coordination/EngineNode.java
@@ -5,7 +5,7 @@
 import burlarch.coordination.registry.InstanceState;
 import burlarch.coordination.rollout.EngineReport;
 import burlarch.coordination.rollout.OrderResult;
-import burlarch.fleet.engine.Order;
+import burlarch.engine.Order;
 import burlarch.simulation.NodeContext;
 import burlarch.simulation.SimulatedNode;
 import burlarch.simulation.Simulation;
--- a/simulation/src/main/java/burlarch/simulation/coordination/OperatorNode.java
+++ b/simulation/src/main/java/burlarch/simulation/coordination/OperatorNode.java
@@ -3,7 +3,7 @@
 import burlarch.configuration.ConfigurationDocument;
 import burlarch.configuration.ConfigurationPatch;
 import burlarch.configuration.InvalidConfiguration;
-import burlarch.fleet.controller.state.TakenChange;
+import burlarch.controller.state.TakenChange;
 import burlarch.simulation.NodeContext;
 import burlarch.simulation.SimulatedNode;
 import burlarch.simulation.Simulation;
--- a/simulation/src/main/java/burlarch/simulation/coordination/OperatorRule.java
+++ b/simulation/src/main/java/burlarch/simulation/coordination/OperatorRule.java
@@ -1,8 +1,8 @@
 package burlarch.simulation.coordination;
 
-import burlarch.fleet.controller.state.SystemState;
-import burlarch.fleet.controller.state.TakenChange;
-import burlarch.fleet.controller.state.TakenChanges.Recall;
+import burlarch.controller.state.SystemState;
+import burlarch.controller.state.TakenChange;
+import burlarch.controller.state.TakenChanges.Recall;
 import java.util.HashMap;
 import java.util.HashSet;
 import java.util.Map;
--- a/simulation/src/main/java/burlarch/simulation/coordination/OrderRule.java
+++ b/simulation/src/main/java/burlarch/simulation/coordination/OrderRule.java
@@ -1,7 +1,7 @@
 package burlarch.simulation.coordination;
 
 import burlarch.coordination.rollout.OrderResult;
-import burlarch.fleet.engine.Order;
+import burlarch.engine.Order;
 import java.util.HashMap;
 import java.util.HashSet;
 import java.util.Map;
--- a/simulation/src/main/java/burlarch/simulation/coordination/Rules.java
+++ b/simulation/src/main/java/burlarch/simulation/coordination/Rules.java
@@ -1,7 +1,7 @@
 package burlarch.simulation.coordination;
 
+import burlarch.controller.state.SystemState;
 import burlarch.coordination.register.Ballot;
-import burlarch.fleet.controller.state.SystemState;
 import burlarch.simulation.Simulation;
 
 /** All rules of one simulated fleet. */
--- a/simulation/src/test/java/burlarch/simulation/coordination/PassingService.java
+++ b/simulation/src/test/java/burlarch/simulation/coordination/PassingService.java
@@ -1,7 +1,7 @@
 package burlarch.simulation.coordination;
 
+import burlarch.controller.api.ControlService;
 import burlarch.coordination.registry.Instance;
-import burlarch.fleet.controller.api.ControlService;
 import java.util.concurrent.CompletableFuture;
 
 /** Passes all calls on. */
--- a/simulation/src/test/java/burlarch/simulation/coordination/PlantedOwnerFaults.java
+++ b/simulation/src/test/java/burlarch/simulation/coordination/PlantedOwnerFaults.java
@@ -1,11 +1,11 @@
 package burlarch.simulation.coordination;
 
+import burlarch.controller.ControllerCore;
 import burlarch.coordination.rollout.EngineReport;
 import burlarch.coordination.rollout.OrderResult;
-import burlarch.fleet.controller.ControllerCore;
-import burlarch.fleet.engine.EngineAddress;
-import burlarch.fleet.engine.EngineOrders;
-import burlarch.fleet.engine.Order;
+import burlarch.engine.EngineAddress;
+import burlarch.engine.EngineOrders;
+import burlarch.engine.Order;
 import burlarch.simulation.NodeContext;
 import burlarch.transport.Loop;
 import java.util.Optional;
--- a/simulation/src/test/java/burlarch/simulation/coordination/PlantedRegisterFaults.java
+++ b/simulation/src/test/java/burlarch/simulation/coordination/PlantedRegisterFaults.java
@@ -1,5 +1,10 @@
 package burlarch.simulation.coordination;
 
+import burlarch.controller.ControllerCore;
+import burlarch.controller.Register;
+import burlarch.controller.state.SystemState;
+import burlarch.controller.state.SystemStateCodec;
+import burlarch.controller.state.TakenChanges;
 import burlarch.coordination.register.Decision;
 import burlarch.coordination.register.Member;
 import burlarch.coordination.register.RegisterMessage;
@@ -8,11 +13,6 @@
 import burlarch.coordination.register.RegisterMessage.Prepare;
 import burlarch.coordination.register.RegisterMessage.Promise;
 import burlarch.coordination.register.RegisterValue;
-import burlarch.fleet.controller.ControllerCore;
-import burlarch.fleet.controller.Register;
-import burlarch.fleet.controller.state.SystemState;
-import burlarch.fleet.controller.state.SystemStateCodec;
-import burlarch.fleet.controller.state.TakenChanges;
 import burlarch.simulation.NodeContext;
 import burlarch.transport.Link;
 import burlarch.transport.LinkListener;
--- a/simulation/src/test/java/burlarch/simulation/coordination/PlantedStreamFaults.java
+++ b/simulation/src/test/java/burlarch/simulation/coordination/PlantedStreamFaults.java
@@ -4,7 +4,7 @@
 import burlarch.coordination.registry.InstanceRegistry;
 import burlarch.coordination.registry.InstanceState;
 import burlarch.coordination.registry.InstanceViews;
-import burlarch.fleet.router.ControllerLinks;
+import burlarch.router.ControllerLinks;
 import burlarch.transport.Link;
 import burlarch.transport.LinkListener;
 import burlarch.transport.NodeMessage;
--- a/simulation/src/test/java/burlarch/simulation/coordination/SealingTest.java
+++ b/simulation/src/test/java/burlarch/simulation/coordination/SealingTest.java
@@ -2,12 +2,12 @@
 
 import static org.assertj.core.api.Assertions.assertThat;
 
+import burlarch.controller.ControllerCore;
+import burlarch.controller.Register;
 import burlarch.coordination.register.Decision;
 import burlarch.coordination.register.ProposalResult;
 import burlarch.coordination.register.RegisterChange;
 import burlarch.coordination.register.RegisterValue;
-import burlarch.fleet.controller.ControllerCore;
-import burlarch.fleet.controller.Register;
 import burlarch.simulation.NodeContext;
 import burlarch.simulation.Simulation;
 import burlarch.transport.Loop;
--- a/simulation/src/test/java/burlarch/simulation/operators/ControllerBehaviour.java
+++ b/simulation/src/test/java/burlarch/simulation/operators/ControllerBehaviour.java
@@ -1,8 +1,8 @@
 package burlarch.simulation.operators;
 
-import burlarch.fleet.controller.state.ChangeResult;
-import burlarch.fleet.controller.state.StateChanges;
-import burlarch.fleet.controller.state.SystemState;
+import burlarch.controller.state.ChangeResult;
+import burlarch.controller.state.StateChanges;
+import burlarch.controller.state.SystemState;
 
 /** What a controller does; a planted fault overrides one of these. */
 class ControllerBehaviour {
--- a/simulation/src/test/java/burlarch/simulation/operators/ControllerModel.java
+++ b/simulation/src/test/java/burlarch/simulation/operators/ControllerModel.java
@@ -1,5 +1,8 @@
 package burlarch.simulation.operators;
 
+import burlarch.controller.state.ChangeResult;
+import burlarch.controller.state.StateProposal;
+import burlarch.controller.state.SystemState;
 import burlarch.coordination.register.Acceptor;
 import burlarch.coordination.register.AcceptorStep;
 import burlarch.coordination.register.Belief;
@@ -10,10 +13,7 @@
 import burlarch.coordination.register.ProposalResult;
 import burlarch.coordination.register.RegisterChange;
 import burlarch.coordination.register.RegisterMessage;
-import burlarch.fleet.controller.state.ChangeResult;
-import burlarch.fleet.controller.state.StateProposal;
-import burlarch.fleet.controller.state.SystemState;
-import burlarch.fleet.error.FleetException;
+import burlarch.node.error.FleetException;
 import burlarch.simulation.NodeContext;
 import burlarch.simulation.SimulatedNode;
 import burlarch.simulation.Simulation;
--- a/simulation/src/test/java/burlarch/simulation/operators/PlantedOperatorFaults.java
+++ b/simulation/src/test/java/burlarch/simulation/operators/PlantedOperatorFaults.java
@@ -1,12 +1,12 @@
 package burlarch.simulation.operators;
 
-import burlarch.fleet.controller.state.ChangeResult;
-import burlarch.fleet.controller.state.ChangeResult.Answer;
-import burlarch.fleet.controller.state.ChangeResult.Changed;
-import burlarch.fleet.controller.state.ChangeResult.Unchanged;
-import burlarch.fleet.controller.state.SystemState;
-import burlarch.fleet.controller.state.TakenChange;
-import burlarch.fleet.controller.state.TakenChanges;
+import burlarch.controller.state.ChangeResult;
+import burlarch.controller.state.ChangeResult.Answer;
+import burlarch.controller.state.ChangeResult.Changed;
+import burlarch.controller.state.ChangeResult.Unchanged;
+import burlarch.controller.state.SystemState;
+import burlarch.controller.state.TakenChange;
+import burlarch.controller.state.TakenChanges;
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
