--- a/controller/src/main/java/burlarch/controller/InstanceFeed.java
+++ b/controller/src/main/java/burlarch/controller/InstanceFeed.java
@@ -49,19 +49,19 @@
      * @return whether it is known now, be it by an older or a newer announcement; else there was no room
      */
     boolean onAnnounced(Instance instance) {
-        InstanceRegistry.Outcome outcome = registry.announce(instance, loop.nanoTime());
+        InstanceRegistry.AnnouncementResult outcome = registry.announce(instance, loop.nanoTime());
         switch (outcome) {
             case CHANGED -> {
                 peers.sendAll(new NodeMessage.InstanceAnnouncements(List.of(instance)));
                 publisher.sendInstances();
             }
-            case HEARD -> {
+            case REFRESHED -> {
                 addHeartbeat(instance);
                 publisher.sendInstances();
             }
             default -> {}
         }
-        return outcome != InstanceRegistry.Outcome.FULL;
+        return outcome != InstanceRegistry.AnnouncementResult.TABLE_FULL;
     }
 
     private void addHeartbeat(Instance instance) {
@@ -101,7 +101,7 @@
      * lead between controllers may be the first.
      */
     void tell(PeerConnection controller) {
-        List<Instance> known = registry.certain();
+        List<Instance> known = registry.selfReported();
         for (int from = 0; from < known.size(); from += MOST_TOLD_AT_ONCE) {
             int to = Math.min(known.size(), from + MOST_TOLD_AT_ONCE);
             controller.send(new NodeMessage.InstanceAnnouncements(known.subList(from, to)));
--- a/controller/src/main/java/burlarch/controller/KnownControllers.java
+++ b/controller/src/main/java/burlarch/controller/KnownControllers.java
@@ -27,9 +27,9 @@
 
     /** The end of a process says nothing of the one that has its address now. */
     private void take(MemberInfo member, MemberState state) {
-        long process = member.incarnationOfProcess();
+        long process = member.processId();
         Belief before = byAddress.get(member.address());
-        if (!state.live() && before != null && before.process != process) {
+        if (!state.isLive() && before != null && before.process != process) {
             return;
         }
         byAddress.remove(member.address());
@@ -41,7 +41,7 @@
 
     private String leastNeeded() {
         return byAddress.entrySet().stream()
-                .filter(entry -> !entry.getValue().state.live())
+                .filter(entry -> !entry.getValue().state.isLive())
                 .map(Map.Entry::getKey)
                 .findFirst()
                 .orElse(byAddress.keySet().iterator().next());
--- a/controller/src/main/java/burlarch/controller/RouterPublisher.java
+++ b/controller/src/main/java/burlarch/controller/RouterPublisher.java
@@ -1,8 +1,8 @@
 package burlarch.controller;
 
 import burlarch.controller.state.SystemState;
-import burlarch.coordination.distribution.SubscriberTable;
-import burlarch.coordination.distribution.SubscriberTable.Wait;
+import burlarch.coordination.distribution.AcknowledgementTracker;
+import burlarch.coordination.distribution.AcknowledgementTracker.Wait;
 import burlarch.coordination.registry.InstanceChanges;
 import burlarch.coordination.registry.InstanceRegistry;
 import burlarch.transport.EventLoop;
@@ -36,8 +36,8 @@
     private final EventLoop loop;
     private final FrameCodec codec;
     private final InstanceRegistry registry;
-    private final SubscriberTable<PeerConnection> configurations = new SubscriberTable<>();
-    private final SubscriberTable<PeerConnection> instances = new SubscriberTable<>();
+    private final AcknowledgementTracker<PeerConnection> configurations = new AcknowledgementTracker<>();
+    private final AcknowledgementTracker<PeerConnection> instances = new AcknowledgementTracker<>();
     private final Map<Wait, CompletableFuture<Void>> waiting = new IdentityHashMap<>();
     private final Set<PeerConnection> routers = new HashSet<>();
     /** Routers that may be sent a configuration: after their connection a quorum confirmed the newest one. */
@@ -107,7 +107,7 @@
         if (!routers.contains(router) || !confirmed.add(router)) {
             return;
         }
-        if (configurations.heldBy(router).isPresent()) {
+        if (configurations.acknowledgedBy(router).isPresent()) {
             sendConfiguration(router);
         } else {
             loop.schedule(FIRST_WORD_NANOS, () -> sendConfiguration(router));
@@ -130,12 +130,12 @@
     }
 
     private void sendConfiguration() {
-        configurations.behind(state.configurationVersion()).forEach(this::sendConfiguration);
+        configurations.laggingBehind(state.configurationVersion()).forEach(this::sendConfiguration);
     }
 
     private void sendConfiguration(PeerConnection router) {
         if (confirmed.contains(router)) {
-            configurationStream.send(router, configurations.heldBy(router));
+            configurationStream.send(router, configurations.acknowledgedBy(router));
         }
     }
 
@@ -157,11 +157,11 @@
     }
 
     private byte[] frame(InstanceChanges changes) {
-        return codec.encode(new InstancesUpdate(changes.revision(), changes.whole(), changes.instances()));
+        return codec.encode(new InstancesUpdate(changes.revision(), changes.complete(), changes.instances()));
     }
 
     void onConfigurationAck(PeerConnection router, long version) {
-        boolean first = configurations.heldBy(router).isEmpty();
+        boolean first = configurations.acknowledgedBy(router).isEmpty();
         configurations.onAcknowledged(router, version);
         finishWaits();
         if (first) {
@@ -184,7 +184,8 @@
         return await(instances, revision, limitNanos);
     }
 
-    private CompletableFuture<Void> await(SubscriberTable<PeerConnection> table, long revision, long limitNanos) {
+    private CompletableFuture<Void> await(
+            AcknowledgementTracker<PeerConnection> table, long revision, long limitNanos) {
         CompletableFuture<Void> done = new CompletableFuture<>();
         table.await(revision, loop.nanoTime() + limitNanos)
                 .ifPresentOrElse(
@@ -198,7 +199,8 @@
 
     private void finishWaits() {
         long now = loop.nanoTime();
-        configurations.finishedWaits(now).forEach(wait -> waiting.remove(wait).complete(null));
-        instances.finishedWaits(now).forEach(wait -> waiting.remove(wait).complete(null));
+        configurations.takeFinishedWaits(now).forEach(wait -> waiting.remove(wait)
+                .complete(null));
+        instances.takeFinishedWaits(now).forEach(wait -> waiting.remove(wait).complete(null));
     }
 }
--- a/controller/src/main/java/burlarch/controller/WeightsDuty.java
+++ b/controller/src/main/java/burlarch/controller/WeightsDuty.java
@@ -47,7 +47,7 @@
 
     /** Whether some engine has yet to get newer weights. */
     boolean hasWork() {
-        return !rollout.complete();
+        return !rollout.isComplete();
     }
 
     /** A value was chosen. */
@@ -81,9 +81,9 @@
             if (action instanceof RolloutAction.SendOrder order) {
                 send(order);
             } else if (action instanceof RolloutAction.MarkLoading mark) {
-                registry.setLoading(mark.instance(), mark.loading(), loop.nanoTime());
-            } else if (action instanceof RolloutAction.AskReport ask) {
-                report(ask.instance());
+                registry.setLoading(mark.instanceId(), mark.loading(), loop.nanoTime());
+            } else if (action instanceof RolloutAction.RequestReport ask) {
+                report(ask.instanceId());
             } else if (action instanceof RolloutAction.Timer next) {
                 plan(next);
             } else if (action instanceof RolloutAction.OwnershipLost) {
@@ -94,9 +94,9 @@
     }
 
     private void send(RolloutAction.SendOrder order) {
-        Instance instance = registry.find(order.instance());
+        Instance instance = registry.find(order.instanceId());
         if (instance == null || !ownership.mayAct()) {
-            loop.execute(() -> onResult(order, OrderResult.NO_ANSWER));
+            loop.execute(() -> onResult(order, OrderResult.NO_RESPONSE));
             return;
         }
         Order sent = new Order(
@@ -104,14 +104,14 @@
                 order.version(),
                 order.mode(),
                 ownership.holderName(),
-                order.fenceToken(),
-                order.ifRevision());
+                order.fencingToken(),
+                order.expectedSequence());
         engines.order(address(instance), sent).thenAccept(result -> loop.execute(() -> onResult(order, result)));
     }
 
     private void onResult(RolloutAction.SendOrder order, OrderResult result) {
-        Logger.info("order of {} {} to {}: {}", order.model(), order.version(), order.instance(), result);
-        perform(rollout.onOrderResult(order.instance(), result, loop.nanoTime()));
+        Logger.info("order of {} {} to {}: {}", order.model(), order.version(), order.instanceId(), result);
+        perform(rollout.onOrderResult(order.instanceId(), result, loop.nanoTime()));
     }
 
     private void report(String id) {
--- a/controller/src/main/java/burlarch/controller/api/Announcements.java
+++ b/controller/src/main/java/burlarch/controller/api/Announcements.java
@@ -38,7 +38,7 @@
 
     private static long sequence(JsonNode json) {
         long sequence = Json.whole(json, "sequence");
-        if (sequence < 0 || sequence >= InstanceRegistry.LEFT) {
+        if (sequence < 0 || sequence >= InstanceRegistry.LEFT_SEQUENCE) {
             throw new FleetException(ErrorKind.INVALID, "sequence", "out of range");
         }
         return sequence;
--- a/coordination/src/main/java/burlarch/coordination/budget/LiveCountEstimate.java
+++ b/coordination/src/main/java/burlarch/coordination/budget/RouterCountEstimate.java
@@ -21,92 +21,94 @@
  * ended. The last full share leaves the span W later, and A counts B for W + L + S after it went out of
  * sight. By (1) and (2) each of the n counts n or more in the whole span, and the full shares sum to n (1 -
  * r) / n at most. The others' sum to r as long as no more of them are new or cut off in a span than the
- * larger of the count that they heard and {@link BudgetSettings#unsettledRouters()}.
+ * larger of the count that they heard and {@link BudgetSettings#minReserveRouters()}.
  *
  * <p>At the first start of the whole fleet nobody has used anything, so those that have contact within S need
  * only wait for 2 S, when all of them have learned of each other.
  */
-public final class LiveCountEstimate {
+public final class RouterCountEstimate {
     private final BudgetSettings settings;
     /** Every other router by process, with when it went out of sight; null while it is in sight. */
-    private final Map<Long, Long> others = new HashMap<>();
+    private final Map<Long, Long> disappearedAtByProcess = new HashMap<>();
 
-    private int heardCount;
-    private final long startedAt;
+    private int largestReportedCount;
+    private final long startedAtNanos;
     private final boolean firstStart;
     private boolean contacted;
-    private long contactSince;
-    private long contactAt;
+    private long contactSinceNanos;
+    private long lastContactNanos;
 
     /**
      * @param firstStart whether the whole fleet starts for the first time, all within the time of spreading
      */
-    public LiveCountEstimate(BudgetSettings settings, boolean firstStart, long now) {
+    public RouterCountEstimate(BudgetSettings settings, boolean firstStart, long now) {
         this.settings = settings;
         this.firstStart = firstStart;
-        startedAt = now;
+        startedAtNanos = now;
     }
 
     /** Another router came in sight; {@code process} is unique to one start of one router. */
-    public void appeared(long process, long now) {
-        forgetOld(now);
-        if (others.size() < settings.largestFleet() || others.containsKey(process)) {
-            others.put(process, null);
+    public void onRouterAppeared(long process, long now) {
+        forgetDisappeared(now);
+        if (disappearedAtByProcess.size() < settings.maxRouters() || disappearedAtByProcess.containsKey(process)) {
+            disappearedAtByProcess.put(process, null);
         }
     }
 
     /** Another router went out of sight, whether it ended or is cut off. */
-    public void disappeared(long process, long now) {
-        if (others.containsKey(process) && others.get(process) == null) {
-            others.put(process, now);
+    public void onRouterDisappeared(long process, long now) {
+        if (disappearedAtByProcess.containsKey(process) && disappearedAtByProcess.get(process) == null) {
+            disappearedAtByProcess.put(process, now);
         }
     }
 
     /** Another member told how many routers it counts, this one included. */
-    public void heard(int count) {
-        heardCount = Math.min(settings.largestFleet(), Math.max(heardCount, count));
+    public void onReportedCount(int count) {
+        largestReportedCount = Math.min(settings.maxRouters(), Math.max(largestReportedCount, count));
     }
 
     /** This router heard from a controller that has a quorum. */
-    public void contact(long now) {
-        if (!contacted || now - contactAt >= settings.contactLimit()) {
-            contactSince = now;
+    public void onQuorumContact(long now) {
+        if (!contacted || now - lastContactNanos >= settings.contactTimeoutNanos()) {
+            contactSinceNanos = now;
         }
         contacted = true;
-        contactAt = now;
+        lastContactNanos = now;
     }
 
     /** How many routers may share the budget now, this one included. */
     public int count(long now) {
-        forgetOld(now);
-        return others.size() + 1;
+        forgetDisappeared(now);
+        return disappearedAtByProcess.size() + 1;
     }
 
     /** Part of the whole budget, 0 to 1, that this router may use in the present window. */
-    public double share(long now) {
+    public double budgetFraction(long now) {
         int count = count(now);
-        if (settled(now)) {
-            return (1 - settings.reserve()) / count;
+        if (isEstablished(now)) {
+            return (1 - settings.reserveFraction()) / count;
         }
-        int known = contacted ? Math.max(count, heardCount) : settings.largestFleet();
-        return settings.reserve() / Math.max(settings.unsettledRouters(), known);
+        int known = contacted ? Math.max(count, largestReportedCount) : settings.maxRouters();
+        return settings.reserveFraction() / Math.max(settings.minReserveRouters(), known);
     }
 
     /** Whether this router has been in contact for long enough that all in contact count it. */
-    public boolean settled(long now) {
-        return contacted && now - contactAt < settings.contactLimit() && now - contactSince >= settling();
+    public boolean isEstablished(long now) {
+        return contacted
+                && now - lastContactNanos < settings.contactTimeoutNanos()
+                && now - contactSinceNanos >= establishingNanos();
     }
 
-    private long settling() {
-        boolean withAllOthers = firstStart && contactSince - startedAt < settings.spreadTime();
-        return withAllOthers ? 2 * settings.spreadTime() : settings.hold();
+    private long establishingNanos() {
+        boolean withAllOthers = firstStart && contactSinceNanos - startedAtNanos < settings.disseminationNanos();
+        return withAllOthers ? 2 * settings.disseminationNanos() : settings.retentionNanos();
     }
 
-    private void forgetOld(long now) {
-        Iterator<Long> goneAt = others.values().iterator();
+    private void forgetDisappeared(long now) {
+        Iterator<Long> goneAt = disappearedAtByProcess.values().iterator();
         while (goneAt.hasNext()) {
             Long gone = goneAt.next();
-            if (gone != null && now - gone >= settings.hold()) {
+            if (gone != null && now - gone >= settings.retentionNanos()) {
                 goneAt.remove();
             }
         }
--- a/coordination/src/main/java/burlarch/coordination/distribution/SubscriberTable.java
+++ b/coordination/src/main/java/burlarch/coordination/distribution/AcknowledgementTracker.java
@@ -10,13 +10,13 @@
 
 /**
  * Which subscribers hold which revision of one stream of updates, and who waits for all of them to hold one.
- * A subscriber that leaves is waited for no longer. Bounded by the subscribers and by {@link #MOST_WAITS}.
+ * A subscriber that leaves is waited for no longer. Bounded by the subscribers and by {@link #MAX_WAITS}.
  *
  * @param <S> names a subscriber
  */
-public final class SubscriberTable<S> {
+public final class AcknowledgementTracker<S> {
     /** Waits at the same time; a further one is over at once, with no claim that all hold the revision. */
-    public static final int MOST_WAITS = 1_024;
+    public static final int MAX_WAITS = 1_024;
 
     /** One wait for a revision. */
     public static final class Wait {
@@ -34,41 +34,41 @@
         }
     }
 
-    private final Map<S, Long> heldRevisions = new HashMap<>();
+    private final Map<S, Long> acknowledgedRevisions = new HashMap<>();
     private final List<Wait> waits = new ArrayList<>();
 
     /** A subscriber came; it holds nothing yet. */
     public void subscribe(S subscriber) {
-        heldRevisions.put(subscriber, Long.MIN_VALUE);
+        acknowledgedRevisions.put(subscriber, Long.MIN_VALUE);
     }
 
-    /** A subscriber is gone. Call {@link #finishedWaits} afterwards. */
+    /** A subscriber is gone. Call {@link #takeFinishedWaits} afterwards. */
     public void unsubscribe(S subscriber) {
-        heldRevisions.remove(subscriber);
+        acknowledgedRevisions.remove(subscriber);
     }
 
     /**
-     * A subscriber holds that revision; an older one changes nothing. Call {@link #finishedWaits} afterwards.
+     * A subscriber holds that revision; an older one changes nothing. Call {@link #takeFinishedWaits} afterwards.
      */
     public void onAcknowledged(S subscriber, long revision) {
-        heldRevisions.computeIfPresent(subscriber, (key, held) -> Math.max(held, revision));
+        acknowledgedRevisions.computeIfPresent(subscriber, (key, held) -> Math.max(held, revision));
     }
 
     /** The newest revision that a subscriber said it holds, if it said anything. */
-    public OptionalLong heldBy(S subscriber) {
-        long held = heldRevisions.getOrDefault(subscriber, Long.MIN_VALUE);
+    public OptionalLong acknowledgedBy(S subscriber) {
+        long held = acknowledgedRevisions.getOrDefault(subscriber, Long.MIN_VALUE);
         return held == Long.MIN_VALUE ? OptionalLong.empty() : OptionalLong.of(held);
     }
 
     /** How many subscribers there are. */
     public int size() {
-        return heldRevisions.size();
+        return acknowledgedRevisions.size();
     }
 
     /** Those that hold less than the revision. */
-    public List<S> behind(long revision) {
+    public List<S> laggingBehind(long revision) {
         List<S> behind = new ArrayList<>();
-        for (Map.Entry<S, Long> entry : heldRevisions.entrySet()) {
+        for (Map.Entry<S, Long> entry : acknowledgedRevisions.entrySet()) {
             if (entry.getValue() < revision) {
                 behind.add(entry.getKey());
             }
@@ -77,8 +77,8 @@
     }
 
     /** Whether every subscriber holds the revision. */
-    public boolean allHold(long revision) {
-        for (long held : heldRevisions.values()) {
+    public boolean allAcknowledged(long revision) {
+        for (long held : acknowledgedRevisions.values()) {
             if (held < revision) {
                 return false;
             }
@@ -88,7 +88,7 @@
 
     /** Begins to wait, or nothing if all hold it already or too many wait. */
     public Optional<Wait> await(long revision, long deadlineNanos) {
-        if (allHold(revision) || waits.size() >= MOST_WAITS) {
+        if (allAcknowledged(revision) || waits.size() >= MAX_WAITS) {
             return Optional.empty();
         }
         Wait wait = new Wait(revision, deadlineNanos);
@@ -97,11 +97,11 @@
     }
 
     /** Takes out the waits that are over: all hold the revision, or the deadline has passed. */
-    public List<Wait> finishedWaits(long nowNanos) {
+    public List<Wait> takeFinishedWaits(long nowNanos) {
         List<Wait> finished = new ArrayList<>();
         for (Iterator<Wait> remaining = waits.iterator(); remaining.hasNext(); ) {
             Wait wait = remaining.next();
-            if (nowNanos - wait.deadlineNanos >= 0 || allHold(wait.revision)) {
+            if (nowNanos - wait.deadlineNanos >= 0 || allAcknowledged(wait.revision)) {
                 remaining.remove();
                 finished.add(wait);
             }
--- a/coordination/src/main/java/burlarch/coordination/membership/ContactList.java
+++ b/coordination/src/main/java/burlarch/coordination/membership/ContactPoints.java
@@ -8,28 +8,28 @@
  * Addresses at which someone may be met whose identity isn't known: the seeds, and some where a member was
  * lost. They are how the halves of a long cut find each other again.
  */
-final class ContactList {
-    private static final int MAX_LOST = 16;
+final class ContactPoints {
+    private static final int MAX_LOST_ADDRESSES = 16;
 
     private final List<String> seeds;
     private final List<String> lost = new ArrayList<>();
     private int nextSeed;
 
-    ContactList(List<String> seeds, String own, Random random) {
+    ContactPoints(List<String> seeds, String own, Random random) {
         this.seeds = new ArrayList<>(seeds);
         this.seeds.remove(own);
         nextSeed = random.nextInt(Math.max(1, this.seeds.size()));
     }
 
-    void lose(String address) {
+    void addLost(String address) {
         lost.remove(address);
-        if (lost.size() >= MAX_LOST) {
+        if (lost.size() >= MAX_LOST_ADDRESSES) {
             lost.remove(0);
         }
         lost.add(address);
     }
 
-    void found(String address) {
+    void removeLost(String address) {
         lost.remove(address);
     }
 
--- a/coordination/src/main/java/burlarch/coordination/membership/GossipQueue.java
+++ b/coordination/src/main/java/burlarch/coordination/membership/GossipQueue.java
@@ -9,17 +9,17 @@
  * would drown them; then what went out least often. Bounded by the member table.
  */
 final class GossipQueue {
-    private static final Comparator<MemberRecord> URGENT_THEN_FRESH = (one, other) -> {
-        int byUrgency = Boolean.compare(other.urgent(), one.urgent());
+    private static final Comparator<MemberRecord> URGENT_THEN_LEAST_SENT = (one, other) -> {
+        int byUrgency = Boolean.compare(other.isUrgent(), one.isUrgent());
         return byUrgency != 0 ? byUrgency : Integer.compare(other.transmissionsLeft, one.transmissionsLeft);
     };
 
-    private final List<MemberRecord> waiting = new ArrayList<>();
+    private final List<MemberRecord> pending = new ArrayList<>();
 
     /** Sends the row's claim {@code transmissions} times from now on. */
     void add(MemberRecord row, int transmissions) {
         if (row.transmissionsLeft <= 0) {
-            waiting.add(row);
+            pending.add(row);
         }
         row.transmissionsLeft = transmissions;
     }
@@ -27,36 +27,36 @@
     void remove(MemberRecord row) {
         if (row.transmissionsLeft > 0) {
             row.transmissionsLeft = 0;
-            waiting.remove(row);
+            pending.remove(row);
         }
     }
 
     boolean isEmpty() {
-        return waiting.isEmpty();
+        return pending.isEmpty();
     }
 
     int size() {
-        return waiting.size();
+        return pending.size();
     }
 
     /** Adds the most pressing claims that fit into {@code room} bytes, and counts them as sent. */
-    void take(int room, List<MemberClaim> claims) {
-        if (waiting.isEmpty()) {
+    void takeUpdates(int room, List<MemberUpdate> claims) {
+        if (pending.isEmpty()) {
             return;
         }
-        waiting.sort(URGENT_THEN_FRESH);
+        pending.sort(URGENT_THEN_LEAST_SENT);
         int left = room;
-        for (MemberRecord row : waiting) {
-            int size = SwimCodec.sizeOf(row.claim);
+        for (MemberRecord row : pending) {
+            int size = SwimCodec.sizeOf(row.update);
             if (size > left) {
                 break;
             }
             left -= size;
-            if (!claims.contains(row.claim)) {
-                claims.add(row.claim);
+            if (!claims.contains(row.update)) {
+                claims.add(row.update);
             }
             row.transmissionsLeft--;
         }
-        waiting.removeIf(row -> row.transmissionsLeft <= 0);
+        pending.removeIf(row -> row.transmissionsLeft <= 0);
     }
 }
--- a/coordination/src/main/java/burlarch/coordination/membership/Relays.java
+++ b/coordination/src/main/java/burlarch/coordination/membership/IndirectProbes.java
@@ -5,19 +5,19 @@
 import java.util.Iterator;
 
 /** Probes that this member makes for others. Bounded: the oldest gives way. */
-final class Relays {
+final class IndirectProbes {
     private static final int MAX_OPEN = 64;
 
     /**
      * @param sequence of the own ping
      * @param requester address of the one who asked, and its sequence
-     * @param deadline when it is told that no answer came
+     * @param deadlineNanos when it is told that no answer came
      */
-    record Relay(int sequence, String requester, int requesterSequence, long deadline) {}
+    record IndirectProbe(int sequence, String requester, int requesterSequence, long deadlineNanos) {}
 
-    private final Deque<Relay> open = new ArrayDeque<>();
+    private final Deque<IndirectProbe> open = new ArrayDeque<>();
 
-    void add(Relay relay) {
+    void add(IndirectProbe relay) {
         if (open.size() >= MAX_OPEN) {
             open.removeFirst();
         }
@@ -25,10 +25,10 @@
     }
 
     /** Removes and returns the relay with this own sequence, or null. */
-    Relay answered(int sequence) {
-        Iterator<Relay> relays = open.iterator();
+    IndirectProbe removeBySequence(int sequence) {
+        Iterator<IndirectProbe> relays = open.iterator();
         while (relays.hasNext()) {
-            Relay relay = relays.next();
+            IndirectProbe relay = relays.next();
             if (relay.sequence() == sequence) {
                 relays.remove();
                 return relay;
@@ -38,14 +38,14 @@
     }
 
     /** Removes and returns a relay that got no answer in time, or null. All wait equally long. */
-    Relay overdue(long now) {
-        Relay oldest = open.peekFirst();
-        return oldest != null && now - oldest.deadline() >= 0 ? open.removeFirst() : null;
+    IndirectProbe pollOverdue(long now) {
+        IndirectProbe oldest = open.peekFirst();
+        return oldest != null && now - oldest.deadlineNanos() >= 0 ? open.removeFirst() : null;
     }
 
-    long untilOverdue(long now, long atMost) {
-        Relay oldest = open.peekFirst();
-        return oldest == null ? atMost : Math.min(atMost, oldest.deadline() - now);
+    long nanosUntilOverdue(long now, long atMost) {
+        IndirectProbe oldest = open.peekFirst();
+        return oldest == null ? atMost : Math.min(atMost, oldest.deadlineNanos() - now);
     }
 
     void clear() {
--- a/coordination/src/main/java/burlarch/coordination/membership/LocalHealth.java
+++ b/coordination/src/main/java/burlarch/coordination/membership/LocalHealth.java
@@ -5,25 +5,25 @@
  * in Lifeguard's local health multiplier.
  */
 final class LocalHealth {
-    private static final int WORST = 3;
+    private static final int MAX_FAULT_SCORE = 3;
 
-    private int faults;
+    private int faultScore;
 
     /** 1 for a member in good health; its time-outs are to be multiplied by this. */
     int multiplier() {
-        return faults + 1;
+        return faultScore + 1;
     }
 
     void improve() {
-        faults = Math.max(0, faults - 1);
+        faultScore = Math.max(0, faultScore - 1);
     }
 
     void worsen() {
-        faults = Math.min(WORST, faults + 1);
+        faultScore = Math.min(MAX_FAULT_SCORE, faultScore + 1);
     }
 
     /** After a pause of the own process nothing that was timed across it counts. */
-    void paused() {
-        faults = WORST;
+    void onPause() {
+        faultScore = MAX_FAULT_SCORE;
     }
 }
--- a/coordination/src/main/java/burlarch/coordination/membership/MemberChange.java
+++ b/coordination/src/main/java/burlarch/coordination/membership/MemberChange.java
@@ -9,11 +9,11 @@
 public record MemberChange(MemberInfo member, MemberState before, MemberState after) {
     /** Whether the member joins the live ones with this. */
     public boolean appeared() {
-        return after.live() && (before == null || !before.live());
+        return after.isLive() && (before == null || !before.isLive());
     }
 
     /** Whether the member ceases to be a live one with this. */
     public boolean disappeared() {
-        return !after.live() && before != null && before.live();
+        return !after.isLive() && before != null && before.isLive();
     }
 }
--- a/coordination/src/main/java/burlarch/coordination/membership/MemberInfo.java
+++ b/coordination/src/main/java/burlarch/coordination/membership/MemberInfo.java
@@ -9,9 +9,9 @@
  * @param address where its process takes datagrams of other members, IP:PORT (IPv4)
  * @param role what it does, for instance router
  * @param zone where it runs
- * @param incarnationOfProcess a random number that every start of a process draws anew; never 0
+ * @param processId a random number that every start of a process draws anew; never 0
  */
-public record MemberInfo(String name, String address, String role, String zone, long incarnationOfProcess) {
+public record MemberInfo(String name, String address, String role, String zone, long processId) {
     /** Longest name, role or zone, in bytes of UTF-8. */
     public static final int MAX_TEXT_BYTES = 96;
 
@@ -19,7 +19,7 @@
         checkLength(name);
         checkLength(role);
         checkLength(zone);
-        if (name.isEmpty() || incarnationOfProcess == 0) {
+        if (name.isEmpty() || processId == 0) {
             throw new IllegalArgumentException("a member needs a name and an incarnation");
         }
         Ipv4Address.pack(address);
--- a/coordination/src/main/java/burlarch/coordination/membership/MemberRecord.java
+++ b/coordination/src/main/java/burlarch/coordination/membership/MemberRecord.java
@@ -2,32 +2,32 @@
 
 /** One row of {@link MemberTable}. */
 final class MemberRecord {
-    MemberClaim claim;
+    MemberUpdate update;
     /** While suspected: since when. */
-    long suspectSince;
+    long suspectedAtNanos;
     /** When it died or left. */
-    long endedAt;
+    long endedAtNanos;
     /** How often the claim still goes out. */
     int transmissionsLeft;
 
-    MemberRecord(MemberClaim claim) {
-        this.claim = claim;
+    MemberRecord(MemberUpdate claim) {
+        this.update = claim;
     }
 
     MemberInfo info() {
-        return claim.info();
+        return update.info();
     }
 
     MemberState state() {
-        return claim.state();
+        return update.state();
     }
 
     /** Whether its news is on trouble or an objection, rather than on an arrival. */
-    boolean urgent() {
-        return claim.state() != MemberState.ALIVE || claim.incarnation() > 0;
+    boolean isUrgent() {
+        return update.state() != MemberState.ALIVE || update.incarnation() > 0;
     }
 
     String name() {
-        return claim.info().name();
+        return update.info().name();
     }
 }
--- a/coordination/src/main/java/burlarch/coordination/membership/MemberState.java
+++ b/coordination/src/main/java/burlarch/coordination/membership/MemberState.java
@@ -14,7 +14,7 @@
     LEFT;
 
     /** Whether the member counts among the present ones. */
-    public boolean live() {
+    public boolean isLive() {
         return this == ALIVE || this == SUSPECT;
     }
 }
--- a/coordination/src/main/java/burlarch/coordination/membership/MemberTable.java
+++ b/coordination/src/main/java/burlarch/coordination/membership/MemberTable.java
@@ -15,7 +15,7 @@
     private final List<MemberRecord> suspects = new ArrayList<>();
     private final List<MemberRecord> ended = new ArrayList<>();
     private long digest;
-    private long refused;
+    private long rejected;
 
     MemberTable(int maxMembers, long ownProcess) {
         this.maxMembers = maxMembers;
@@ -27,24 +27,24 @@
      *
      * @return the row if it changed, else null
      */
-    MemberRecord apply(MemberClaim claim, long now, List<MemberChange> changes) {
+    MemberRecord apply(MemberUpdate claim, long now, List<MemberChange> changes) {
         MemberRecord known = byName.get(claim.info().name());
         if (known == null) {
-            return claim.state().live() ? add(claim, now, changes) : null;
+            return claim.state().isLive() ? add(claim, now, changes) : null;
         }
-        if (!claim.supersedes(known.claim)) {
+        if (!claim.overrides(known.update)) {
             return null;
         }
         MemberState before = known.state();
-        if (!claim.sameProcess(known.claim)) {
-            if (before.live()) {
+        if (!claim.isOfSameProcess(known.update)) {
+            if (before.isLive()) {
                 changes.add(new MemberChange(known.info(), before, MemberState.DEAD));
             }
             before = null;
         }
-        leaveLists(known);
-        known.claim = claim;
-        enterLists(known, now);
+        removeFromIndexes(known);
+        known.update = claim;
+        addToIndexes(known, now);
         if (before != claim.state()) {
             changes.add(new MemberChange(claim.info(), before, claim.state()));
         }
@@ -54,35 +54,35 @@
     /** Gives every suspected member its whole time to object again. */
     void restartSuspicions(long now) {
         for (MemberRecord suspect : suspects) {
-            suspect.suspectSince = now;
+            suspect.suspectedAtNanos = now;
         }
     }
 
     /** A member that has been suspected for this long, or null. */
-    MemberRecord overdue(long suspicion, long now) {
+    MemberRecord findOverdueSuspect(long suspicion, long now) {
         for (MemberRecord suspect : suspects) {
-            if (now - suspect.suspectSince >= suspicion) {
+            if (now - suspect.suspectedAtNanos >= suspicion) {
                 return suspect;
             }
         }
         return null;
     }
 
-    /** How long until {@link #overdue} may have one, at most {@code atMost}. */
-    long untilOverdue(long suspicion, long now, long atMost) {
+    /** How long until {@link #findOverdueSuspect} may have one, at most {@code atMost}. */
+    long nanosUntilOverdue(long suspicion, long now, long atMost) {
         long least = atMost;
         for (MemberRecord suspect : suspects) {
-            least = Math.min(least, suspect.suspectSince + suspicion - now);
+            least = Math.min(least, suspect.suspectedAtNanos + suspicion - now);
         }
         return least;
     }
 
     /** Removes and returns a row that ended longer ago than {@code age}, or null. */
-    MemberRecord forgetOne(long age, long now) {
+    MemberRecord removeOneEnded(long age, long now) {
         Iterator<MemberRecord> rows = ended.iterator();
         while (rows.hasNext()) {
             MemberRecord row = rows.next();
-            if (now - row.endedAt >= age) {
+            if (now - row.endedAtNanos >= age) {
                 rows.remove();
                 remove(row);
                 return row;
@@ -91,15 +91,15 @@
         return null;
     }
 
-    MemberRecord get(String name) {
+    MemberRecord findByName(String name) {
         return byName.get(name);
     }
 
-    MemberRecord ofProcess(long process) {
+    MemberRecord findByProcess(long process) {
         return byProcess.get(process);
     }
 
-    Collection<MemberRecord> rows() {
+    Collection<MemberRecord> records() {
         return byName.values();
     }
 
@@ -119,52 +119,52 @@
     }
 
     /** Members that were not taken in for want of room. */
-    long refused() {
-        return refused;
+    long rejected() {
+        return rejected;
     }
 
-    private MemberRecord add(MemberClaim claim, long now, List<MemberChange> changes) {
+    private MemberRecord add(MemberUpdate claim, long now, List<MemberChange> changes) {
         if (byName.size() >= maxMembers) {
             if (ended.isEmpty()) {
-                refused++;
+                rejected++;
                 return null;
             }
             remove(ended.remove(0));
         }
         MemberRecord added = new MemberRecord(claim);
         byName.put(claim.info().name(), added);
-        enterLists(added, now);
+        addToIndexes(added, now);
         changes.add(new MemberChange(claim.info(), null, claim.state()));
         return added;
     }
 
     private void remove(MemberRecord row) {
         byName.remove(row.name());
-        byProcess.remove(row.info().incarnationOfProcess(), row);
+        byProcess.remove(row.info().processId(), row);
     }
 
-    private void leaveLists(MemberRecord row) {
-        byProcess.remove(row.info().incarnationOfProcess(), row);
-        if (row.state().live()) {
-            digest -= mix(row.info().incarnationOfProcess());
+    private void removeFromIndexes(MemberRecord row) {
+        byProcess.remove(row.info().processId(), row);
+        if (row.state().isLive()) {
+            digest -= mix(row.info().processId());
         }
         if (row.state() == MemberState.SUSPECT) {
             suspects.remove(row);
-        } else if (!row.state().live()) {
+        } else if (!row.state().isLive()) {
             ended.remove(row);
         }
     }
 
-    private void enterLists(MemberRecord row, long now) {
-        byProcess.put(row.info().incarnationOfProcess(), row);
-        if (row.state().live()) {
-            digest += mix(row.info().incarnationOfProcess());
+    private void addToIndexes(MemberRecord row, long now) {
+        byProcess.put(row.info().processId(), row);
+        if (row.state().isLive()) {
+            digest += mix(row.info().processId());
         }
         if (row.state() == MemberState.SUSPECT) {
-            row.suspectSince = now;
+            row.suspectedAtNanos = now;
             suspects.add(row);
-        } else if (!row.state().live()) {
-            row.endedAt = now;
+        } else if (!row.state().isLive()) {
+            row.endedAtNanos = now;
             ended.add(row);
         }
     }
--- a/coordination/src/main/java/burlarch/coordination/membership/MemberClaim.java
+++ b/coordination/src/main/java/burlarch/coordination/membership/MemberUpdate.java
@@ -5,11 +5,11 @@
  *
  * @param incarnation rises when the member itself objects to what is said of it; 0 or more
  */
-public record MemberClaim(MemberInfo info, long incarnation, MemberState state) {
+public record MemberUpdate(MemberInfo info, long incarnation, MemberState state) {
     /** Above any honest incarnation; bounds what a member may be made to count up to. */
     public static final long MAX_INCARNATION = Long.MAX_VALUE / 2;
 
-    public MemberClaim {
+    public MemberUpdate {
         if (incarnation < 0 || incarnation > MAX_INCARNATION) {
             throw new IllegalArgumentException("incarnation out of bounds: " + incarnation);
         }
@@ -23,24 +23,24 @@
      * against a live one by its incarnation, which a restarted process raises above all that it hears of its
      * name.
      */
-    boolean supersedes(MemberClaim known) {
-        if (sameProcess(known)) {
+    boolean overrides(MemberUpdate known) {
+        if (isOfSameProcess(known)) {
             return incarnation > known.incarnation
                     || incarnation == known.incarnation && state.compareTo(known.state) > 0;
         }
         if (state != MemberState.ALIVE) {
             return false;
         }
-        return !known.state.live()
+        return !known.state.isLive()
                 || incarnation > known.incarnation
-                || incarnation == known.incarnation && info.incarnationOfProcess() > known.info.incarnationOfProcess();
+                || incarnation == known.incarnation && info.processId() > known.info.processId();
     }
 
-    boolean sameProcess(MemberClaim other) {
-        return info.incarnationOfProcess() == other.info.incarnationOfProcess();
+    boolean isOfSameProcess(MemberUpdate other) {
+        return info.processId() == other.info.processId();
     }
 
-    MemberClaim as(MemberState other) {
-        return other == state ? this : new MemberClaim(info, incarnation, other);
+    MemberUpdate withState(MemberState other) {
+        return other == state ? this : new MemberUpdate(info, incarnation, other);
     }
 }
--- a/coordination/src/main/java/burlarch/coordination/membership/Beliefs.java
+++ b/coordination/src/main/java/burlarch/coordination/membership/MembershipView.java
@@ -4,9 +4,9 @@
 import java.util.List;
 
 /** What this member holds true of itself and of others, and the news that it passes on. */
-final class Beliefs {
+final class MembershipView {
     /** About what one datagram holds. */
-    private static final int CROWD = 16;
+    private static final int GOSSIP_BACKLOG = 16;
 
     private final SwimSettings settings;
     private final MemberRecord self;
@@ -14,24 +14,24 @@
     private final GossipQueue gossip = new GossipQueue();
     private final LocalHealth health;
     private List<MemberChange> changes = new ArrayList<>();
-    private long changedAt;
-    private boolean objected;
+    private long changedAtNanos;
+    private boolean refuted;
 
-    Beliefs(MemberInfo own, SwimSettings settings, LocalHealth health, long now) {
+    MembershipView(MemberInfo own, SwimSettings settings, LocalHealth health, long now) {
         this.settings = settings;
         this.health = health;
-        self = new MemberRecord(new MemberClaim(own, 0, MemberState.ALIVE));
-        table = new MemberTable(settings.maxMembers(), own.incarnationOfProcess());
-        changedAt = now;
-        spread(self);
+        self = new MemberRecord(new MemberUpdate(own, 0, MemberState.ALIVE));
+        table = new MemberTable(settings.maxMembers(), own.processId());
+        changedAtNanos = now;
+        disseminate(self);
     }
 
     /** Takes up news that came as gossip. */
-    void learn(MemberClaim claim, long now) {
+    void onGossip(MemberUpdate claim, long now) {
         if (isOwnName(claim)) {
-            objectTo(claim);
+            refute(claim);
         } else {
-            take(claim, now, true);
+            apply(claim, now, true);
         }
     }
 
@@ -39,51 +39,53 @@
      * Takes up a row of another's table. Such a table may be old or come from beyond a healed cut, so it
      * makes no one dead at once, and only what needs an answer goes on.
      */
-    void learnFromTable(MemberClaim claim, long now) {
+    void onSyncedEntry(MemberUpdate claim, long now) {
         if (isOwnName(claim)) {
-            objectTo(claim);
+            refute(claim);
             return;
         }
-        MemberRecord known = table.get(claim.info().name());
+        MemberRecord known = table.findByName(claim.info().name());
         boolean deadToMeAlive = claim.state() == MemberState.DEAD
                 && known != null
-                && known.state().live();
-        MemberClaim softened = deadToMeAlive ? claim.as(MemberState.SUSPECT) : claim;
-        take(softened, now, softened.state() == MemberState.SUSPECT);
+                && known.state().isLive();
+        MemberUpdate softened = deadToMeAlive ? claim.withState(MemberState.SUSPECT) : claim;
+        apply(softened, now, softened.state() == MemberState.SUSPECT);
     }
 
     /** The row's present process did not answer. */
     void suspect(MemberRecord row, long now) {
-        take(row.claim.as(MemberState.SUSPECT), now, true);
+        apply(row.update.withState(MemberState.SUSPECT), now, true);
     }
 
     /** The row's present process did not object in time, or is known to be gone. */
-    void bury(MemberRecord row, long now) {
-        take(row.claim.as(MemberState.DEAD), now, true);
+    void declareDead(MemberRecord row, long now) {
+        apply(row.update.withState(MemberState.DEAD), now, true);
     }
 
     /** Holds those dead that did not object in time. */
-    void buryOverdue(long now) {
-        long suspicion = suspicion();
-        for (MemberRecord late = table.overdue(suspicion, now); late != null; late = table.overdue(suspicion, now)) {
-            bury(late, now);
+    void declareOverdueDead(long now) {
+        long suspicion = suspicionTimeoutNanos();
+        for (MemberRecord late = table.findOverdueSuspect(suspicion, now);
+                late != null;
+                late = table.findOverdueSuspect(suspicion, now)) {
+            declareDead(late, now);
         }
     }
 
     /** How long until the next one may be overdue, at most {@code atMost}. */
-    long untilOverdue(long now, long atMost) {
-        return table.untilOverdue(suspicion(), now, atMost);
+    long nanosUntilOverdue(long now, long atMost) {
+        return table.nanosUntilOverdue(suspicionTimeoutNanos(), now, atMost);
     }
 
     /** Declares the own end. */
     void leave() {
-        self.claim = self.claim.as(MemberState.LEFT);
+        self.update = self.update.withState(MemberState.LEFT);
     }
 
     /** Whether the member objected since the last call to something said of it. */
-    boolean takeObjected() {
-        boolean result = objected;
-        objected = false;
+    boolean takeRefuted() {
+        boolean result = refuted;
+        refuted = false;
         return result;
     }
 
@@ -98,35 +100,35 @@
     }
 
     /** Drops the rows that ended long ago; returns where their processes were. */
-    List<String> forgetOld(long now) {
+    List<String> forgetEnded(long now) {
         List<String> addresses = new ArrayList<>(0);
-        MemberRecord forgotten = table.forgetOne(settings.forgetDead(), now);
+        MemberRecord forgotten = table.removeOneEnded(settings.deadRetentionNanos(), now);
         while (forgotten != null) {
             gossip.remove(forgotten);
             if (forgotten.state() == MemberState.DEAD) {
                 addresses.add(forgotten.info().address());
             }
-            forgotten = table.forgetOne(settings.forgetDead(), now);
+            forgotten = table.removeOneEnded(settings.deadRetentionNanos(), now);
         }
         return addresses;
     }
 
     /** Whether neither news nor changes have come up for a while, so that another's table should be alike. */
-    boolean quiet(long now) {
-        return gossip.isEmpty() && now - changedAt >= settings.syncPause();
+    boolean isQuiet(long now) {
+        return gossip.isEmpty() && now - changedAtNanos >= settings.minSyncIntervalNanos();
     }
 
     /** Whether more changed at once than news can carry in good time, as at a start of all or after a cut. */
-    boolean crowded() {
-        return gossip.size() > CROWD;
+    boolean isGossipBacklogged() {
+        return gossip.size() > GOSSIP_BACKLOG;
     }
 
     SwimMessage.Header header() {
-        return new SwimMessage.Header(self.info().incarnationOfProcess(), table.digest());
+        return new SwimMessage.Header(self.info().processId(), table.digest());
     }
 
-    MemberClaim own() {
-        return self.claim;
+    MemberUpdate ownUpdate() {
+        return self.update;
     }
 
     MemberTable table() {
@@ -137,48 +139,48 @@
         return gossip;
     }
 
-    private boolean isOwnName(MemberClaim claim) {
+    private boolean isOwnName(MemberUpdate claim) {
         return claim.info().name().equals(self.name());
     }
 
-    private void objectTo(MemberClaim claim) {
-        boolean sameProcess = claim.sameProcess(self.claim);
-        if (claim.incarnation() < self.claim.incarnation()
+    private void refute(MemberUpdate claim) {
+        boolean sameProcess = claim.isOfSameProcess(self.update);
+        if (claim.incarnation() < self.update.incarnation()
                 || self.state() == MemberState.LEFT
                 || sameProcess && claim.state() == MemberState.ALIVE
-                || claim.incarnation() >= MemberClaim.MAX_INCARNATION) {
+                || claim.incarnation() >= MemberUpdate.MAX_INCARNATION) {
             return;
         }
-        self.claim = new MemberClaim(self.info(), claim.incarnation() + 1, MemberState.ALIVE);
-        spread(self);
-        objected = true;
+        self.update = new MemberUpdate(self.info(), claim.incarnation() + 1, MemberState.ALIVE);
+        disseminate(self);
+        refuted = true;
         if (sameProcess) {
             health.worsen();
         }
     }
 
-    private void take(MemberClaim claim, long now, boolean passOn) {
+    private void apply(MemberUpdate claim, long now, boolean passOn) {
         int before = changes.size();
         MemberRecord changed = table.apply(claim, now, changes);
         if (changed == null) {
             return;
         }
         if (changes.size() > before) {
-            changedAt = now;
+            changedAtNanos = now;
         }
         if (passOn) {
-            spread(changed);
+            disseminate(changed);
         } else {
             gossip.remove(changed);
         }
     }
 
-    private void spread(MemberRecord row) {
-        gossip.add(row, settings.transmissions(table.liveCount() + 1));
+    private void disseminate(MemberRecord row) {
+        gossip.add(row, settings.transmitLimit(table.liveCount() + 1));
     }
 
     /** How long a suspected member may object now: longer as more members become known. */
-    private long suspicion() {
-        return settings.suspicion(table.liveCount() + 1) * health.multiplier();
+    private long suspicionTimeoutNanos() {
+        return settings.suspicionTimeoutNanos(table.liveCount() + 1) * health.multiplier();
     }
 }
--- a/coordination/src/main/java/burlarch/coordination/membership/ProbeRing.java
+++ b/coordination/src/main/java/burlarch/coordination/membership/ProbeTargetSelector.java
@@ -6,12 +6,12 @@
 import java.util.Random;
 
 /** Whom to probe next: every live member once, in an order drawn anew for each turn. */
-final class ProbeRing {
+final class ProbeTargetSelector {
     private final MemberTable table;
     private final Random random;
-    private final List<MemberRecord> turn = new ArrayList<>();
+    private final List<MemberRecord> remaining = new ArrayList<>();
 
-    ProbeRing(MemberTable table, Random random) {
+    ProbeTargetSelector(MemberTable table, Random random) {
         this.table = table;
         this.random = random;
     }
@@ -19,28 +19,28 @@
     /** The next live member, or null where there is none. */
     MemberRecord next() {
         for (int turns = 0; turns < 2; turns++) {
-            while (!turn.isEmpty()) {
-                MemberRecord row = turn.remove(turn.size() - 1);
-                if (row.state().live() && table.get(row.name()) == row) {
+            while (!remaining.isEmpty()) {
+                MemberRecord row = remaining.remove(remaining.size() - 1);
+                if (row.state().isLive() && table.findByName(row.name()) == row) {
                     return row;
                 }
             }
-            fill();
+            refill();
         }
         return null;
     }
 
     /** A new member waits for a random place in the present turn, as an even chance of an early probe. */
-    void join(MemberRecord row) {
-        if (!turn.contains(row)) {
-            turn.add(random.nextInt(turn.size() + 1), row);
+    void addAtRandomPosition(MemberRecord row) {
+        if (!remaining.contains(row)) {
+            remaining.add(random.nextInt(remaining.size() + 1), row);
         }
     }
 
     /** Up to {@code count} live members other than {@code except}, at random. */
-    List<MemberRecord> helpers(int count, MemberRecord except) {
+    List<MemberRecord> randomAlive(int count, MemberRecord except) {
         List<MemberRecord> candidates = new ArrayList<>();
-        for (MemberRecord row : table.rows()) {
+        for (MemberRecord row : table.records()) {
             if (row != except && row.state() == MemberState.ALIVE) {
                 candidates.add(row);
             }
@@ -55,12 +55,12 @@
         return drawn;
     }
 
-    private void fill() {
-        for (MemberRecord row : table.rows()) {
-            if (row.state().live()) {
-                turn.add(row);
+    private void refill() {
+        for (MemberRecord row : table.records()) {
+            if (row.state().isLive()) {
+                remaining.add(row);
             }
         }
-        Collections.shuffle(turn, random);
+        Collections.shuffle(remaining, random);
     }
 }
--- a/coordination/src/main/java/burlarch/coordination/membership/Swim.java
+++ b/coordination/src/main/java/burlarch/coordination/membership/Swim.java
@@ -24,11 +24,11 @@
     private final SwimSettings settings;
     private final Random random;
     private final LocalHealth health = new LocalHealth();
-    private final Beliefs beliefs;
-    private final Outbound outbound;
-    private final Prober prober;
-    private final TableSync sync;
-    private final ContactList contacts;
+    private final MembershipView beliefs;
+    private final OutgoingDatagrams outbound;
+    private final FailureDetector prober;
+    private final AntiEntropy sync;
+    private final ContactPoints contacts;
     private final long startedAt;
     private long nextPeriod;
     private long wakeUpAt;
@@ -44,11 +44,11 @@
     public Swim(MemberInfo own, List<String> seeds, SwimSettings settings, long randomSeed, long now) {
         this.settings = settings;
         random = new Random(randomSeed);
-        beliefs = new Beliefs(own, settings, health, now);
-        outbound = new Outbound(beliefs, settings.maxDatagram());
-        prober = new Prober(settings, beliefs, outbound, health, random);
-        sync = new TableSync(settings, beliefs, outbound, now);
-        contacts = new ContactList(seeds, own.address(), random);
+        beliefs = new MembershipView(own, settings, health, now);
+        outbound = new OutgoingDatagrams(beliefs, settings.maxDatagramBytes());
+        prober = new FailureDetector(settings, beliefs, outbound, health, random);
+        sync = new AntiEntropy(settings, beliefs, outbound, now);
+        contacts = new ContactPoints(seeds, own.address(), random);
         startedAt = now;
         nextPeriod = now;
         wakeUpAt = now;
@@ -64,7 +64,8 @@
         SwimMessage message = SwimCodec.decode(datagram);
         if (message == null) {
             dropped++;
-        } else if (!left && message.header().process() != beliefs.own().info().incarnationOfProcess()) {
+        } else if (!left
+                && message.header().processId() != beliefs.ownUpdate().info().processId()) {
             joined = true;
             take(from, message, now);
         }
@@ -72,13 +73,13 @@
     }
 
     /**
-     * To be called at once to start, and then at each step's {@link SwimStep#wakeUpAt()}; earlier does no
+     * To be called at once to start, and then at each step's {@link SwimStep#wakeUpAtNanos()}; earlier does no
      * harm.
      */
     public SwimStep onTimer(long now) {
         noticePause(now);
         if (!left) {
-            beliefs.buryOverdue(now);
+            beliefs.declareOverdueDead(now);
             prober.onTimer(now);
             if (now - nextPeriod >= 0) {
                 period(now);
@@ -92,7 +93,7 @@
         if (!left) {
             beliefs.leave();
             announce();
-            prober.abandon();
+            prober.abandonProbes();
             left = true;
         }
         return step(now);
@@ -104,14 +105,14 @@
     }
 
     public MemberInfo own() {
-        return beliefs.own().info();
+        return beliefs.ownUpdate().info();
     }
 
     /** The live members without the own one, in no order. */
     public List<MemberInfo> members() {
         List<MemberInfo> live = new ArrayList<>();
-        for (MemberRecord row : beliefs.table().rows()) {
-            if (row.state().live()) {
+        for (MemberRecord row : beliefs.table().records()) {
+            if (row.state().isLive()) {
                 live.add(row.info());
             }
         }
@@ -120,7 +121,7 @@
 
     /** What is believed of the member, or null where it isn't known. */
     public MemberState stateOf(String name) {
-        MemberRecord row = beliefs.table().get(name);
+        MemberRecord row = beliefs.table().findByName(name);
         return row == null ? null : row.state();
     }
 
@@ -130,43 +131,43 @@
     }
 
     /** Members that did not fit into the table, since the start. */
-    public long refusedMembers() {
-        return beliefs.table().refused();
+    public long rejectedMembers() {
+        return beliefs.table().rejected();
     }
 
     private void take(String from, SwimMessage message, long now) {
         if (message instanceof SwimMessage.SyncRequest) {
-            sync.onClaims(message, now);
+            sync.onUpdates(message, now);
             sync.onRequest(from);
         } else if (message instanceof SwimMessage.SyncPage) {
-            sync.onClaims(message, now);
-            if (!announced && message.claims().size() > 1) {
+            sync.onUpdates(message, now);
+            if (!announced && message.updates().size() > 1) {
                 announced = true;
                 announce();
             }
         } else {
-            for (MemberClaim claim : message.claims()) {
-                beliefs.learn(claim, now);
+            for (MemberUpdate claim : message.updates()) {
+                beliefs.onGossip(claim, now);
             }
             takeProbe(from, message, now);
         }
-        if (beliefs.takeObjected()) {
-            outbound.ownClaim(from);
+        if (beliefs.takeRefuted()) {
+            outbound.ownUpdate(from);
             announce();
         }
     }
 
     private void announce() {
-        for (MemberRecord row : prober.ring().helpers(ANNOUNCEMENTS, null)) {
-            outbound.ownClaim(row.info().address());
+        for (MemberRecord row : prober.targets().randomAlive(ANNOUNCEMENTS, null)) {
+            outbound.ownUpdate(row.info().address());
         }
     }
 
     private void takeProbe(String from, SwimMessage message, long now) {
-        MemberRecord sender = beliefs.table().ofProcess(message.header().process());
+        MemberRecord sender = beliefs.table().findByProcess(message.header().processId());
         if (message instanceof SwimMessage.Ping ping) {
-            MemberClaim ofSender = sender == null ? null : Prober.claimToShow(sender);
-            outbound.ack(from, ping.sequence(), beliefs.own().info().incarnationOfProcess(), ofSender);
+            MemberUpdate ofSender = sender == null ? null : FailureDetector.updateToRefute(sender);
+            outbound.ack(from, ping.sequence(), beliefs.ownUpdate().info().processId(), ofSender);
         } else if (message instanceof SwimMessage.Ack ack) {
             prober.onAck(ack, now);
         } else if (message instanceof SwimMessage.PingRequest request) {
@@ -175,27 +176,27 @@
             prober.onNack(nack);
         }
         if (sender == null) {
-            sync.request(from, now);
+            sync.requestSync(from, now);
         } else {
-            sync.compare(from, message.header(), now);
+            sync.compareDigest(from, message.header(), now);
         }
     }
 
     private void period(long now) {
         sync.onPeriod();
-        for (String address : beliefs.forgetOld(now)) {
-            contacts.lose(address);
+        for (String address : beliefs.forgetEnded(now)) {
+            contacts.addLost(address);
         }
         seekContacts(now);
         seekEnded();
-        prober.begin(now);
-        long length = joined ? settings.probePeriod() : settings.probeTimeout();
+        prober.beginProbe(now);
+        long length = joined ? settings.probePeriodNanos() : settings.probeTimeoutNanos();
         nextPeriod = now + (long) (length * (1 + JITTER * (2 * random.nextDouble() - 1)));
     }
 
     /** Tries the addresses whose holder isn't known; all the time at first, later some of the members do. */
     private void seekContacts(long now) {
-        boolean starting = now - startedAt < START_PERIODS * settings.probePeriod();
+        boolean starting = now - startedAt < START_PERIODS * settings.probePeriodNanos();
         if (!starting && random.nextDouble() * (beliefs.table().liveCount() + 1) >= RECONNECTIONS) {
             return;
         }
@@ -209,7 +210,7 @@
             return;
         }
         if (joined) {
-            outbound.ping(address, prober.nextSequence(), 0, beliefs.own());
+            outbound.ping(address, prober.nextSequence(), 0, beliefs.ownUpdate());
         } else {
             outbound.syncRequest(address);
         }
@@ -224,14 +225,14 @@
             MemberRecord row = ended.get(random.nextInt(ended.size()));
             if (row.state() == MemberState.DEAD) {
                 outbound.ping(
-                        row.info().address(), prober.nextSequence(), row.info().incarnationOfProcess(), row.claim);
+                        row.info().address(), prober.nextSequence(), row.info().processId(), row.update);
             }
         }
     }
 
     private boolean holdsLiveMember(String address) {
-        for (MemberRecord row : beliefs.table().rows()) {
-            if (row.state().live() && row.info().address().equals(address)) {
+        for (MemberRecord row : beliefs.table().records()) {
+            if (row.state().isLive() && row.info().address().equals(address)) {
                 return true;
             }
         }
@@ -240,11 +241,11 @@
 
     /** A timer that comes much too late says that this process stood still, not that others are silent. */
     private void noticePause(long now) {
-        if (now - wakeUpAt <= settings.probeTimeout()) {
+        if (now - wakeUpAt <= settings.probeTimeoutNanos()) {
             return;
         }
-        health.paused();
-        prober.abandon();
+        health.onPause();
+        prober.abandonProbes();
         beliefs.restartSuspicions(now);
         nextPeriod = now;
         wakeUpAt = now;
@@ -253,15 +254,15 @@
     private SwimStep step(long now) {
         List<MemberChange> changes = beliefs.takeChanges();
         for (MemberChange change : changes) {
-            MemberRecord row = beliefs.table().get(change.member().name());
+            MemberRecord row = beliefs.table().findByName(change.member().name());
             if (change.appeared() && row != null) {
-                prober.ring().join(row);
-                contacts.found(change.member().address());
+                prober.targets().addAtRandomPosition(row);
+                contacts.removeLost(change.member().address());
             }
         }
-        long wait = left ? settings.forgetDead() : nextPeriod - now;
+        long wait = left ? settings.deadRetentionNanos() : nextPeriod - now;
         if (!left) {
-            wait = prober.untilDue(now, beliefs.untilOverdue(now, wait));
+            wait = prober.nanosUntilDue(now, beliefs.nanosUntilOverdue(now, wait));
         }
         wakeUpAt = now + Math.max(0, wait);
         return new SwimStep(outbound.take(), changes, wakeUpAt);
--- a/coordination/src/main/java/burlarch/coordination/membership/SwimCodec.java
+++ b/coordination/src/main/java/burlarch/coordination/membership/SwimCodec.java
@@ -32,26 +32,26 @@
     /** Bytes of any message without its claims, at most. */
     static final int FRAME_BYTES = 2 + 2 * Long.BYTES + Integer.BYTES + Long.BYTES + ADDRESS_BYTES + CHECK_BYTES;
     /** Bytes of a claim without its texts. */
-    private static final int CLAIM_BYTES = 1 + 2 * Long.BYTES + ADDRESS_BYTES + 3;
+    private static final int UPDATE_BYTES = 1 + 2 * Long.BYTES + ADDRESS_BYTES + 3;
 
     private SwimCodec() {}
 
     /** Bytes that the claim takes in a datagram. */
-    static int sizeOf(MemberClaim claim) {
+    static int sizeOf(MemberUpdate claim) {
         MemberInfo info = claim.info();
-        return CLAIM_BYTES + utf8(info.name()).length + utf8(info.role()).length + utf8(info.zone()).length;
+        return UPDATE_BYTES + utf8(info.name()).length + utf8(info.role()).length + utf8(info.zone()).length;
     }
 
     public static byte[] encode(SwimMessage message) {
         int size = FRAME_BYTES;
-        for (MemberClaim claim : message.claims()) {
+        for (MemberUpdate claim : message.updates()) {
             size += sizeOf(claim);
         }
         ByteBuffer out = ByteBuffer.allocate(size);
         out.put(VERSION);
         putFrame(out, message);
-        for (MemberClaim claim : message.claims()) {
-            putClaim(out, claim);
+        for (MemberUpdate claim : message.updates()) {
+            putUpdate(out, claim);
         }
         out.putInt(checksum(out.array(), out.position()));
         byte[] datagram = new byte[out.position()];
@@ -76,11 +76,11 @@
 
     private static void putFrame(ByteBuffer out, SwimMessage message) {
         if (message instanceof SwimMessage.Ping ping) {
-            putHeader(out, PING, message).putInt(ping.sequence()).putLong(ping.target());
+            putHeader(out, PING, message).putInt(ping.sequence()).putLong(ping.targetProcessId());
         } else if (message instanceof SwimMessage.Ack ack) {
-            putHeader(out, ACK, message).putInt(ack.sequence()).putLong(ack.subject());
+            putHeader(out, ACK, message).putInt(ack.sequence()).putLong(ack.subjectProcessId());
         } else if (message instanceof SwimMessage.PingRequest request) {
-            putHeader(out, PING_REQUEST, message).putInt(request.sequence()).putLong(request.target());
+            putHeader(out, PING_REQUEST, message).putInt(request.sequence()).putLong(request.targetProcessId());
             putAddress(out, request.address());
         } else if (message instanceof SwimMessage.Nack nack) {
             putHeader(out, NACK, message).putInt(nack.sequence());
@@ -91,7 +91,7 @@
 
     private static ByteBuffer putHeader(ByteBuffer out, byte kind, SwimMessage message) {
         SwimMessage.Header header = message.header();
-        return out.put(kind).putLong(header.process()).putLong(header.digest());
+        return out.put(kind).putLong(header.processId()).putLong(header.digest());
     }
 
     private static SwimMessage message(ByteBuffer in) {
@@ -99,47 +99,47 @@
         SwimMessage.Header header = new SwimMessage.Header(in.getLong(), in.getLong());
         switch (kind) {
             case PING:
-                return new SwimMessage.Ping(header, in.getInt(), in.getLong(), claims(in));
+                return new SwimMessage.Ping(header, in.getInt(), in.getLong(), updates(in));
             case ACK:
-                return new SwimMessage.Ack(header, in.getInt(), in.getLong(), claims(in));
+                return new SwimMessage.Ack(header, in.getInt(), in.getLong(), updates(in));
             case PING_REQUEST:
-                return new SwimMessage.PingRequest(header, in.getInt(), in.getLong(), address(in), claims(in));
+                return new SwimMessage.PingRequest(header, in.getInt(), in.getLong(), address(in), updates(in));
             case NACK:
-                return new SwimMessage.Nack(header, in.getInt(), claims(in));
+                return new SwimMessage.Nack(header, in.getInt(), updates(in));
             case SYNC_REQUEST:
-                return new SwimMessage.SyncRequest(header, claims(in));
+                return new SwimMessage.SyncRequest(header, updates(in));
             case SYNC_PAGE:
-                return new SwimMessage.SyncPage(header, claims(in));
+                return new SwimMessage.SyncPage(header, updates(in));
             default:
                 return null;
         }
     }
 
-    private static void putClaim(ByteBuffer out, MemberClaim claim) {
+    private static void putUpdate(ByteBuffer out, MemberUpdate claim) {
         MemberInfo info = claim.info();
         out.put(number(claim.state()));
-        out.putLong(info.incarnationOfProcess()).putLong(claim.incarnation());
+        out.putLong(info.processId()).putLong(claim.incarnation());
         putAddress(out, info.address());
         putText(out, info.name());
         putText(out, info.role());
         putText(out, info.zone());
     }
 
-    private static List<MemberClaim> claims(ByteBuffer in) {
-        List<MemberClaim> claims = new ArrayList<>();
+    private static List<MemberUpdate> updates(ByteBuffer in) {
+        List<MemberUpdate> claims = new ArrayList<>();
         while (in.hasRemaining()) {
-            claims.add(claim(in));
+            claims.add(update(in));
         }
         return claims;
     }
 
-    private static MemberClaim claim(ByteBuffer in) {
+    private static MemberUpdate update(ByteBuffer in) {
         MemberState state = state(in.get());
         long process = in.getLong();
         long incarnation = in.getLong();
         String address = address(in);
         MemberInfo info = new MemberInfo(text(in), address, text(in), text(in), process);
-        return new MemberClaim(info, incarnation, state);
+        return new MemberUpdate(info, incarnation, state);
     }
 
     /** The number of a state on the wire. */
--- a/coordination/src/main/java/burlarch/coordination/registry/InstanceRegistry.java
+++ b/coordination/src/main/java/burlarch/coordination/registry/InstanceRegistry.java
@@ -11,58 +11,58 @@
 
 /**
  * The instances by what they announced. One rule orders all news of an id, wherever it comes from: the
- * highest sequence wins. An instance that has left has the sequence {@link #LEFT}, which nothing beats; one
+ * highest sequence wins. An instance that has left has the sequence {@link #LEFT_SEQUENCE}, which nothing beats; one
  * that was not heard of for too long, or whose address another took, keeps its last sequence, so that it
  * comes back with its next announcement. Times are nanoseconds of one clock that doesn't jump. Not safe for
  * use by threads at the same time.
  */
 public final class InstanceRegistry {
     /** The sequence of an instance that has left for good. */
-    public static final long LEFT = Long.MAX_VALUE;
+    public static final long LEFT_SEQUENCE = Long.MAX_VALUE;
 
     /** What became of an announcement. */
-    public enum Outcome {
+    public enum AnnouncementResult {
         /** The instance isn't what it was believed to be. */
         CHANGED,
         /** A heartbeat that changes nothing, but that it may end that the instance counts as unheard. */
-        HEARD,
+        REFRESHED,
         /** Older than what is known; nothing was done. */
-        LATE,
+        STALE,
         /** There is no room for another instance; nothing was done. */
-        FULL
+        TABLE_FULL
     }
 
-    private static final int FROZEN_PART = 2;
+    private static final int PAUSE_DIVISOR = 2;
 
     private final RegistrySettings settings;
     private final Map<String, RegistryEntry> entries = new HashMap<>();
     private final Map<String, RegistryEntry> byAddress = new HashMap<>();
-    private final Map<String, RegistryEntry> gone = new LinkedHashMap<>();
+    private final Map<String, RegistryEntry> removed = new LinkedHashMap<>();
     private final TreeMap<Long, RegistryEntry> byRevision = new TreeMap<>();
     private long revision;
     private long forgottenRevision;
     private long graceFromNanos;
-    private long checkedNanos;
+    private long checkedAtNanos;
 
     /** An empty registry that begins at {@code startNanos}. */
     public InstanceRegistry(RegistrySettings settings, long startNanos) {
         this.settings = settings;
         this.graceFromNanos = startNanos;
-        this.checkedNanos = startNanos;
+        this.checkedAtNanos = startNanos;
     }
 
     /** Takes what an instance says of itself. */
-    public Outcome announce(Instance instance, long nowNanos) {
+    public AnnouncementResult announce(Instance instance, long nowNanos) {
         RegistryEntry entry = entries.get(instance.id());
         if (entry != null && instance.sequence() <= entry.sequence()) {
-            return Outcome.LATE;
+            return AnnouncementResult.STALE;
         }
         if (entry == null
                 && instance.state() != InstanceState.GONE
-                && entries.size() - gone.size() >= settings.mostInstances()) {
-            return Outcome.FULL;
+                && entries.size() - removed.size() >= settings.maxInstances()) {
+            return AnnouncementResult.TABLE_FULL;
         }
-        return take(entry, instance, nowNanos) ? Outcome.CHANGED : Outcome.HEARD;
+        return take(entry, instance, nowNanos) ? AnnouncementResult.CHANGED : AnnouncementResult.REFRESHED;
     }
 
     /**
@@ -73,8 +73,8 @@
     public Instance leave(String id, long nowNanos) {
         RegistryEntry entry = entries.get(id);
         Instance last = entry == null
-                ? new Instance(id, "", "", "", "", 0, InstanceState.GONE, 0, List.of(), LEFT)
-                : withStateAndSequence(entry.view(), InstanceState.GONE, LEFT);
+                ? new Instance(id, "", "", "", "", 0, InstanceState.GONE, 0, List.of(), LEFT_SEQUENCE)
+                : withStateAndSequence(entry.view(), InstanceState.GONE, LEFT_SEQUENCE);
         if (entry == null || !entry.hasLeft()) {
             take(entry, last, nowNanos);
         }
@@ -105,16 +105,16 @@
             byAddress.remove(known.address(), known);
         }
         entry.take(instance, nowNanos);
-        if (entry.isGone()) {
+        if (entry.isRemoved()) {
             remember(entry);
         } else {
-            gone.remove(instance.id());
+            removed.remove(instance.id());
             claimAddress(entry, nowNanos);
         }
-        if (stated == null || !RegistryEntry.alike(stated, entry.statement())) {
+        if (stated == null || !RegistryEntry.hasSameContent(stated, entry.statement())) {
             changed(entry);
         }
-        return believed == null || !RegistryEntry.alike(believed, entry.view());
+        return believed == null || !RegistryEntry.hasSameContent(believed, entry.view());
     }
 
     private void claimAddress(RegistryEntry entry, long nowNanos) {
@@ -132,11 +132,11 @@
     }
 
     private void remember(RegistryEntry entry) {
-        gone.remove(entry.id());
-        gone.put(entry.id(), entry);
-        if (gone.size() > settings.mostGone()) {
-            RegistryEntry oldest = gone.values().iterator().next();
-            gone.remove(oldest.id());
+        removed.remove(entry.id());
+        removed.put(entry.id(), entry);
+        if (removed.size() > settings.maxRemoved()) {
+            RegistryEntry oldest = removed.values().iterator().next();
+            removed.remove(oldest.id());
             forget(oldest);
         }
     }
@@ -158,14 +158,14 @@
     public void setLoading(String id, boolean loading, long nowNanos) {
         RegistryEntry entry = entries.get(id);
         if (entry != null) {
-            load(entry, loading, nowNanos + settings.loadingNanos());
+            load(entry, loading, nowNanos + settings.loadingTimeoutNanos());
         }
     }
 
     private void load(RegistryEntry entry, boolean loading, long untilNanos) {
         Instance before = entry.statement();
         entry.load(loading, untilNanos);
-        if (!RegistryEntry.alike(before, entry.statement())) {
+        if (!RegistryEntry.hasSameContent(before, entry.statement())) {
             changed(entry);
         }
     }
@@ -176,17 +176,17 @@
      * in a grace isn't lost, but others are told that nothing is known of it here.
      */
     public void expire(long nowNanos) {
-        if (nowNanos - checkedNanos > settings.expiryNanos() / FROZEN_PART) {
+        if (nowNanos - checkedAtNanos > settings.expiryNanos() / PAUSE_DIVISOR) {
             restartGrace(nowNanos);
         }
-        checkedNanos = nowNanos;
+        checkedAtNanos = nowNanos;
         boolean judges = nowNanos - graceFromNanos >= settings.graceNanos();
         for (RegistryEntry entry : entries.values()) {
             if (entry.hasLoadedTooLong(nowNanos)) {
                 load(entry, false, nowNanos);
             }
         }
-        for (RegistryEntry silent : silent(nowNanos)) {
+        for (RegistryEntry silent : unresponsive(nowNanos)) {
             if (judges) {
                 lose(silent, nowNanos);
             } else if (!silent.isUnheard()) {
@@ -197,10 +197,10 @@
         forgetOld(nowNanos);
     }
 
-    private List<RegistryEntry> silent(long nowNanos) {
+    private List<RegistryEntry> unresponsive(long nowNanos) {
         List<RegistryEntry> silent = new ArrayList<>();
         for (RegistryEntry entry : entries.values()) {
-            if (entry.isSilent(nowNanos, settings.expiryNanos())) {
+            if (entry.isUnresponsive(nowNanos, settings.expiryNanos())) {
                 silent.add(entry);
             }
         }
@@ -208,10 +208,10 @@
     }
 
     private void forgetOld(long nowNanos) {
-        Iterator<RegistryEntry> oldestFirst = gone.values().iterator();
+        Iterator<RegistryEntry> oldestFirst = removed.values().iterator();
         while (oldestFirst.hasNext()) {
             RegistryEntry entry = oldestFirst.next();
-            if (!entry.isForgettable(nowNanos, settings.goneNanos())) {
+            if (!entry.isForgettable(nowNanos, settings.removedRetentionNanos())) {
                 return;
             }
             oldestFirst.remove();
@@ -250,10 +250,10 @@
      * What another registry is to know, for its {@link #merge}: who was heard lately, who drains or did, and
      * who left. Who was silent is for each registry to find out itself.
      */
-    public List<Instance> certain() {
+    public List<Instance> selfReported() {
         List<Instance> known = new ArrayList<>();
         for (RegistryEntry entry : byRevision.values()) {
-            entry.certain().ifPresent(known::add);
+            entry.selfReported().ifPresent(known::add);
         }
         return known;
     }
--- a/coordination/src/main/java/burlarch/coordination/registry/InstanceViews.java
+++ b/coordination/src/main/java/burlarch/coordination/registry/MergedInstanceView.java
@@ -25,15 +25,15 @@
  * <li>Else it stays as it was.</li>
  * </ol>
  *
- * <p>Content comes from the newest announcement. Bounded by {@link #MOST_INSTANCES}. Not safe for use by
+ * <p>Content comes from the newest announcement. Bounded by {@link #MAX_INSTANCES}. Not safe for use by
  * threads at the same time.
  */
-public final class InstanceViews {
+public final class MergedInstanceView {
     /** Instances beyond this number are passed over. */
-    public static final int MOST_INSTANCES = 8_192;
+    public static final int MAX_INSTANCES = 8_192;
 
     private final Map<String, Map<String, Instance>> viewsByController = new HashMap<>();
-    private final Map<String, Instance> combined = new HashMap<>();
+    private final Map<String, Instance> merged = new HashMap<>();
     /** Ids that never come back, in the order in which they left; the oldest give way to further ones. */
     private final Set<String> left = new LinkedHashSet<>();
     /** Ids that never take requests again, in the order in which they began to drain; bounded alike. */
@@ -54,13 +54,13 @@
         for (Instance instance : instances) {
             touched.add(instance.id());
             view.put(instance.id(), instance);
-            rememberEnd(instance);
+            rememberFinalState(instance);
         }
-        touched.forEach(this::combine);
+        touched.forEach(this::merge);
     }
 
-    private void rememberEnd(Instance instance) {
-        if (instance.sequence() == InstanceRegistry.LEFT) {
+    private void rememberFinalState(Instance instance) {
+        if (instance.sequence() == InstanceRegistry.LEFT_SEQUENCE) {
             remember(left, instance.id());
         } else if (instance.state() == InstanceState.DRAINING) {
             remember(draining, instance.id());
@@ -68,7 +68,7 @@
     }
 
     private static void remember(Set<String> ids, String id) {
-        if (ids.add(id) && ids.size() > MOST_INSTANCES) {
+        if (ids.add(id) && ids.size() > MAX_INSTANCES) {
             Iterator<String> oldestFirst = ids.iterator();
             oldestFirst.next();
             oldestFirst.remove();
@@ -79,12 +79,12 @@
     public void onControllerLost(String controller) {
         Map<String, Instance> view = viewsByController.remove(controller);
         if (view != null) {
-            view.keySet().forEach(this::combine);
+            view.keySet().forEach(this::merge);
         }
     }
 
-    private void combine(String id) {
-        Instance held = combined.get(id);
+    private void merge(String id) {
+        Instance held = merged.get(id);
         Instance heard = null;
         Instance unheard = null;
         boolean lost = false;
@@ -100,7 +100,7 @@
             }
         }
         if (left.contains(id) || lost && (heard == null || isReplaced(id))) {
-            combined.remove(id);
+            merged.remove(id);
         } else if (heard != null) {
             put(newer(heard, held));
         } else if (held != null || unheard != null) {
@@ -130,8 +130,8 @@
 
     private void put(Instance newest) {
         String id = newest.id();
-        if (combined.containsKey(id) || combined.size() < MOST_INSTANCES) {
-            combined.put(id, withState(newest, state(newest)));
+        if (merged.containsKey(id) || merged.size() < MAX_INSTANCES) {
+            merged.put(id, withState(newest, state(newest)));
         }
     }
 
@@ -180,6 +180,6 @@
 
     /** All that are not gone. */
     public List<Instance> instances() {
-        return new ArrayList<>(combined.values());
+        return new ArrayList<>(merged.values());
     }
 }
--- a/coordination/src/main/java/burlarch/coordination/registry/RegistryEntry.java
+++ b/coordination/src/main/java/burlarch/coordination/registry/RegistryEntry.java
@@ -57,16 +57,16 @@
         return announced.sequence();
     }
 
-    boolean isGone() {
+    boolean isRemoved() {
         return gone;
     }
 
     /** Whether it is gone for good. */
     boolean hasLeft() {
-        return gone && sequence() == InstanceRegistry.LEFT;
+        return gone && sequence() == InstanceRegistry.LEFT_SEQUENCE;
     }
 
-    boolean isSilent(long nowNanos, long expiryNanos) {
+    boolean isUnresponsive(long nowNanos, long expiryNanos) {
         return !gone && nowNanos - heardNanos >= expiryNanos;
     }
 
@@ -98,7 +98,7 @@
     }
 
     /** What the instance said of itself and no silence takes back; empty where only silence speaks. */
-    Optional<Instance> certain() {
+    Optional<Instance> selfReported() {
         if (hasLeft()) {
             return Optional.of(statement());
         }
@@ -133,7 +133,7 @@
     }
 
     /** Whether two views tell the same: all but what each heartbeat changes. */
-    static boolean alike(Instance one, Instance other) {
+    static boolean hasSameContent(Instance one, Instance other) {
         return one.state() == other.state()
                 && one.capacity() == other.capacity()
                 && Objects.equals(one.service(), other.service())
--- a/coordination/src/main/java/burlarch/coordination/rollout/TrackedEngine.java
+++ b/coordination/src/main/java/burlarch/coordination/rollout/EngineRollout.java
@@ -1,14 +1,14 @@
 package burlarch.coordination.rollout;
 
 import burlarch.coordination.registry.Instance;
-import burlarch.coordination.rollout.RolloutAction.AskReport;
 import burlarch.coordination.rollout.RolloutAction.MarkLoading;
+import burlarch.coordination.rollout.RolloutAction.RequestReport;
 import burlarch.coordination.rollout.RolloutAction.SendOrder;
 import java.util.List;
 import java.util.concurrent.TimeUnit;
 
 /** One incarnation of an engine and the steps of its order. */
-final class TrackedEngine extends KnownEngine {
+final class EngineRollout extends EngineStatus {
     /** Where the order stands. */
     enum Phase {
         /** None is out. */
@@ -41,7 +41,7 @@
     private RolloutTarget target;
     private long version;
     private long fenceToken;
-    private long revision = SendOrder.ANY_REVISION;
+    private long revision = SendOrder.ANY_SEQUENCE;
     private int attempts;
     private long orderAt;
     private long sentAt;
@@ -51,7 +51,7 @@
     private boolean reportPending;
 
     /** @param actions gets what is to be done */
-    TrackedEngine(RolloutSettings settings, List<RolloutAction> actions, Instance instance, long now) {
+    EngineRollout(RolloutSettings settings, List<RolloutAction> actions, Instance instance, long now) {
         super(instance);
         this.settings = settings;
         this.actions = actions;
@@ -85,7 +85,7 @@
     void begin(RolloutTarget wanted, long now) {
         target = wanted;
         phase = Phase.MARKED;
-        orderAt = marked ? now : now + settings.markLead();
+        orderAt = marked ? now : now + settings.withdrawalLeadNanos();
         if (!marked) {
             marked = true;
             actions.add(new MarkLoading(id(), true));
@@ -107,7 +107,7 @@
         target = wanted;
         version = wanted.version;
         sentAt = now;
-        await(now - settings.staleness(), now);
+        await(now - settings.reportStalenessNanos(), now);
     }
 
     /** What a registration shows. */
@@ -124,7 +124,7 @@
         if (phase == Phase.MARKED) {
             giveUp(now, 0);
         } else if (phase == Phase.ORDERED) {
-            await(now, now + settings.staleness());
+            await(now, now + settings.reportStalenessNanos());
         }
     }
 
@@ -141,10 +141,12 @@
             return false;
         }
         switch (result) {
-            case TAKEN -> await(
+            case ACCEPTED -> await(
                     now,
-                    Math.max(now + settings.reportInterval(), sentAt + (long) (EARLY_REPORT * target.pace.estimate())));
-            case HOLDS -> {
+                    Math.max(
+                            now + settings.reportIntervalNanos(),
+                            sentAt + (long) (EARLY_REPORT * target.concurrency.estimateNanos())));
+            case ALREADY_LOADED -> {
                 onVersion(target.model, version);
                 finish(owner, now);
             }
@@ -153,7 +155,7 @@
                 return fenceToken == currentToken;
             }
             case INVALID, MISDIRECTED -> giveUp(now, REFUSED_PAUSE);
-            case BUSY_OR_CHANGED, NO_ANSWER -> await(now, now + settings.staleness());
+            case CONFLICT, NO_RESPONSE -> await(now, now + settings.reportStalenessNanos());
         }
         return false;
     }
@@ -163,7 +165,9 @@
         boolean asked = reportPending;
         reportPending = false;
         reportAt = now
-                + Math.min(LONGEST_REPORT_PAUSE, Math.max(settings.reportInterval(), (now - sentAt) / REPORTS_PER_AGE));
+                + Math.min(
+                        LONGEST_REPORT_PAUSE,
+                        Math.max(settings.reportIntervalNanos(), (now - sentAt) / REPORTS_PER_AGE));
         if (report == null) {
             return;
         }
@@ -178,7 +182,7 @@
     private void onAtRest(long sequence, boolean asked, boolean owner, long now) {
         if (holdsOrdered()) {
             finish(owner, now);
-        } else if (owner && asked && reportAskedAt - resultAt >= settings.staleness()) {
+        } else if (owner && asked && reportAskedAt - resultAt >= settings.reportStalenessNanos()) {
             phase = Phase.MARKED;
             orderAt = now;
             revision = sequence;
@@ -198,7 +202,7 @@
         } else if (phase == Phase.WAITING && now - nextReport() >= 0) {
             reportPending = true;
             reportAskedAt = now;
-            actions.add(new AskReport(id()));
+            actions.add(new RequestReport(id()));
         }
     }
 
@@ -226,7 +230,7 @@
         fenceToken = token;
         sentAt = now;
         attempts++;
-        actions.add(new SendOrder(id(), target.model, version, settings.mode(), token, revision));
+        actions.add(new SendOrder(id(), target.model, version, settings.orderMode(), token, revision));
     }
 
     private void await(long result, long report) {
@@ -239,7 +243,7 @@
     /** A mark is this process's own: it ends it without the ownership too, as no other can. */
     private void finish(boolean owner, long now) {
         if (phase == Phase.WAITING && attempts == 1) {
-            target.pace.onLoaded(now - sentAt);
+            target.concurrency.onLoaded(now - sentAt);
         }
         clear(now);
         if (owner && behind(target)) {
@@ -257,7 +261,7 @@
     private void clear(long from) {
         phase = Phase.IDLE;
         notBefore = from;
-        revision = SendOrder.ANY_REVISION;
+        revision = SendOrder.ANY_SEQUENCE;
         attempts = 0;
         reportPending = false;
     }
--- a/coordination/src/main/java/burlarch/coordination/rollout/KnownEngine.java
+++ b/coordination/src/main/java/burlarch/coordination/rollout/EngineStatus.java
@@ -8,14 +8,14 @@
 import java.util.Map;
 
 /** What registrations and reports have told of one incarnation of an engine. */
-class KnownEngine {
+class EngineStatus {
     private final Map<String, Long> versions = new HashMap<>();
     private Instance instance;
     private boolean present;
     private long missingSince;
     private int running;
 
-    KnownEngine(Instance instance) {
+    EngineStatus(Instance instance) {
         onInstance(instance);
     }
 
--- a/coordination/src/main/java/burlarch/coordination/rollout/LoadPace.java
+++ b/coordination/src/main/java/burlarch/coordination/rollout/LoadConcurrency.java
@@ -1,21 +1,21 @@
 package burlarch.coordination.rollout;
 
 /** How many engines of a model may load at once: the fewest that are done in time. Times in nanoseconds. */
-final class LoadPace {
-    private static final double FIRST_SHARE = 0.29;
-    private static final int FIRST_LEAST = 2;
-    private static final double WEIGHT = 0.3;
+final class LoadConcurrency {
+    private static final double FIRST_FRACTION = 0.29;
+    private static final int FIRST_MINIMUM = 2;
+    private static final double SMOOTHING = 0.3;
 
-    private double estimate;
+    private double estimateNanos;
 
     /** A load took that long, from the order to the news that it was done. */
     void onLoaded(long nanos) {
-        estimate = estimate == 0 ? nanos : estimate + WEIGHT * (nanos - estimate);
+        estimateNanos = estimateNanos == 0 ? nanos : estimateNanos + SMOOTHING * (nanos - estimateNanos);
     }
 
     /** How long a load takes as far as is known, 0 where nothing is known. */
-    long estimate() {
-        return (long) estimate;
+    long estimateNanos() {
+        return (long) estimateNanos;
     }
 
     /**
@@ -28,17 +28,17 @@
      * @param leftToAim until all should be done
      * @param leftToEnd until no request may begin on older weights
      */
-    int atOnce(int engines, int behind, long[] loading, long leftToAim, long leftToEnd) {
+    int maxConcurrentLoads(int engines, int behind, long[] loading, long leftToAim, long leftToEnd) {
         int all = behind + loading.length;
         if (leftToEnd <= 0) {
             return all;
         }
         int most = Math.max(1, (engines + 1) / 2);
-        return Math.min(most, Math.min(all, wanted(engines, behind, loading, leftToAim)));
+        return Math.min(most, Math.min(all, neededLoads(engines, behind, loading, leftToAim)));
     }
 
-    private int wanted(int engines, int behind, long[] loading, long left) {
-        long load = estimate();
+    private int neededLoads(int engines, int behind, long[] loading, long left) {
+        long load = estimateNanos();
         for (long age : loading) {
             load = Math.max(load, age);
         }
@@ -49,7 +49,7 @@
         for (long age : loading) {
             work += load - age;
         }
-        int least = estimate == 0 ? Math.max(FIRST_LEAST, (int) Math.ceil(FIRST_SHARE * engines)) : 1;
+        int least = estimateNanos == 0 ? Math.max(FIRST_MINIMUM, (int) Math.ceil(FIRST_FRACTION * engines)) : 1;
         return Math.max(least, (int) Math.ceil(work / left));
     }
 }
--- a/coordination/src/main/java/burlarch/coordination/rollout/RolloutSettings.java
+++ b/coordination/src/main/java/burlarch/coordination/rollout/RolloutSettings.java
@@ -5,15 +5,20 @@
 /**
  * The times of a rollout, in nanoseconds.
  *
- * @param version until when no request may begin on older weights; a rollout aims at half of it
- * @param markLead how long routers are told before the order goes out
- * @param staleness how old what a report tells may be
- * @param reportInterval between reports while an engine loads
- * @param mode what becomes of running requests
+ * @param versionDeadlineNanos until when no request may begin on older weights; a rollout aims at half of it
+ * @param withdrawalLeadNanos how long routers are told before the order goes out
+ * @param reportStalenessNanos how old what a report tells may be
+ * @param reportIntervalNanos between reports while an engine loads
+ * @param orderMode what becomes of running requests
  */
-public record RolloutSettings(long version, long markLead, long staleness, long reportInterval, OrderMode mode) {
-    private static final long MARK_LEAD_MILLIS = 150;
-    private static final long STALENESS_MILLIS = 600;
+public record RolloutSettings(
+        long versionDeadlineNanos,
+        long withdrawalLeadNanos,
+        long reportStalenessNanos,
+        long reportIntervalNanos,
+        OrderMode orderMode) {
+    private static final long WITHDRAWAL_LEAD_MILLIS = 150;
+    private static final long REPORT_STALENESS_MILLIS = 600;
     private static final long REPORT_INTERVAL_MILLIS = 500;
 
     /**
@@ -24,8 +29,8 @@
     public static RolloutSettings of(long versionMillis) {
         return new RolloutSettings(
                 TimeUnit.MILLISECONDS.toNanos(versionMillis),
-                TimeUnit.MILLISECONDS.toNanos(MARK_LEAD_MILLIS),
-                TimeUnit.MILLISECONDS.toNanos(STALENESS_MILLIS),
+                TimeUnit.MILLISECONDS.toNanos(WITHDRAWAL_LEAD_MILLIS),
+                TimeUnit.MILLISECONDS.toNanos(REPORT_STALENESS_MILLIS),
                 TimeUnit.MILLISECONDS.toNanos(REPORT_INTERVAL_MILLIS),
                 OrderMode.RETAIN);
     }
--- a/coordination/src/main/java/burlarch/coordination/rollout/RolloutTarget.java
+++ b/coordination/src/main/java/burlarch/coordination/rollout/RolloutTarget.java
@@ -3,9 +3,9 @@
 /** The weights that a model's engines are to have. */
 final class RolloutTarget {
     final String model;
-    final LoadPace pace = new LoadPace();
+    final LoadConcurrency concurrency = new LoadConcurrency();
     long version;
-    long since;
+    long raisedAtNanos;
 
     RolloutTarget(String model) {
         this.model = model;
@@ -14,7 +14,7 @@
     void raise(long named, long now) {
         if (named > version) {
             version = named;
-            since = now;
+            raisedAtNanos = now;
         }
     }
 }
--- a/coordination/src/main/java/burlarch/coordination/rollout/RolloutWave.java
+++ b/coordination/src/main/java/burlarch/coordination/rollout/RolloutWave.java
@@ -8,19 +8,19 @@
 
 /** Which engines of one model begin to load now. */
 final class RolloutWave {
-    private final Collection<TrackedEngine> engines;
+    private final Collection<EngineRollout> engines;
     private final RolloutTarget target;
     private final RolloutSettings settings;
     private final long now;
-    private final List<TrackedEngine> startable = new ArrayList<>();
-    private final List<TrackedEngine> loading = new ArrayList<>();
+    private final List<EngineRollout> startable = new ArrayList<>();
+    private final List<EngineRollout> loading = new ArrayList<>();
     /** Engines of a zone: those that load, and all. */
     private final Map<String, int[]> zones = new HashMap<>();
 
     private int behind;
     private int serving;
 
-    RolloutWave(Collection<TrackedEngine> engines, RolloutTarget target, RolloutSettings settings, long now) {
+    RolloutWave(Collection<EngineRollout> engines, RolloutTarget target, RolloutSettings settings, long now) {
         this.engines = engines;
         this.target = target;
         this.settings = settings;
@@ -28,16 +28,16 @@
     }
 
     /** Begins as many as are to load at once, and tells whether more are to follow. */
-    boolean begin() {
-        for (TrackedEngine engine : engines) {
+    boolean startLoads() {
+        for (EngineRollout engine : engines) {
             count(engine);
         }
         if (behind == 0) {
             return false;
         }
-        int places = atOnce() - loading.size();
+        int places = maxConcurrentLoads() - loading.size();
         while (places > 0 && !startable.isEmpty()) {
-            TrackedEngine next = best();
+            EngineRollout next = nextToStart();
             startable.remove(next);
             zones.get(next.zone())[0]++;
             next.begin(target, now);
@@ -47,7 +47,7 @@
         return behind > 0;
     }
 
-    private void count(TrackedEngine engine) {
+    private void count(EngineRollout engine) {
         if (!engine.serves(target)) {
             return;
         }
@@ -56,7 +56,7 @@
         zone[1]++;
         if (engine.underway(target)) {
             zone[0]++;
-            if (engine.age(now) < aim()) {
+            if (engine.age(now) < targetDurationNanos()) {
                 loading.add(engine);
             }
         } else if (engine.idle() && engine.behind(target)) {
@@ -68,23 +68,24 @@
     }
 
     /** Half of the time that there is; an engine that takes longer for one load keeps no place. */
-    private long aim() {
-        return settings.version() / 2;
+    private long targetDurationNanos() {
+        return settings.versionDeadlineNanos() / 2;
     }
 
-    private int atOnce() {
+    private int maxConcurrentLoads() {
         long[] ages = new long[loading.size()];
         for (int i = 0; i < ages.length; i++) {
             ages[i] = loading.get(i).age(now);
         }
-        long passed = now - target.since;
-        return target.pace.atOnce(serving, behind, ages, aim() - passed, settings.version() - passed);
+        long passed = now - target.raisedAtNanos;
+        return target.concurrency.maxConcurrentLoads(
+                serving, behind, ages, targetDurationNanos() - passed, settings.versionDeadlineNanos() - passed);
     }
 
-    private TrackedEngine best() {
-        TrackedEngine best = startable.get(0);
-        for (TrackedEngine engine : startable) {
-            if (before(engine, best)) {
+    private EngineRollout nextToStart() {
+        EngineRollout best = startable.get(0);
+        for (EngineRollout engine : startable) {
+            if (startsBefore(engine, best)) {
                 best = engine;
             }
         }
@@ -92,7 +93,7 @@
     }
 
     /** Zones of which less is loading first, then those with less at work. */
-    private boolean before(TrackedEngine one, TrackedEngine other) {
+    private boolean startsBefore(EngineRollout one, EngineRollout other) {
         int[] zone = zones.get(one.zone());
         int[] otherZone = zones.get(other.zone());
         int byZone = Integer.compare(zone[0] * otherZone[1], otherZone[0] * zone[1]);
--- a/coordination/src/main/java/burlarch/coordination/rollout/WeightsRollout.java
+++ b/coordination/src/main/java/burlarch/coordination/rollout/WeightsRollout.java
@@ -18,16 +18,16 @@
  * before was not taken, and then with the report's sequence, so that a late first order can't make it two.
  */
 public final class WeightsRollout {
-    private static final long MEMORY_OF_MISSING = TimeUnit.SECONDS.toNanos(30);
+    private static final long MISSING_RETENTION_NANOS = TimeUnit.SECONDS.toNanos(30);
 
     private final RolloutSettings settings;
-    private final Map<String, TrackedEngine> engines = new TreeMap<>();
+    private final Map<String, EngineRollout> engines = new TreeMap<>();
     private final Map<String, RolloutTarget> targets = new TreeMap<>();
     private final List<RolloutAction> actions = new ArrayList<>();
     private boolean owner;
     private boolean tokenSeen;
     private boolean fenced;
-    private long fenceToken;
+    private long fencingToken;
 
     public WeightsRollout(RolloutSettings settings) {
         this.settings = settings;
@@ -42,12 +42,12 @@
 
     /** All instances that are known, whole; those without models are passed over. */
     public List<RolloutAction> onInstances(Collection<Instance> instances, long now) {
-        for (TrackedEngine engine : engines.values()) {
+        for (EngineRollout engine : engines.values()) {
             engine.onMissing(now);
         }
         for (Instance instance : instances) {
             if (!instance.models().isEmpty()) {
-                engines.computeIfAbsent(instance.id(), id -> new TrackedEngine(settings, actions, instance, now))
+                engines.computeIfAbsent(instance.id(), id -> new EngineRollout(settings, actions, instance, now))
                         .onInstance(instance);
             }
         }
@@ -58,7 +58,7 @@
 
     /** How many requests run at an engine, where it is known without a report. */
     public void onRunning(String instance, int running) {
-        TrackedEngine engine = engines.get(instance);
+        EngineRollout engine = engines.get(instance);
         if (engine != null) {
             engine.onRunning(running);
         }
@@ -69,13 +69,13 @@
      * after a pause, unless an engine has shown that a higher one is out.
      */
     public List<RolloutAction> onOwnership(long token, long now) {
-        boolean resumed = tokenSeen && token == fenceToken && !owner && !fenced;
-        if (!tokenSeen || token > fenceToken || resumed) {
+        boolean resumed = tokenSeen && token == fencingToken && !owner && !fenced;
+        if (!tokenSeen || token > fencingToken || resumed) {
             owner = true;
             tokenSeen = true;
             fenced = false;
-            fenceToken = token;
-            for (TrackedEngine engine : engines.values()) {
+            fencingToken = token;
+            for (EngineRollout engine : engines.values()) {
                 engine.onOwnership(now);
             }
             observe(now);
@@ -91,10 +91,10 @@
 
     /** How the order to that engine ended. */
     public List<RolloutAction> onOrderResult(String instance, OrderResult result, long now) {
-        TrackedEngine engine = engines.get(instance);
-        if (engine != null && engine.onResult(result, fenceToken, owner, now) && owner) {
+        EngineRollout engine = engines.get(instance);
+        if (engine != null && engine.onResult(result, fencingToken, owner, now) && owner) {
             fenced = true;
-            actions.add(new OwnershipLost(fenceToken));
+            actions.add(new OwnershipLost(fencingToken));
             loseOwnership(now);
         }
         return proceed(now);
@@ -102,7 +102,7 @@
 
     /** The report that was asked for, null where none came. */
     public List<RolloutAction> onReport(String instance, EngineReport report, long now) {
-        TrackedEngine engine = engines.get(instance);
+        EngineRollout engine = engines.get(instance);
         if (engine != null) {
             engine.onReport(report, owner, now);
         }
@@ -115,9 +115,9 @@
     }
 
     /** Whether all engines that are known have the newest weights that are named. */
-    public boolean complete() {
-        for (TrackedEngine engine : engines.values()) {
-            if (behindOf(engine) != null) {
+    public boolean isComplete() {
+        for (EngineRollout engine : engines.values()) {
+            if (firstTargetBehind(engine) != null) {
                 return false;
             }
         }
@@ -126,15 +126,15 @@
 
     private void loseOwnership(long now) {
         owner = false;
-        for (TrackedEngine engine : engines.values()) {
+        for (EngineRollout engine : engines.values()) {
             engine.onOwnershipLost(now);
         }
     }
 
     private void forgetMissing(long now) {
-        for (Iterator<TrackedEngine> all = engines.values().iterator(); all.hasNext(); ) {
-            TrackedEngine engine = all.next();
-            if (engine.missingFor(MEMORY_OF_MISSING, now)) {
+        for (Iterator<EngineRollout> all = engines.values().iterator(); all.hasNext(); ) {
+            EngineRollout engine = all.next();
+            if (engine.missingFor(MISSING_RETENTION_NANOS, now)) {
                 engine.unmark(now);
                 all.remove();
             }
@@ -142,16 +142,16 @@
     }
 
     private void observe(long now) {
-        for (TrackedEngine engine : engines.values()) {
+        for (EngineRollout engine : engines.values()) {
             engine.observe(owner, now);
             if (owner && engine.adoptable(now)) {
-                engine.adopt(behindOf(engine), now);
+                engine.adopt(firstTargetBehind(engine), now);
             }
         }
     }
 
     /** A target that the engine has yet to reach, or null. */
-    private RolloutTarget behindOf(TrackedEngine engine) {
+    private RolloutTarget firstTargetBehind(EngineRollout engine) {
         for (RolloutTarget target : targets.values()) {
             if (engine.behind(target)) {
                 return target;
@@ -164,13 +164,13 @@
         boolean more = false;
         if (owner) {
             for (RolloutTarget target : targets.values()) {
-                more |= new RolloutWave(engines.values(), target, settings, now).begin();
+                more |= new RolloutWave(engines.values(), target, settings, now).startLoads();
             }
         }
-        long next = more ? now + settings.reportInterval() : Long.MAX_VALUE;
+        long next = more ? now + settings.reportIntervalNanos() : Long.MAX_VALUE;
         boolean due = more;
-        for (TrackedEngine engine : engines.values()) {
-            engine.proceed(fenceToken, owner, now);
+        for (EngineRollout engine : engines.values()) {
+            engine.proceed(fencingToken, owner, now);
             long at = engine.nextDue(owner, Long.MAX_VALUE);
             if (at != Long.MAX_VALUE && (!due || at - next < 0)) {
                 next = at;
--- a/engine-client/src/main/java/burlarch/engine/EngineClient.java
+++ b/engine-client/src/main/java/burlarch/engine/EngineClient.java
@@ -137,13 +137,13 @@
         @Override
         OrderResult meaning(int status, byte[] body) {
             return switch (status) {
-                case 200 -> OrderResult.HOLDS;
-                case 202 -> OrderResult.TAKEN;
+                case 200 -> OrderResult.ALREADY_LOADED;
+                case 202 -> OrderResult.ACCEPTED;
                 case 400 -> OrderResult.INVALID;
-                case 409 -> OrderResult.BUSY_OR_CHANGED;
+                case 409 -> OrderResult.CONFLICT;
                 case 412 -> OrderResult.FENCED;
                 case 421 -> OrderResult.MISDIRECTED;
-                default -> OrderResult.NO_ANSWER;
+                default -> OrderResult.NO_RESPONSE;
             };
         }
     }
--- a/node/src/main/java/burlarch/node/Membership.java
+++ b/node/src/main/java/burlarch/node/Membership.java
@@ -170,7 +170,7 @@
     }
 
     private void handle(SwimStep step) {
-        wakeUpAt(step.wakeUpAt());
+        wakeUpAt(step.wakeUpAtNanos());
         for (SwimStep.Datagram datagram : step.datagrams()) {
             endpoint.send(socket(datagram.to()), datagram.bytes());
         }
--- a/router/src/main/java/burlarch/router/ControllerLinks.java
+++ b/router/src/main/java/burlarch/router/ControllerLinks.java
@@ -3,7 +3,7 @@
 import burlarch.configuration.DeltaMismatch;
 import burlarch.coordination.ownership.ShardOwners;
 import burlarch.coordination.registry.Instance;
-import burlarch.coordination.registry.InstanceViews;
+import burlarch.coordination.registry.MergedInstanceView;
 import burlarch.settings.Addresses;
 import burlarch.transport.NodeMessage;
 import burlarch.transport.NodeMessage.ConfigurationAck;
@@ -39,7 +39,7 @@
         /** @return whether the configuration could be read and is in force */
         boolean onConfiguration(long version, byte[] json);
 
-        void onInstances(InstanceViews views);
+        void onInstances(MergedInstanceView views);
 
         /** Controllers tell how many routers are connected with them. */
         void onRouters(int live);
@@ -52,7 +52,7 @@
     }
 
     private final Effects effects;
-    private final InstanceViews views = new InstanceViews();
+    private final MergedInstanceView views = new MergedInstanceView();
     private final Map<PeerConnection, Integer> routersSeen = new HashMap<>();
     /** Addresses, those that were told of or lost last at the end. */
     private final Set<String> controllers = new LinkedHashSet<>();
--- a/router/src/main/java/burlarch/router/RouterCount.java
+++ b/router/src/main/java/burlarch/router/RouterCount.java
@@ -1,7 +1,7 @@
 package burlarch.router;
 
 import burlarch.coordination.budget.BudgetSettings;
-import burlarch.coordination.budget.LiveCountEstimate;
+import burlarch.coordination.budget.RouterCountEstimate;
 import burlarch.coordination.membership.MemberChange;
 import burlarch.node.Roles;
 import java.util.HashSet;
@@ -14,7 +14,7 @@
  */
 final class RouterCount {
     private final BudgetSettings settings;
-    private final LiveCountEstimate estimate;
+    private final RouterCountEstimate estimate;
     private final Set<Long> others = new HashSet<>();
     private int told = 1;
     private boolean contacted;
@@ -23,7 +23,7 @@
     /** @param firstStart whether the whole fleet starts for the first time */
     RouterCount(BudgetSettings settings, boolean firstStart, long now) {
         this.settings = settings;
-        estimate = new LiveCountEstimate(settings, firstStart, now);
+        estimate = new RouterCountEstimate(settings, firstStart, now);
     }
 
     /** Membership changed. */
@@ -36,19 +36,19 @@
     }
 
     private void onRouter(MemberChange change, long now) {
-        long process = change.member().incarnationOfProcess();
-        if (change.appeared() && others.size() < settings.largestFleet()) {
+        long process = change.member().processId();
+        if (change.appeared() && others.size() < settings.maxRouters()) {
             others.add(process);
-            estimate.appeared(process, now);
+            estimate.onRouterAppeared(process, now);
         } else if (change.disappeared() && others.remove(process)) {
-            estimate.disappeared(process, now);
+            estimate.onRouterDisappeared(process, now);
         }
     }
 
     /** Controllers tell how many routers are connected with them. */
     void onTold(int count) {
         told = Math.max(1, count);
-        estimate.heard(count);
+        estimate.onReportedCount(count);
     }
 
     /** More than half of the controllers can be reached now. */
@@ -57,7 +57,7 @@
             contacted = true;
             firstContact = now;
         }
-        estimate.contact(now);
+        estimate.onQuorumContact(now);
     }
 
     /**
@@ -68,7 +68,7 @@
             return told;
         }
         int members = others.size() + 1;
-        return estimate.settled(now) ? members : Math.max(members, told);
+        return estimate.isEstablished(now) ? members : Math.max(members, told);
     }
 
     /**
@@ -77,11 +77,11 @@
      * its very start, when it has hardly met any, a number that several new ones at once may safely use.
      */
     int sharers(long now) {
-        if (estimate.settled(now)) {
+        if (estimate.isEstablished(now)) {
             return live(now);
         }
-        boolean atStart = !contacted || now - firstContact < settings.spreadTime();
-        int least = atStart ? settings.unsettledRouters() : 1;
+        boolean atStart = !contacted || now - firstContact < settings.disseminationNanos();
+        int least = atStart ? settings.minReserveRouters() : 1;
         return Math.max(least, Math.max(live(now), estimate.count(now)));
     }
 }
--- a/router/src/main/java/burlarch/router/RouterProgram.java
+++ b/router/src/main/java/burlarch/router/RouterProgram.java
@@ -6,7 +6,7 @@
 import burlarch.configuration.InvalidConfiguration;
 import burlarch.coordination.budget.BudgetSettings;
 import burlarch.coordination.membership.SwimSettings;
-import burlarch.coordination.registry.InstanceViews;
+import burlarch.coordination.registry.MergedInstanceView;
 import burlarch.engine.EngineClient;
 import burlarch.engine.EventFollower;
 import burlarch.node.Membership;
@@ -138,7 +138,7 @@
         private final Opening opening;
         private final KeptRelay relay;
         private Configuration configuration;
-        private InstanceViews instances;
+        private MergedInstanceView instances;
 
         InForce(
                 Planner planner,
@@ -172,7 +172,7 @@
         }
 
         @Override
-        public void onInstances(InstanceViews views) {
+        public void onInstances(MergedInstanceView views) {
             synchronized (lock) {
                 planner.onInstances(views.instances(), System.nanoTime());
             }
--- a/simulation/src/main/java/burlarch/simulation/coordination/EngineNode.java
+++ b/simulation/src/main/java/burlarch/simulation/coordination/EngineNode.java
@@ -229,10 +229,10 @@
         }
         fence = order.fenceToken();
         if (busy || order.ifRevision() != Order.ANY_REVISION && order.ifRevision() != orders) {
-            return OrderResult.BUSY_OR_CHANGED;
+            return OrderResult.CONFLICT;
         }
         if (version == order.version()) {
-            return OrderResult.HOLDS;
+            return OrderResult.ALREADY_LOADED;
         }
         orders++;
         triggers.fire(Triggers.Event.TAKEN);
@@ -244,7 +244,7 @@
                 version = Math.max(version, order.version());
             }
         });
-        return OrderResult.TAKEN;
+        return OrderResult.ACCEPTED;
     }
 
     @Override
--- a/simulation/src/main/java/burlarch/simulation/coordination/RouterNode.java
+++ b/simulation/src/main/java/burlarch/simulation/coordination/RouterNode.java
@@ -2,7 +2,7 @@
 
 import burlarch.coordination.registry.Instance;
 import burlarch.coordination.registry.InstanceState;
-import burlarch.coordination.registry.InstanceViews;
+import burlarch.coordination.registry.MergedInstanceView;
 import burlarch.node.Membership;
 import burlarch.node.Roles;
 import burlarch.router.ControllerLinks;
@@ -141,7 +141,7 @@
         }
 
         @Override
-        public void onInstances(InstanceViews views) {
+        public void onInstances(MergedInstanceView views) {
             instances = views.instances();
         }
 
--- a/simulation/src/main/java/burlarch/simulation/membership/MembershipFleet.java
+++ b/simulation/src/main/java/burlarch/simulation/membership/MembershipFleet.java
@@ -141,7 +141,7 @@
     }
 
     private static boolean live(MemberState state) {
-        return state != null && state.live();
+        return state != null && state.isLive();
     }
 
     private void changed(String observer, MemberChange change) {
