--- a/admission/src/main/java/burlarch/admission/CallGapping.java
+++ b/admission/src/main/java/burlarch/admission/CallGapping.java
@@ -9,9 +9,11 @@
  */
 public final class CallGapping {
     private final double[] share;
-    final double[] offered, admitted;
+    final double[] offered;
+    final double[] admitted;
     private long lastNanos;
-    private double offeredTotal, lastCapacity;
+    private double offeredTotal;
+    private double lastCapacity;
     private boolean withinShare;
 
     /** @param shares one per tenant; scaled to sum one. An unlisted tenant has no share of its own. */
@@ -45,7 +47,9 @@
         // than there were and take many of the new, long T to come down, with nothing out to prove recovery.
         double kept = Math.min(1, lastCapacity > 0 ? capacity / lastCapacity : 1);
         lastCapacity = capacity;
-        double used = 0, total = 0, provisional = 0;
+        double used = 0;
+        double total = 0;
+        double provisional = 0;
         for (int k = 0; k < share.length; k++) {
             double chi = k == tenant ? 1 : 0;
             offered[k] = advance(offered[k], chi, gap, timeConstant);
--- a/admission/src/main/java/burlarch/admission/LearnedCapacity.java
+++ b/admission/src/main/java/burlarch/admission/LearnedCapacity.java
@@ -11,20 +11,29 @@
     /** Growth over its usual delay that counts, for a server whose usual delay is already near the aim. */
     private static final double GROWTH = 1.5;
 
-    private static final double CUT = 0.9, GAIN_AFTER_CUT = 0.1;
+    private static final double CUT = 0.9;
+    private static final double GAIN_AFTER_CUT = 0.1;
     /** Low enough to be harmless, high enough that a trickle of fetches can prove recovery. */
     public static final double FLOOR_PER_SECOND = 2;
 
     /** Outcomes of a batch of evidence, also W of the goodput; how much quicker c climbs as they are rare. */
-    private final double batch, floorPerSecond, haste;
+    private final double batch;
+
+    private final double floorPerSecond;
+    private final double haste;
 
     public final CallGapping throttle;
-    private double perSecond, strain, goodput;
-    private double gain = 1, usualStrain = STRAINED / GROWTH;
+    private double perSecond;
+    private double strain;
+    private double goodput;
+    private double gain = 1;
+    private double usualStrain = STRAINED / GROWTH;
     /** The rate before the last cut less its part, 0 when never cut. */
     private double ceiling;
 
-    private long lastNanos, cutNanos = Long.MIN_VALUE, boundUntilNanos = Long.MIN_VALUE;
+    private long lastNanos;
+    private long cutNanos = Long.MIN_VALUE;
+    private long boundUntilNanos = Long.MIN_VALUE;
 
     public LearnedCapacity(double[] shares, double start, double floorPerSecond, double batch, double haste) {
         throttle = new CallGapping(shares);
--- a/controller/src/main/java/burlarch/controller/state/SystemStateCodec.java
+++ b/controller/src/main/java/burlarch/controller/state/SystemStateCodec.java
@@ -24,6 +24,7 @@
 
     private SystemStateCodec() {}
 
+    /** The register value that stores the state: a format byte, then compressed CBOR. */
     public static byte[] encode(SystemState state) {
         try {
             byte[] compressed = CompressedBytes.compress(MAPPER.writeValueAsBytes(state));
--- a/coordination/src/main/java/burlarch/coordination/membership/SwimCodec.java
+++ b/coordination/src/main/java/burlarch/coordination/membership/SwimCodec.java
@@ -42,6 +42,7 @@
         return UPDATE_BYTES + utf8(info.name()).length + utf8(info.role()).length + utf8(info.zone()).length;
     }
 
+    /** The datagram that carries the message. */
     public static byte[] encode(SwimMessage message) {
         int size = FRAME_BYTES;
         for (MemberUpdate claim : message.updates()) {
--- a/decisions/src/main/java/burlarch/decisions/CachePool.java
+++ b/decisions/src/main/java/burlarch/decisions/CachePool.java
@@ -2,8 +2,20 @@
 
 import burlarch.admission.CallGapping;
 import burlarch.admission.LearnedCapacity;
-import burlarch.decisions.Api.*;
-import java.util.*;
+import burlarch.decisions.Api.Actions;
+import burlarch.decisions.Api.Charges;
+import burlarch.decisions.Api.Outcome;
+import burlarch.decisions.Api.Server;
+import burlarch.decisions.Api.Settings;
+import burlarch.decisions.Api.Stage;
+import burlarch.decisions.Api.Tenant;
+import java.util.Arrays;
+import java.util.Comparator;
+import java.util.HashMap;
+import java.util.LinkedHashMap;
+import java.util.List;
+import java.util.Map;
+import java.util.SplittableRandom;
 import java.util.function.Supplier;
 import java.util.stream.Collectors;
 
@@ -18,7 +30,8 @@
     /** Part of the caches that may be in doubt before lateness puts a further one there. */
     static final double LATE_DOUBTED_MOST = 0.25;
 
-    private static final long FIRST_PAUSE_NANOS = 1_000_000_000L, LONGEST_PAUSE_NANOS = 8_000_000_000L;
+    private static final long FIRST_PAUSE_NANOS = 1_000_000_000L;
+    private static final long LONGEST_PAUSE_NANOS = 8_000_000_000L;
     /** Part of the stated collapse limit that the proxies together may use. */
     private static final double COLD_SAFETY = 0.5;
     /** Time constant of the warm caches' measured load. */
@@ -32,7 +45,9 @@
     private static final double SPARE_GROWTH = 1.02;
 
     /** Hits that a kind's speed is judged by at most, and those that the listed sizes count for. */
-    private static final int SPEED_HITS = 96, SPEED_PRIOR = 8;
+    private static final int SPEED_HITS = 96;
+
+    private static final int SPEED_PRIOR = 8;
 
     /**
      * How fast caches of a kind answer, by the mean logarithm of a hit's time for its work. Listed sizes are
@@ -40,7 +55,8 @@
      * a kind that became slow; harms where it is slow for a moment only, by some misses.
      */
     private static final class Kind {
-        double logTime, speed = 1;
+        double logTime;
+        double speed = 1;
         int hits;
 
         void onHit(double value, Kind all) {
@@ -52,18 +68,27 @@
 
     /** One listed server, a cache or the origin, as this proxy knows it. */
     static final class Node {
-        final long id, mix;
+        final long id;
+        final long mix;
         Server entry;
         final LearnedCapacity capacity;
         final Kind kind;
-        int out, failures;
-        boolean doubted, trialOut, connected;
+        int out;
+        int failures;
+        boolean doubted;
+        boolean trialOut;
+        boolean connected;
         /** Since when this incarnation is known, and when the trial of a doubted one went out. */
         final long knownSinceNanos;
 
-        long trialNanos, quietSinceNanos, usedNanos, doubtedUntilNanos, coldLevelNanos;
+        long trialNanos;
+        long quietSinceNanos;
+        long usedNanos;
+        long doubtedUntilNanos;
+        long coldLevelNanos;
         long pauseNanos = FIRST_PAUSE_NANOS;
-        double coldLevel, fit = 1;
+        double coldLevel;
+        double fit = 1;
         /** Part of the time that idle connections are kept here. */
         double spare = 1;
 
@@ -91,10 +116,14 @@
     private final Kind allKinds = new Kind();
     private final Map<Long, Node> nodes = new LinkedHashMap<>();
     /** The ready caches and origins. */
-    private Node[] caches = {}, origins = {};
+    private Node[] caches = {};
+
+    private Node[] origins = {};
 
     private int doubtedCount;
-    private double load, holdPart = 1, brokenPart;
+    private double load;
+    private double holdPart = 1;
+    private double brokenPart;
     private long loadNanos;
 
     CachePool(
--- a/decisions/src/main/java/burlarch/decisions/Policy.java
+++ b/decisions/src/main/java/burlarch/decisions/Policy.java
@@ -3,9 +3,24 @@
 // The interface of this module - its settings, events and actions - is Api.java.
 
 import burlarch.admission.LearnedCapacity;
-import burlarch.decisions.Api.*;
+import burlarch.decisions.Api.Actions;
+import burlarch.decisions.Api.Ended;
+import burlarch.decisions.Api.ListKind;
+import burlarch.decisions.Api.Outcome;
+import burlarch.decisions.Api.Repeat;
+import burlarch.decisions.Api.Request;
+import burlarch.decisions.Api.RequestClass;
+import burlarch.decisions.Api.Scope;
+import burlarch.decisions.Api.Server;
+import burlarch.decisions.Api.Settings;
+import burlarch.decisions.Api.Tenant;
 import burlarch.decisions.CachePool.Node;
-import java.util.*;
+import java.util.ArrayDeque;
+import java.util.ArrayList;
+import java.util.HashMap;
+import java.util.List;
+import java.util.Map;
+import java.util.SplittableRandom;
 
 /**
  * The decisions of one proxy. A read goes to its best cache by rendezvous; on a miss the fetch is offered to
@@ -16,14 +31,21 @@
     /** Timer token of the list's subscription; that of a request is its id, which is never negative. */
     private static final long WATCH = -1;
     /** W of the most worthy class, so that small shares hold two offers; one of no worth has the other. */
-    private static final double WINDOW_BEST = 18, WINDOW_LEAST = 22;
+    private static final double WINDOW_BEST = 18;
+
+    private static final double WINDOW_LEAST = 22;
     /** Rendezvous weight lost with a cut, kept at least, regained with an outcome: sizes are rough. */
-    private static final double FIT_CUT = 0.85, FIT_LEAST = 0.2, FIT_GROWTH = 1.002;
+    private static final double FIT_CUT = 0.85;
+
+    private static final double FIT_LEAST = 0.2;
+    private static final double FIT_GROWTH = 1.002;
     /**
      * Outcomes that make a batch of evidence. Of all caches many, as times vary too much for a dozen to tell,
      * a fifth where many proxies' errors even out; of one server few, as one proxy may send it few.
      */
-    private static final double TIER_BATCH = 48, NODE_BATCH = 8;
+    private static final double TIER_BATCH = 48;
+
+    private static final double NODE_BATCH = 8;
     /** Proxies from which each sees too little to learn soon; below, the tier's c keeps ahead to strain. */
     private static final int MANY = 10;
     /** The caches' c starts at this much of what the tenants were promised, and climbs on good answers. */
@@ -33,13 +55,16 @@
     /** Part of the aim after which silence of a cache counts against it. */
     private static final double PATIENCE = 0.4;
     /** Further attempts and second copies earned by each request, and the most that all proxies save up. */
-    private static final double RETRY_PER_REQUEST = 0.2, RETRY_MOST = 60;
+    private static final double RETRY_PER_REQUEST = 0.2;
+
+    private static final double RETRY_MOST = 60;
 
     private static final double SET_UP_GAIN = 0.05;
     /** Part of the aim that the origin's answer is taken to need before one has come. */
     private static final double UNKNOWN_ANSWER = 0.1;
 
-    private static final long WATCH_RETRY_NANOS = 500_000_000L, WATCH_RETRY_MOST_NANOS = 8_000_000_000L;
+    private static final long WATCH_RETRY_NANOS = 500_000_000L;
+    private static final long WATCH_RETRY_MOST_NANOS = 8_000_000_000L;
 
     /** One attempt as sent; {@code ended} is null while it is out. */
     private record Attempt(Node node, long sentNanos, boolean connects, Outcome ended) {
@@ -60,7 +85,10 @@
         final List<Attempt> attempts = new ArrayList<>(2);
         final List<Node> used = new ArrayList<>(2);
         int out;
-        boolean done, fetching, waiting, withinShare;
+        boolean done;
+        boolean fetching;
+        boolean waiting;
+        boolean withinShare;
         /** When a fetch that the origin turned away goes out again; 0 while none waits for that. */
         long resumeAtNanos;
 
@@ -102,9 +130,12 @@
     private final Map<Long, ArrayDeque<Pending>> fetches = new HashMap<>();
 
     private final double retryMost;
-    private double retryBudget, meanWork;
+    private double retryBudget;
+    private double meanWork;
     /** Mean times of the caches' answers on new connections and on kept ones. */
-    private final double[] freshNanos = {0}, keptNanos = {0};
+    private final double[] freshNanos = {0};
+
+    private final double[] keptNanos = {0};
     /** Mean time of the origin's answers. */
     private double originNanos;
 
@@ -157,6 +188,7 @@
         }
     }
 
+    /** A request was accepted: it is sent to a node or refused, and gets exactly one final answer. */
     public void onRequest(long nowNanos, Request request) {
         int index = request.requestClass();
         RequestClass kind = index < 0 ? null : settings.classes().get(index);
@@ -185,6 +217,7 @@
                 : Math.min(deadline, nowNanos + kind.aimNanos() + (long) (kind.aimStretch() * request.workNanos()));
     }
 
+    /** An attempt ended: the request is answered, attempted again, or waits for another attempt. */
     public void onEnded(long nowNanos, Ended ended) {
         Node node = pool.find(ended.server(), nowNanos - ended.elapsedNanos());
         Pending p = pending.get(ended.request());
@@ -270,6 +303,7 @@
         }
     }
 
+    /** A timer that was set with this token is due. */
     public void onTimer(long nowNanos, long token) {
         Pending p = pending.get(token);
         if (token == WATCH) {
--- a/lab/src/main/java/burlarch/lab/load/LoadResult.java
+++ b/lab/src/main/java/burlarch/lab/load/LoadResult.java
@@ -170,6 +170,7 @@
             double p99Ms,
             double maxMs) {}
 
+    /** The figures of each second of the run, in order of time. */
     public List<SecondFigures> seconds() {
         List<SecondFigures> figures = new ArrayList<>();
         for (int i = 0; i < statistics.seconds.size(); i++) {
--- a/overload/src/main/java/burlarch/overload/OwnLoad.java
+++ b/overload/src/main/java/burlarch/overload/OwnLoad.java
@@ -25,7 +25,9 @@
     /** A standing lag beyond this is overload. */
     static final long TARGET_NANOS = 10_000_000L;
     /** How much of the admitted part one interval may take, and what one gives back. */
-    static final double SHRINK_MOST = 0.5, GROWTH = 0.05;
+    static final double SHRINK_MOST = 0.5;
+
+    static final double GROWTH = 0.05;
     /** Some are always let in, or it would not be seen when they could be served. */
     static final double PART_LEAST = 0.02;
     /** Shares of the ranks follow arrivals within about this many intervals. */
--- a/proxy/src/main/java/burlarch/proxy/ProxyMain.java
+++ b/proxy/src/main/java/burlarch/proxy/ProxyMain.java
@@ -108,6 +108,7 @@
         }
     }
 
+    /** Runs the subcommand that the arguments name; exits with 2 where there is no such subcommand. */
     public static void main(String[] args) throws IOException, InterruptedException {
         if (args.length == 1 && args[0].equals("drill")) {
             WireHost.main(args);
--- a/proxy/src/main/java/burlarch/proxy/Rehearsal.java
+++ b/proxy/src/main/java/burlarch/proxy/Rehearsal.java
@@ -21,7 +21,9 @@
     /** Requests of each kind; few, as it is loaded and not compiled here. */
     private static final int ROUNDS = 40;
 
-    private static final String MISS_KEY = "miss", SILENT_KEY = "silent", RESET_KEY = "reset";
+    private static final String MISS_KEY = "miss";
+    private static final String SILENT_KEY = "silent";
+    private static final String RESET_KEY = "reset";
     /** The least that the module needs: classes, a tenant and the origin's kind. */
     private static final String SETTINGS =
             """
--- a/proxy/src/main/java/burlarch/proxy/tls/TlsSettings.java
+++ b/proxy/src/main/java/burlarch/proxy/tls/TlsSettings.java
@@ -11,6 +11,11 @@
         InetSocketAddress listen, Path certFile, Path keyFile, String minVersion, Path clientCa, int checkSeconds) {
     private static final int DAY_S = 86_400;
 
+    /**
+     * Reads the settings of the TLS port.
+     *
+     * @throws SettingsException if a key is missing or its value is invalid
+     */
     public static TlsSettings read(Section section) throws SettingsException {
         TlsSettings settings = new TlsSettings(
                 section.address("listen"),
--- a/proxy/src/main/java/burlarch/wire/WireHost.java
+++ b/proxy/src/main/java/burlarch/wire/WireHost.java
@@ -67,6 +67,7 @@
         }
     }
 
+    /** Serves the simulator until its input ends; exits with 2 on wrong arguments. */
     public static void main(String[] args) throws IOException {
         if (args.length != 1 || !args[0].equals("drill")) {
             System.err.println("usage: burlarch drill   (reads events on standard input, writes actions)");
--- a/router/src/main/java/burlarch/router/prefixcache/BatchCodec.java
+++ b/router/src/main/java/burlarch/router/prefixcache/BatchCodec.java
@@ -37,6 +37,7 @@
         }
     }
 
+    /** The bytes of a batch, in the format that {@link #decode} reads. */
     public static byte[] encode(List<KvNews> batch) {
         Map<String, Integer> salts = salts(batch);
         Output out = new Output();
--- a/settings/src/main/java/burlarch/settings/OperatorFile.java
+++ b/settings/src/main/java/burlarch/settings/OperatorFile.java
@@ -37,6 +37,11 @@
         return new OperatorFile("", Map.of());
     }
 
+    /**
+     * Reads and checks a file.
+     *
+     * @throws SettingsException if there is no such file, it can't be read, or it is no valid TOML
+     */
     public static OperatorFile load(Path file) throws SettingsException {
         try {
             return parse(file.toString(), Files.readString(file));
--- a/settings/src/main/java/burlarch/settings/Section.java
+++ b/settings/src/main/java/burlarch/settings/Section.java
@@ -35,6 +35,11 @@
         return new SettingsException(file + ": " + (table.isEmpty() ? key : table + "." + key) + " " + what);
     }
 
+    /**
+     * The whole number under that key, or {@code otherwise} where the key is absent.
+     *
+     * @throws SettingsException if it is no whole number or outside {@code least} to {@code most}
+     */
     public int whole(String key, int otherwise, int least, int most) throws SettingsException {
         Object value = value(key);
         if (value == null) {
--- a/simulation/src/main/java/burlarch/simulation/SimulatedNetwork.java
+++ b/simulation/src/main/java/burlarch/simulation/SimulatedNetwork.java
@@ -60,6 +60,7 @@
         return cuts.isEmpty();
     }
 
+    /** Whether a message sent now from one address can reach the other. */
     public boolean connected(String from, String to) {
         if (from.equals(to)) {
             return true;
--- a/standins/src/main/java/burlarch/standins/fleet/FleetPlan.java
+++ b/standins/src/main/java/burlarch/standins/fleet/FleetPlan.java
@@ -47,6 +47,7 @@
     /** One-way delays. */
     public record Network(long sameZoneNanos, long crossZoneNanos) {}
 
+    /** One stand-in node of the plan. */
     public record NodePlan(String id, String zone, int cell, MachineKind kind) {
         public boolean ledger() {
             return id.equals(LEDGER);
--- a/standins/src/main/java/burlarch/standins/model/Catalog.java
+++ b/standins/src/main/java/burlarch/standins/model/Catalog.java
@@ -45,6 +45,7 @@
         this.keptChanges = keptChanges;
     }
 
+    /** Adds the member, replaces the one of its id, or removes it where its lifecycle is DELETED. */
     public void put(Member member) {
         generation++;
         if (member.lifecycle() == Lifecycle.DELETED) {
--- a/trace/src/main/java/burlarch/trace/Traces.java
+++ b/trace/src/main/java/burlarch/trace/Traces.java
@@ -30,6 +30,7 @@
             long writes,
             long busiestSecond) {}
 
+    /** Counts the records of a trace by class and tenant. Reads the file once, record by record. */
     public static Summary summary(Path file) throws IOException {
         Map<String, Long> byClass = new TreeMap<>();
         Map<String, Long> byTenant = new TreeMap<>();
