--- a/controller/src/main/java/burlarch/controller/ControllerStorage.java
+++ b/controller/src/main/java/burlarch/controller/ControllerStorage.java
@@ -57,7 +57,7 @@
 
     private static List<Member> firstMembers(AcceptorStore store, List<String> seeds, boolean bootstrap)
             throws IOException {
-        byte[] kept = store.namedValue(FIRST_MEMBERS);
+        byte[] kept = store.namedValue(FIRST_MEMBERS).orElse(null);
         if (kept == null && bootstrap) {
             kept = String.join("\n", seeds).getBytes(UTF_8);
             store.saveNamedValue(FIRST_MEMBERS, kept);
--- a/controller/src/main/java/burlarch/controller/KnownAcceptors.java
+++ b/controller/src/main/java/burlarch/controller/KnownAcceptors.java
@@ -26,7 +26,7 @@
 
     /** What was saved last; {@link Belief#NONE} where nothing was. */
     static Belief load(AcceptorStore store) {
-        byte[] kept = store.namedValue(KEY);
+        byte[] kept = store.namedValue(KEY).orElse(null);
         if (kept == null) {
             return Belief.NONE;
         }
--- a/storage/src/main/java/burlarch/storage/AcceptorRecordCodec.java
+++ b/storage/src/main/java/burlarch/storage/AcceptorRecordCodec.java
@@ -14,74 +14,102 @@
 import java.util.List;
 import java.util.Map;
 
-/** Records of an {@link AcceptorStore}, as bytes. The first byte tells the kind. */
+/**
+ * The records of an {@link AcceptorStore} as bytes: one byte for the kind, then the fields in the order given here, as
+ * {@link DataOutputStream} writes them. Byte arrays follow their length, an int.
+ *
+ * <pre>
+ *   kind              fields
+ *   1 SNAPSHOT        identity, state, number of named values, then name and bytes of each
+ *   2 PROMISED        ballot; the accepted ballot and value stay as they are
+ *   3 ACCEPTED        state
+ *   4 NAMED_VALUE     name, bytes
+ *
+ *   state             promised ballot, accepted ballot, whether there is a value, value
+ *   ballot            round (long), proposer
+ *   value             number of members, then storage and address of each; payload
+ * </pre>
+ *
+ * <p>The numbers and the order are fixed: stored data of earlier programs must stay readable. A record that cannot be
+ * decoded is an {@link IOException}: its checksum was right, so it comes from a later program.
+ */
 final class AcceptorRecordCodec {
     private static final int SNAPSHOT = 1;
-    private static final int PROMISE = 2;
-    private static final int ACCEPT = 3;
-    private static final int EXTRA = 4;
-    private static final int MOST_MEMBERS = 2 * AcceptorSet.MOST_MEMBERS;
+    private static final int PROMISED = 2;
+    private static final int ACCEPTED = 3;
+    private static final int NAMED_VALUE = 4;
+    /** While a set of acceptors changes, a value names those before and those after. */
+    private static final int MAX_MEMBERS = 2 * AcceptorSet.MOST_MEMBERS;
 
     private AcceptorRecordCodec() {}
 
-    static byte[] snapshot(AcceptorStoreContents stored) throws IOException {
+    /** Returns a record that replaces everything before it. */
+    static byte[] encodeSnapshot(AcceptorStoreContents contents) throws IOException {
         ByteArrayOutputStream bytes = new ByteArrayOutputStream();
         DataOutputStream out = new DataOutputStream(bytes);
         out.writeByte(SNAPSHOT);
-        out.writeUTF(stored.identity);
-        writeState(out, stored.state);
-        out.writeInt(stored.extras.size());
-        for (Map.Entry<String, byte[]> extra : stored.extras.entrySet()) {
-            out.writeUTF(extra.getKey());
-            writeBytes(out, extra.getValue());
+        out.writeUTF(contents.identity);
+        writeState(out, contents.state);
+        out.writeInt(contents.namedValues.size());
+        for (Map.Entry<String, byte[]> namedValue : contents.namedValues.entrySet()) {
+            out.writeUTF(namedValue.getKey());
+            writeBytes(out, namedValue.getValue());
         }
         return bytes.toByteArray();
     }
 
-    /** The record that leads from one state to the next; a promise doesn't repeat the value. */
-    static byte[] change(AcceptorState from, AcceptorState to) throws IOException {
+    /**
+     * Returns the record that leads from one state to the next. If only the promised ballot changed, the record does not
+     * repeat the value, which may be large.
+     */
+    static byte[] encodeChange(AcceptorState from, AcceptorState to) throws IOException {
         ByteArrayOutputStream bytes = new ByteArrayOutputStream();
         DataOutputStream out = new DataOutputStream(bytes);
         if (to.accepted().equals(from.accepted())) {
-            out.writeByte(PROMISE);
+            out.writeByte(PROMISED);
             writeBallot(out, to.promised());
         } else {
-            out.writeByte(ACCEPT);
+            out.writeByte(ACCEPTED);
             writeState(out, to);
         }
         return bytes.toByteArray();
     }
 
-    static byte[] extra(String key, byte[] value) throws IOException {
+    /** Returns the record that sets one named value. */
+    static byte[] encodeNamedValue(String name, byte[] value) throws IOException {
         ByteArrayOutputStream bytes = new ByteArrayOutputStream();
         DataOutputStream out = new DataOutputStream(bytes);
-        out.writeByte(EXTRA);
-        out.writeUTF(key);
+        out.writeByte(NAMED_VALUE);
+        out.writeUTF(name);
         writeBytes(out, value);
         return bytes.toByteArray();
     }
 
-    /** Applies one record that was read. */
-    static void apply(byte[] record, AcceptorStoreContents stored) throws IOException {
+    /**
+     * Applies one record to the contents that all records before it gave.
+     *
+     * @throws IOException if the record has an unknown kind or ends too early
+     */
+    static void apply(byte[] record, AcceptorStoreContents contents) throws IOException {
         DataInputStream in = new DataInputStream(new ByteArrayInputStream(record));
         int kind = in.readByte();
-        if (kind == SNAPSHOT) {
-            stored.identity = in.readUTF();
-            stored.state = readState(in);
-            stored.extras.clear();
-            int count = in.readInt();
-            for (int i = 0; i < count; i++) {
-                stored.extras.put(in.readUTF(), readBytes(in));
-            }
-        } else if (kind == PROMISE) {
-            Ballot promised = readBallot(in);
-            stored.state = new AcceptorState(promised, stored.state.accepted(), stored.state.value());
-        } else if (kind == ACCEPT) {
-            stored.state = readState(in);
-        } else if (kind == EXTRA) {
-            stored.extras.put(in.readUTF(), readBytes(in));
-        } else {
-            throw new IOException("record of unknown kind " + kind);
+        switch (kind) {
+            case SNAPSHOT -> applySnapshot(in, contents);
+            case PROMISED -> contents.state =
+                    new AcceptorState(readBallot(in), contents.state.accepted(), contents.state.value());
+            case ACCEPTED -> contents.state = readState(in);
+            case NAMED_VALUE -> contents.namedValues.put(in.readUTF(), readBytes(in));
+            default -> throw new IOException("record of unknown kind " + kind);
+        }
+    }
+
+    private static void applySnapshot(DataInputStream in, AcceptorStoreContents contents) throws IOException {
+        contents.identity = in.readUTF();
+        contents.state = readState(in);
+        contents.namedValues.clear();
+        int count = in.readInt();
+        for (int i = 0; i < count; i++) {
+            contents.namedValues.put(in.readUTF(), readBytes(in));
         }
     }
 
@@ -111,7 +139,7 @@
 
     private static RegisterValue readValue(DataInputStream in) throws IOException {
         int count = in.readInt();
-        if (count < 0 || count > MOST_MEMBERS) {
+        if (count < 0 || count > MAX_MEMBERS) {
             throw new IOException("a value of " + count + " members");
         }
         List<Member> members = new ArrayList<>(count);
--- a/storage/src/main/java/burlarch/storage/AcceptorStore.java
+++ b/storage/src/main/java/burlarch/storage/AcceptorStore.java
@@ -4,17 +4,28 @@
 import java.io.Closeable;
 import java.io.IOException;
 import java.util.List;
+import java.util.Optional;
 import java.util.function.Supplier;
 
 /**
- * What one acceptor must not forget, on its disk: who it is, what it promised and accepted, and a few named
- * values beside.
+ * The durable state of one register acceptor: its identity, the ballot it promised, the value it accepted, and a few
+ * named values of the controller beside it.
  *
- * <p>An empty disk gets a new identity, which is durable before anyone sees it. Not safe for use by several
- * threads; calls may wait on the disk for long.
+ * <p><b>Durable before acknowledged.</b> {@link #save} and {@link #saveNamedValue} return only after the new state is
+ * synced; an acceptor replies to a request only after that. So no reply is ever based on a state that a power failure can
+ * take back.
+ *
+ * <p><b>Memory follows the disk.</b> If a save fails, the store still holds the state before it and can be used on. The
+ * outcome on the disk is open: a restart may find either state.
+ *
+ * <p><b>Identity.</b> An empty disk gets a new identity, which is durable before anyone sees it. A disk that once held
+ * records is never taken for an empty one ({@link DamagedLogException}): it would come back under its old identity
+ * without its promises.
+ *
+ * <p>One thread owns a store; calls may block on the disk for long.
  */
 public final class AcceptorStore implements Closeable {
-    /** The longest payload of a value; a snapshot of all then fits a record. */
+    /** The longest payload of a value. A snapshot of a value and all named values then fits one record. */
     public static final int MAX_VALUE_BYTES = 6 * 1024 * 1024;
     /** How many named values there may be. */
     public static final int MAX_NAMED_VALUES = 16;
@@ -25,25 +36,25 @@
     private static final int MAX_FIRST_SNAPSHOT_BYTES = 512;
 
     private final SegmentedLog log;
-    private final AcceptorStoreContents stored = new AcceptorStoreContents();
-    private boolean createdNow;
+    private final AcceptorStoreContents contents = new AcceptorStoreContents();
+    private boolean isNewlyCreated;
 
     private AcceptorStore(SegmentedLog log) {
         this.log = log;
     }
 
-    /** Opens the store of a disk with the log's usual size. */
+    /** Opens the store of a disk with {@link SegmentedLog#DEFAULT_SEGMENT_BYTES} between two snapshots. */
     public static AcceptorStore open(Disk disk, Supplier<String> newIdentity) throws IOException {
         return open(disk, newIdentity, SegmentedLog.DEFAULT_SEGMENT_BYTES);
     }
 
     /**
-     * Opens the store of a disk.
+     * Opens the store of a disk. The caller closes it.
      *
-     * @param newIdentity asked where the disk is empty, for an identity that no other disk ever has
+     * @param newIdentity called if the disk is empty: an identity that no other disk ever has
      * @param segmentBytes how much is written between two snapshots
-     * @throws DamagedLogException where the disk once held more than can be read: it must not vote
-     * @throws IOException if the disk can't be read, or made lasting; opening may be tried again
+     * @throws DamagedLogException if synced records are lost; the acceptor must not vote, and opening again does not help
+     * @throws IOException if the disk cannot be read or synced; opening may be tried again
      */
     public static AcceptorStore open(Disk disk, Supplier<String> newIdentity, long segmentBytes) throws IOException {
         AcceptorStore store = new AcceptorStore(SegmentedLog.open(disk, segmentBytes));
@@ -56,62 +67,65 @@
         }
     }
 
-    /** Identity of this disk. */
+    /** Returns the identity of this disk. */
     public String identity() {
-        return stored.identity;
+        return contents.identity;
     }
 
-    /** Whether the disk was empty when it was opened. */
+    /** Returns whether the disk was empty when it was opened. */
     public boolean isNewlyCreated() {
-        return createdNow;
+        return isNewlyCreated;
     }
 
-    /** The state saved last. */
+    /** Returns the state that was saved last. */
     public AcceptorState state() {
-        return stored.state;
+        return contents.state;
     }
 
     /**
      * Makes a state durable.
      *
-     * @throws IOException if it may not have lasted; the store then holds the one before, and may be used on
+     * @throws IOException if the value is too large, or if the state may not be durable; the store then holds the state
+     *     before it, and may be used on
      */
     public void save(AcceptorState next) throws IOException {
-        if (next.value() != null && next.value().payload().length > MAX_VALUE_BYTES) {
-            throw new IOException("a value of " + next.value().payload().length + " bytes");
-        }
-        AcceptorState before = stored.state;
-        byte[] record = AcceptorRecordCodec.change(before, next);
-        stored.state = next;
+        requireFits(next);
+        AcceptorState before = contents.state;
+        byte[] record = AcceptorRecordCodec.encodeChange(before, next);
+        contents.state = next;
         try {
             write(record);
         } catch (IOException e) {
-            stored.state = before;
+            contents.state = before;
             throw e;
         }
     }
 
-    /** A named value, or null. */
-    public byte[] namedValue(String key) {
-        byte[] value = stored.extras.get(key);
-        return value == null ? null : value.clone();
+    /** Returns a copy of a named value; empty if there is none of that name. */
+    public Optional<byte[]> namedValue(String name) {
+        return Optional.ofNullable(contents.namedValues.get(name)).map(byte[]::clone);
     }
 
-    /** Makes a named value durable; throws as {@link #save} does. */
-    public void saveNamedValue(String key, byte[] value) throws IOException {
-        boolean isNew = !stored.extras.containsKey(key);
-        if (value.length > MAX_NAMED_VALUE_BYTES || (isNew && stored.extras.size() == MAX_NAMED_VALUES)) {
+    /**
+     * Makes a named value durable.
+     *
+     * @throws IllegalArgumentException if the value is too large, or if there are too many
+     * @throws IOException as {@link #save} does
+     */
+    public void saveNamedValue(String name, byte[] value) throws IOException {
+        boolean isNew = !contents.namedValues.containsKey(name);
+        if (value.length > MAX_NAMED_VALUE_BYTES || (isNew && contents.namedValues.size() == MAX_NAMED_VALUES)) {
             throw new IllegalArgumentException("too many or too large named values");
         }
-        byte[] record = AcceptorRecordCodec.extra(key, value);
-        byte[] before = stored.extras.put(key, value.clone());
+        byte[] record = AcceptorRecordCodec.encodeNamedValue(name, value);
+        byte[] before = contents.namedValues.put(name, value.clone());
         try {
             write(record);
         } catch (IOException e) {
             if (isNew) {
-                stored.extras.remove(key);
+                contents.namedValues.remove(name);
             } else {
-                stored.extras.put(key, before);
+                contents.namedValues.put(name, before);
             }
             throw e;
         }
@@ -124,23 +138,34 @@
 
     private void load(Supplier<String> newIdentity) throws IOException {
         if (log.isEmpty()) {
-            log.requireNeverUsed(MAX_FIRST_SNAPSHOT_BYTES);
-            stored.identity = newIdentity.get();
-            log.replaceWithSnapshot(AcceptorRecordCodec.snapshot(stored));
-            createdNow = true;
+            createIdentity(newIdentity);
             return;
         }
         for (byte[] record : log.takeRecoveredRecords()) {
-            AcceptorRecordCodec.apply(record, stored);
+            AcceptorRecordCodec.apply(record, contents);
         }
     }
 
-    private void write(byte[] record) throws IOException {
+    private void createIdentity(Supplier<String> newIdentity) throws IOException {
+        log.requireNeverUsed(MAX_FIRST_SNAPSHOT_BYTES);
+        contents.identity = newIdentity.get();
+        log.replaceWithSnapshot(AcceptorRecordCodec.encodeSnapshot(contents));
+        isNewlyCreated = true;
+    }
+
+    /** Writes the change, or a snapshot of the contents that hold the change already. */
+    private void write(byte[] changeRecord) throws IOException {
         if (log.isSnapshotDue()) {
-            log.replaceWithSnapshot(AcceptorRecordCodec.snapshot(stored));
+            log.replaceWithSnapshot(AcceptorRecordCodec.encodeSnapshot(contents));
         } else {
-            log.append(List.of(record));
+            log.append(List.of(changeRecord));
             log.sync();
         }
     }
+
+    private static void requireFits(AcceptorState state) throws IOException {
+        if (state.value() != null && state.value().payload().length > MAX_VALUE_BYTES) {
+            throw new IOException("a value of " + state.value().payload().length + " bytes is too large");
+        }
+    }
 }
--- a/storage/src/main/java/burlarch/storage/DiskFile.java
+++ b/storage/src/main/java/burlarch/storage/DiskFile.java
@@ -4,20 +4,20 @@
 import java.io.IOException;
 import java.nio.ByteBuffer;
 
-/** An open file. */
+/** An open file of a {@link Disk}. Used by one thread at a time; whoever opened it closes it. */
 public interface DiskFile extends Closeable {
-    /** Length in bytes. */
+    /** Returns the length in bytes. */
     long sizeBytes() throws IOException;
 
-    /** Fills the buffer from a position on; fails if the file ends before. */
+    /** Fills the buffer with the bytes from a position on; fails if the file ends before the buffer is full. */
     void read(long position, ByteBuffer into) throws IOException;
 
-    /** Writes all that remains in the buffer; after a failure any part of it may be there. */
+    /** Writes the buffer's remaining bytes at a position. After a failure any part of them may have been written. */
     void write(long position, ByteBuffer from) throws IOException;
 
-    /** Cuts the file to this many bytes. */
-    void truncate(long size) throws IOException;
+    /** Shortens the file to this length. */
+    void truncate(long sizeBytes) throws IOException;
 
-    /** Makes content and length lasting. */
+    /** Makes the content, the length and the directory entry of the file durable. */
     void force() throws IOException;
 }
--- a/storage/src/main/java/burlarch/storage/FileChannelDiskFile.java
+++ b/storage/src/main/java/burlarch/storage/FileChannelDiskFile.java
@@ -5,12 +5,16 @@
 import java.nio.ByteBuffer;
 import java.nio.channels.FileChannel;
 
-/** A file behind a channel; moves bytes in pieces, as the JVM keeps a native buffer of the largest one. */
+/**
+ * A file behind a {@link FileChannel}. Bytes are moved in chunks: for each thread the JVM keeps a native buffer as large
+ * as the largest transfer, which would stay at the size of the largest record.
+ */
 final class FileChannelDiskFile implements DiskFile {
-    private static final int PIECE_BYTES = 64 * 1024;
+    private static final int CHUNK_BYTES = 64 * 1024;
 
     private final FileChannel channel;
 
+    /** Takes over the channel: {@link #close} closes it. */
     FileChannelDiskFile(FileChannel channel) {
         this.channel = channel;
     }
@@ -22,31 +26,30 @@
 
     @Override
     public void read(long position, ByteBuffer into) throws IOException {
-        long at = position;
+        long offset = position;
         while (into.hasRemaining()) {
-            ByteBuffer piece = nextPiece(into);
-            int count = channel.read(piece, at);
+            int count = channel.read(nextChunk(into), offset);
             if (count < 0) {
-                throw new EOFException("the file ends at " + at);
+                throw new EOFException("the file ends at byte " + offset);
             }
-            at += count;
+            offset += count;
             into.position(into.position() + count);
         }
     }
 
     @Override
     public void write(long position, ByteBuffer from) throws IOException {
-        long at = position;
+        long offset = position;
         while (from.hasRemaining()) {
-            int count = channel.write(nextPiece(from), at);
-            at += count;
+            int count = channel.write(nextChunk(from), offset);
+            offset += count;
             from.position(from.position() + count);
         }
     }
 
     @Override
-    public void truncate(long size) throws IOException {
-        channel.truncate(size);
+    public void truncate(long sizeBytes) throws IOException {
+        channel.truncate(sizeBytes);
     }
 
     @Override
@@ -59,7 +62,7 @@
         channel.close();
     }
 
-    private static ByteBuffer nextPiece(ByteBuffer buffer) {
-        return buffer.slice(buffer.position(), Math.min(buffer.remaining(), PIECE_BYTES));
+    private static ByteBuffer nextChunk(ByteBuffer buffer) {
+        return buffer.slice(buffer.position(), Math.min(buffer.remaining(), CHUNK_BYTES));
     }
 }
--- a/storage/src/main/java/burlarch/storage/FileSystemDisk.java
+++ b/storage/src/main/java/burlarch/storage/FileSystemDisk.java
@@ -9,19 +9,24 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** A folder of the file system. */
+/**
+ * A directory of the file system. Used by one thread at a time; every call may block on the device.
+ *
+ * <p>It relies on a file system that makes a new file's directory entry durable with the file's own sync, as
+ * {@link Disk} promises; {@code Segment.create} syncs the directory beside that.
+ */
 public final class FileSystemDisk implements Disk {
-    private final Path folder;
+    private final Path directory;
 
-    /** Takes a folder, which is made if it isn't there. */
-    public FileSystemDisk(Path folder) throws IOException {
-        this.folder = Files.createDirectories(folder);
+    /** Uses a directory, which is created if there is none. */
+    public FileSystemDisk(Path directory) throws IOException {
+        this.directory = Files.createDirectories(directory);
     }
 
     @Override
     public List<String> listFiles() throws IOException {
         List<String> names = new ArrayList<>();
-        try (DirectoryStream<Path> entries = Files.newDirectoryStream(folder)) {
+        try (DirectoryStream<Path> entries = Files.newDirectoryStream(directory)) {
             for (Path entry : entries) {
                 names.add(entry.getFileName().toString());
             }
@@ -32,7 +37,7 @@
     @Override
     public DiskFile create(String name) throws IOException {
         return new FileChannelDiskFile(FileChannel.open(
-                folder.resolve(name),
+                directory.resolve(name),
                 StandardOpenOption.CREATE_NEW,
                 StandardOpenOption.READ,
                 StandardOpenOption.WRITE));
@@ -41,17 +46,17 @@
     @Override
     public DiskFile open(String name) throws IOException {
         return new FileChannelDiskFile(
-                FileChannel.open(folder.resolve(name), StandardOpenOption.READ, StandardOpenOption.WRITE));
+                FileChannel.open(directory.resolve(name), StandardOpenOption.READ, StandardOpenOption.WRITE));
     }
 
     @Override
     public void remove(String name) throws IOException {
-        Files.deleteIfExists(folder.resolve(name));
+        Files.deleteIfExists(directory.resolve(name));
     }
 
     @Override
     public void syncDirectory() throws IOException {
-        try (FileChannel channel = FileChannel.open(folder, StandardOpenOption.READ)) {
+        try (FileChannel channel = FileChannel.open(directory, StandardOpenOption.READ)) {
             channel.force(true);
         }
     }
--- a/storage/src/main/java/burlarch/storage/SegmentedLog.java
+++ b/storage/src/main/java/burlarch/storage/SegmentedLog.java
@@ -2,141 +2,144 @@
 
 import java.io.Closeable;
 import java.io.IOException;
-import java.util.ArrayList;
-import java.util.Iterator;
 import java.util.List;
 
 /**
- * A log that replaces itself: a snapshot and the records after it, in one file, until the next snapshot
- * begins the next file.
+ * A log of records that snapshots keep short. One file, the current segment, holds a snapshot and the records after it;
+ * the next snapshot begins the next segment and replaces all records before it.
  *
- * <p>What was appended counts once {@link #sync} has returned. After an I/O error all is undone that came
- * since the last sync (though it may be found again after a restart), and the same call may be tried again
- * later.
+ * <p><b>Durable before acknowledged.</b> Appended records are durable once {@link #sync} has returned, a snapshot once
+ * {@link #replaceWithSnapshot} has returned.
  *
- * <p>Sequences rise over all files and are not used twice, also not after an error. At opening, the file that
- * reaches the highest sequence counts: a file that a failed compaction left behind loses against the records
- * that were synced after it, and one whose removal didn't last loses against the snapshot that took its
- * place. What is read is synced once more before it is trusted, as a process that died may not have got to
- * that.
+ * <p><b>Errors.</b> After an {@link IOException} of {@link #append} or {@link #sync} every record since the last sync is
+ * undone; a restart may still find it. After one of {@link #replaceWithSnapshot} the log is as before. In each case the
+ * same call may be tried again. An undone record that a restart finds does no harm: its writer was told that the outcome
+ * is open, and it is found only if nothing was synced after it.
  *
- * <p>Not safe for use by several threads.
+ * <p><b>Bound.</b> At most {@value #MAX_OBSOLETE_SEGMENTS} obsolete segments exist beside the current one; if they cannot
+ * be removed, no further segment is begun.
+ *
+ * <p>What is found on the disk at opening is {@link LogRecovery}'s concern. One thread owns a log; calls may block on the
+ * disk.
  */
 public final class SegmentedLog implements Closeable {
-    /** The largest record and the largest snapshot. */
+    /** The largest record and the largest snapshot, without header. */
     public static final int MAX_RECORD_BYTES = 8 * 1024 * 1024;
-    /** How much follows a snapshot before the next one is due, unless said otherwise. */
+    /** How much may follow a snapshot before the next one is due, by default. */
     public static final long DEFAULT_SEGMENT_BYTES = 4 * 1024 * 1024;
 
-    private static final int MOST_LEFTOVERS = 2;
-    /** Of the first file, also after a creation that failed: a file of any other number replaced one. */
-    private static final long FIRST_NUMBER = 1;
+    private static final int MAX_OBSOLETE_SEGMENTS = 2;
 
     private final Disk disk;
     private final long segmentBytes;
-    private final List<String> leftovers = new ArrayList<>();
+    private final ObsoleteSegments obsolete;
+    /** Length of the first segment if its snapshot could not be read when the log was opened, or 0. */
+    private final long unreadableFirstSegmentBytes;
+    /** Null until the first snapshot is durable. */
     private Segment current;
-    private List<byte[]> recovered = List.of();
-    private long snapshotEnd;
-    private long nextNumber = FIRST_NUMBER + 1;
-    private long nextSequence = 1;
-    /** The damaged file that reaches the highest sequence, as far as was found. */
-    private Segment damaged;
-    /** Length of the first file, where its snapshot can't be read. */
-    private long unreadableBytes;
-
-    private SegmentedLog(Disk disk, long segmentBytes) {
+
+    private List<byte[]> recoveredRecords;
+    private long snapshotEndBytes;
+    private long nextNumber;
+    private long nextSequence;
+
+    private SegmentedLog(Disk disk, long segmentBytes, LogRecovery.Result recovered) {
         this.disk = disk;
         this.segmentBytes = segmentBytes;
+        obsolete = recovered.obsolete();
+        unreadableFirstSegmentBytes = recovered.unreadableFirstSegmentBytes();
+        current = recovered.current();
+        recoveredRecords = recovered.payloads();
+        snapshotEndBytes = current == null ? 0 : SegmentRecord.HEADER_BYTES + recoveredRecords.get(0).length;
+        nextNumber = recovered.nextNumber();
+        nextSequence = recovered.nextSequence();
     }
 
     /**
-     * Opens the log of a folder; other files there are left alone.
+     * Opens the log of a disk. Other files there are left alone.
      *
      * @param segmentBytes how much may follow a snapshot until {@link #isSnapshotDue}
-     * @throws DamagedLogException where records are gone that once were synced
-     * @throws IOException if the disk can't be read or synced; opening may be tried again
+     * @throws DamagedLogException if records are lost that had been synced; opening again does not help
+     * @throws IOException if the disk cannot be read or synced; opening may be tried again
      */
     public static SegmentedLog open(Disk disk, long segmentBytes) throws IOException {
-        SegmentedLog log = new SegmentedLog(disk, segmentBytes);
-        try {
-            log.recover();
-            return log;
-        } catch (IOException e) {
-            log.close();
-            throw e;
-        }
+        return new SegmentedLog(disk, segmentBytes, LogRecovery.recover(disk));
     }
 
-    /** Whether there is no snapshot yet; then {@link #replaceWithSnapshot} has to come first. */
+    /** Returns whether there is no snapshot yet; then {@link #replaceWithSnapshot} must come before any append. */
     public boolean isEmpty() {
         return current == null;
     }
 
     /**
-     * Where there is no snapshot: requires that this comes from a creation that never ended.
+     * Requires of an empty log that it never was in use: that nothing is there but the remains of a first creation.
      *
-     * @param mostFirstBytes how long the first snapshot may be
-     * @throws DamagedLogException where a file holds more than a first snapshot, so was in use
+     * @param maxFirstSnapshotBytes how long the first snapshot of this log may be
+     * @throws DamagedLogException if the first segment is longer than that and its snapshot cannot be read
      */
-    void requireNeverUsed(long mostFirstBytes) throws DamagedLogException {
-        if (isEmpty() && unreadableBytes > Segment.HEADER_BYTES + mostFirstBytes) {
-            throw new DamagedLogException(Segment.name(FIRST_NUMBER), 0);
+    void requireNeverUsed(long maxFirstSnapshotBytes) throws DamagedLogException {
+        if (isEmpty() && unreadableFirstSegmentBytes > SegmentRecord.HEADER_BYTES + maxFirstSnapshotBytes) {
+            throw new DamagedLogException(SegmentFileName.of(LogRecovery.FIRST_NUMBER), 0);
         }
     }
 
-    /** The snapshot and the records after it, as found at opening; handed out once. */
+    /** Returns the snapshot and the records after it as found at opening, and forgets them. */
     public List<byte[]> takeRecoveredRecords() {
-        List<byte[]> taken = recovered;
-        recovered = List.of();
-        return taken;
+        List<byte[]> records = recoveredRecords;
+        recoveredRecords = List.of();
+        return records;
     }
 
-    /** Writes records behind the others. They count once {@link #sync} has returned. */
+    /**
+     * Appends records without sync.
+     *
+     * @throws IOException if one is too large or cannot be written; every record since the last sync is undone
+     * @throws IllegalStateException if the log is empty
+     */
     public void append(List<byte[]> records) throws IOException {
         if (isEmpty()) {
             throw new IllegalStateException("a log begins with a snapshot");
         }
         for (byte[] record : records) {
-            requireFit(record);
+            requireFits(record);
             current.append(nextSequence++, record);
         }
     }
 
-    /** Makes lasting what was appended. */
+    /**
+     * Makes every appended record durable.
+     *
+     * @throws IOException if that failed; every record since the last sync is undone
+     */
     public void sync() throws IOException {
         current.sync();
     }
 
-    /** Whether a snapshot is due. */
+    /** Returns whether so much follows the snapshot that a new one is due. */
     public boolean isSnapshotDue() {
-        return !isEmpty() && current.end() - snapshotEnd >= segmentBytes;
+        return !isEmpty() && current.endBytes() - snapshotEndBytes >= segmentBytes;
     }
 
-    /** Puts a snapshot in place of all records; it lasts once this has returned. */
+    /**
+     * Replaces all records with a snapshot, which is durable once this has returned.
+     *
+     * <p><b>Successor before removal.</b> The new segment and its directory entry are synced before the current one
+     * becomes obsolete. So at any moment at least one segment with a complete snapshot exists.
+     *
+     * @throws IOException if the snapshot is too large or could not be made durable; the log is as before
+     */
     public void replaceWithSnapshot(byte[] snapshot) throws IOException {
-        requireFit(snapshot);
-        removeLeftovers();
-        boolean firstIsLeft = isEmpty() && leftovers.contains(Segment.name(FIRST_NUMBER));
-        if (firstIsLeft || leftovers.size() >= MOST_LEFTOVERS) {
-            throw new IOException("old segments can't be removed");
-        }
-        long number = isEmpty() ? FIRST_NUMBER : nextNumber++;
-        Segment next;
-        try {
-            next = Segment.create(disk, number, nextSequence++, snapshot);
-        } catch (IOException e) {
-            leftovers.add(Segment.name(number));
-            removeLeftovers();
-            throw e;
-        }
+        requireFits(snapshot);
+        obsolete.removeAll();
+        requireRoomForSegment();
+        Segment next = createSegment(snapshot);
         if (current != null) {
             current.closeQuietly();
-            leftovers.add(Segment.name(current.number()));
+            obsolete.add(current.fileName());
         }
         current = next;
-        snapshotEnd = next.end();
-        removeLeftovers();
+        snapshotEndBytes = next.endBytes();
+        obsolete.removeAll();
     }
 
     @Override
@@ -146,76 +149,28 @@
         }
     }
 
-    private void recover() throws IOException {
-        for (String name : disk.listFiles()) {
-            long number = Segment.numberOf(name);
-            if (number >= 0) {
-                leftovers.add(name);
-                nextNumber = Math.max(nextNumber, number + 1);
-                consider(Segment.open(disk, number));
-            }
-        }
-        requireNothingLost();
-        if (current == null) {
-            return;
-        }
-        leftovers.remove(Segment.name(current.number()));
-        current.sync();
-        disk.syncDirectory();
-        recovered = current.takeRecords();
-        snapshotEnd = Segment.HEADER_BYTES + recovered.get(0).length;
-        removeLeftovers();
-    }
-
-    /** A file after the first one is begun only while another is intact, and that one goes only later. */
-    private void requireNothingLost() throws DamagedLogException {
-        if (damaged != null && (current == null || damaged.provenSequence() > current.lastSequence())) {
-            throw damaged.damage();
-        }
-        for (String name : leftovers) {
-            if (current == null && Segment.numberOf(name) > FIRST_NUMBER) {
-                throw new DamagedLogException(name, 0);
-            }
-        }
-    }
-
-    private void consider(Segment found) {
-        nextSequence = Math.max(nextSequence, Math.max(found.lastSequence(), found.provenSequence()) + 1);
-        if (found.provenSequence() > (damaged == null ? 0 : damaged.provenSequence())) {
-            damaged = found;
-        }
-        if (!found.isReadable() && found.number() == FIRST_NUMBER) {
-            unreadableBytes = found.size();
-        }
-        boolean better = found.isReadable() && (current == null || found.lastSequence() > current.lastSequence());
-        Segment worse = better ? current : found;
-        if (better) {
-            current = found;
-        }
-        if (worse != null) {
-            worse.closeQuietly();
+    private void requireRoomForSegment() throws IOException {
+        boolean firstFileIsInTheWay = isEmpty() && obsolete.contains(SegmentFileName.of(LogRecovery.FIRST_NUMBER));
+        if (firstFileIsInTheWay || obsolete.count() >= MAX_OBSOLETE_SEGMENTS) {
+            throw new IOException("obsolete segments cannot be removed");
         }
     }
 
-    /** A file that can't be removed now is tried again at the next compaction. */
-    private void removeLeftovers() {
-        if (leftovers.isEmpty()) {
-            return;
-        }
+    /** Creates the next segment. The first one keeps its number over failed attempts: {@link LogRecovery} relies on it. */
+    private Segment createSegment(byte[] snapshot) throws IOException {
+        long number = isEmpty() ? LogRecovery.FIRST_NUMBER : nextNumber++;
         try {
-            for (Iterator<String> names = leftovers.iterator(); names.hasNext(); ) {
-                disk.remove(names.next());
-                names.remove();
-            }
-            disk.syncDirectory();
+            return Segment.create(disk, number, nextSequence++, snapshot);
         } catch (IOException e) {
-            // What is left is harmless: its sequences are below those in force.
+            obsolete.add(SegmentFileName.of(number));
+            obsolete.removeAll();
+            throw e;
         }
     }
 
-    private static void requireFit(byte[] record) throws IOException {
+    private static void requireFits(byte[] record) throws IOException {
         if (record.length > MAX_RECORD_BYTES) {
-            throw new IOException("record of " + record.length + " bytes");
+            throw new IOException("a record of " + record.length + " bytes is too large");
         }
     }
 }
