--- a/controller/src/main/java/burlarch/controller/ControllerCore.java
+++ b/controller/src/main/java/burlarch/controller/ControllerCore.java
@@ -10,7 +10,7 @@
 import burlarch.coordination.registry.RegistrySettings;
 import burlarch.coordination.rollout.RolloutSettings;
 import burlarch.coordination.rollout.WeightsRollout;
-import burlarch.engine.EngineOrders;
+import burlarch.engine.EngineControlClient;
 import burlarch.node.Membership;
 import burlarch.node.Roles;
 import burlarch.transport.EventLoop;
@@ -39,7 +39,7 @@
      *
      * @param disk runs what touches the disk, one task after the other; may reject a task
      */
-    public record World(PeerConnections links, Executor disk, EngineOrders engines, RandomGenerator random) {}
+    public record World(PeerConnections links, Executor disk, EngineControlClient engines, RandomGenerator random) {}
 
     public ControllerCore(EventLoop loop) {
         this.loop = loop;
@@ -95,7 +95,7 @@
             QuorumWatch quorum,
             InstanceRegistry registry,
             RouterPublisher publisher,
-            EngineOrders engines) {
+            EngineControlClient engines) {
         WeightsRollout rollout = new WeightsRollout(RolloutSettings.of(settings.versionMillis()));
         WeightsDuty duty = new WeightsDuty(loop, registry, publisher, engines, rollout);
         OwnerWatch owners = new OwnerWatch(peers, controllers, settings.ownAddress());
--- a/controller/src/main/java/burlarch/controller/ControllerProgram.java
+++ b/controller/src/main/java/burlarch/controller/ControllerProgram.java
@@ -5,7 +5,7 @@
 import burlarch.controller.api.ControlService;
 import burlarch.coordination.membership.SwimSettings;
 import burlarch.engine.EngineClient;
-import burlarch.engine.EngineHttp;
+import burlarch.engine.EngineHttpClientFactory;
 import burlarch.node.Membership;
 import burlarch.node.NodeAddresses;
 import burlarch.node.NodeSettings;
@@ -120,7 +120,7 @@
         try {
             threads.start();
             scheduler.start();
-            return EngineHttp.start(threads, scheduler, new ArrayByteBufferPool());
+            return EngineHttpClientFactory.start(threads, scheduler, new ArrayByteBufferPool());
         } catch (Exception e) {
             throw new IllegalStateException("no client for engines", e);
         }
--- a/controller/src/main/java/burlarch/controller/WeightsDuty.java
+++ b/controller/src/main/java/burlarch/controller/WeightsDuty.java
@@ -8,8 +8,8 @@
 import burlarch.coordination.rollout.RolloutAction;
 import burlarch.coordination.rollout.WeightsRollout;
 import burlarch.engine.EngineAddress;
-import burlarch.engine.EngineOrders;
-import burlarch.engine.Order;
+import burlarch.engine.EngineControlClient;
+import burlarch.engine.WeightsOrder;
 import burlarch.transport.EventLoop;
 import java.util.List;
 import org.tinylog.Logger;
@@ -21,7 +21,7 @@
     private final EventLoop loop;
     private final InstanceRegistry registry;
     private final RouterPublisher publisher;
-    private final EngineOrders engines;
+    private final EngineControlClient engines;
     private final WeightsRollout rollout;
     private OwnershipKeeper ownership;
     private EventLoop.Timer timer;
@@ -30,7 +30,7 @@
             EventLoop loop,
             InstanceRegistry registry,
             RouterPublisher publisher,
-            EngineOrders engines,
+            EngineControlClient engines,
             WeightsRollout rollout) {
         this.loop = loop;
         this.registry = registry;
@@ -99,7 +99,7 @@
             loop.execute(() -> onResult(order, OrderResult.NO_RESPONSE));
             return;
         }
-        Order sent = new Order(
+        WeightsOrder sent = new WeightsOrder(
                 order.model(),
                 order.version(),
                 order.mode(),
--- a/engine-client/src/main/java/burlarch/engine/EngineClient.java
+++ b/engine-client/src/main/java/burlarch/engine/EngineClient.java
@@ -14,7 +14,7 @@
  * The calls to engines and stores that aren't requests. Failures are values of the answers: the futures don't
  * fail, and they complete on a thread of the HTTP client.
  */
-public final class EngineClient implements EngineOrders {
+public final class EngineClient implements EngineControlClient {
     /** The longest wait that a call for events may ask for. */
     public static final long MAXIMUM_WAIT_MILLIS = 1000;
 
@@ -24,7 +24,7 @@
     private static final int MAXIMUM_SMALL_BYTES = 64 << 10;
 
     private final HttpClient http;
-    private final EngineJson json = new EngineJson();
+    private final EngineJsonCodec json = new EngineJsonCodec();
 
     /** @param http started, shared with the rest of the process */
     public EngineClient(HttpClient http) {
@@ -37,7 +37,7 @@
      * @param waitMillis how long the source may hold the call while there are none, at most
      *     {@link #MAXIMUM_WAIT_MILLIS}; calls that wait less than 200 ms are priced
      */
-    public CompletableFuture<KvAnswer> kvEvents(EngineAddress target, long since, long waitMillis) {
+    public CompletableFuture<KvEventsResponse> kvEvents(EngineAddress target, long since, long waitMillis) {
         long wait = Math.max(0, Math.min(MAXIMUM_WAIT_MILLIS, waitMillis));
         Request request = request(target, "/burlarch/kv-events?since=" + since, wait);
         String waitText = Long.toString(wait);
@@ -46,7 +46,7 @@
     }
 
     /** All that the source keeps. This holds its work up and is priced. */
-    public CompletableFuture<KvAnswer> kvList(EngineAddress target) {
+    public CompletableFuture<KvEventsResponse> kvList(EngineAddress target) {
         return send(request(target, "/burlarch/kv-list", MAXIMUM_WAIT_MILLIS), new KvCall(json, MAXIMUM_LIST_BYTES));
     }
 
@@ -58,7 +58,7 @@
 
     /** Sends an order, once. */
     @Override
-    public CompletableFuture<OrderResult> order(EngineAddress target, Order order) {
+    public CompletableFuture<OrderResult> order(EngineAddress target, WeightsOrder order) {
         Request request = request(target, "/burlarch/order", 0)
                 .method("POST")
                 .body(new BytesRequestContent("application/json", json.order(order)));
@@ -75,43 +75,43 @@
         return request;
     }
 
-    private static <T> CompletableFuture<T> send(Request request, EngineCall<T> call) {
+    private static <T> CompletableFuture<T> send(Request request, EngineResponseListener<T> call) {
         request.send(call);
         return call.future();
     }
 
-    private static final class KvCall extends EngineCall<KvAnswer> {
-        private final EngineJson json;
+    private static final class KvCall extends EngineResponseListener<KvEventsResponse> {
+        private final EngineJsonCodec json;
 
-        KvCall(EngineJson json, int maximumBytes) {
+        KvCall(EngineJsonCodec json, int maximumBytes) {
             super(maximumBytes);
             this.json = json;
         }
 
         @Override
-        KvAnswer meaning(int status, byte[] body) {
+        KvEventsResponse meaning(int status, byte[] body) {
             return switch (status) {
                 case 200 -> parsed(body);
-                case 421 -> KvAnswer.failed(KvAnswer.Status.MISDIRECTED);
-                case 429 -> KvAnswer.failed(KvAnswer.Status.LIMITED);
-                case NONE -> KvAnswer.failed(KvAnswer.Status.NO_ANSWER);
-                default -> KvAnswer.failed(KvAnswer.Status.INVALID);
+                case 421 -> KvEventsResponse.failed(KvEventsResponse.Status.MISDIRECTED);
+                case 429 -> KvEventsResponse.failed(KvEventsResponse.Status.LIMITED);
+                case NONE -> KvEventsResponse.failed(KvEventsResponse.Status.NO_ANSWER);
+                default -> KvEventsResponse.failed(KvEventsResponse.Status.INVALID);
             };
         }
 
-        private KvAnswer parsed(byte[] body) {
+        private KvEventsResponse parsed(byte[] body) {
             try {
                 return json.kv(body);
             } catch (IOException e) {
-                return KvAnswer.failed(KvAnswer.Status.INVALID);
+                return KvEventsResponse.failed(KvEventsResponse.Status.INVALID);
             }
         }
     }
 
-    private static final class ReportCall extends EngineCall<Optional<EngineReport>> {
-        private final EngineJson json;
+    private static final class ReportCall extends EngineResponseListener<Optional<EngineReport>> {
+        private final EngineJsonCodec json;
 
-        ReportCall(EngineJson json) {
+        ReportCall(EngineJsonCodec json) {
             super(MAXIMUM_SMALL_BYTES);
             this.json = json;
         }
@@ -129,7 +129,7 @@
         }
     }
 
-    private static final class OrderCall extends EngineCall<OrderResult> {
+    private static final class OrderCall extends EngineResponseListener<OrderResult> {
         OrderCall() {
             super(MAXIMUM_SMALL_BYTES);
         }
--- a/engine-client/src/main/java/burlarch/engine/EngineHttp.java
+++ b/engine-client/src/main/java/burlarch/engine/EngineHttpClientFactory.java
@@ -9,12 +9,12 @@
 import org.eclipse.jetty.util.thread.Scheduler;
 
 /** Makes the HTTP client for calls to engines beside requests, from parts that the process has already. */
-public final class EngineHttp {
+public final class EngineHttpClientFactory {
     private static final long CONNECT_MILLIS = 800;
     private static final long IDLE_MILLIS = 5_000;
     private static final int CONNECTIONS_PER_ENGINE = 2;
 
-    private EngineHttp() {}
+    private EngineHttpClientFactory() {}
 
     /** A started client. */
     public static HttpClient start(Executor executor, Scheduler scheduler, ByteBufferPool buffers) throws Exception {
--- a/engine-client/src/main/java/burlarch/engine/EngineJson.java
+++ b/engine-client/src/main/java/burlarch/engine/EngineJsonCodec.java
@@ -14,14 +14,14 @@
 import java.util.List;
 
 /** Reads and writes the bodies of the engines' own calls, token by token. */
-final class EngineJson {
+final class EngineJsonCodec {
     private static final int HEX_DIGITS = 16;
 
     private final JsonFactory factory = new JsonFactory();
-    private final RecentStrings strings = new RecentStrings();
+    private final StringInterner strings = new StringInterner();
 
     /** The body of an answer to a call for events or for the list. */
-    KvAnswer kv(byte[] body) throws IOException {
+    KvEventsResponse kv(byte[] body) throws IOException {
         long epoch = 0;
         long next = 0;
         boolean lost = false;
@@ -49,7 +49,7 @@
                 throw new JsonParseException(parser, "no epoch");
             }
         }
-        return new KvAnswer(KvAnswer.Status.OK, epoch, next, lost, events);
+        return new KvEventsResponse(KvEventsResponse.Status.OK, epoch, next, lost, events);
     }
 
     private List<KvEvent> items(JsonParser parser, boolean numbered) throws IOException {
@@ -168,7 +168,7 @@
     }
 
     /** The body of an order. */
-    byte[] order(Order order) {
+    byte[] order(WeightsOrder order) {
         ByteArrayOutputStream out = new ByteArrayOutputStream(256);
         try (JsonGenerator json = factory.createGenerator(out)) {
             json.writeStartObject();
@@ -178,7 +178,7 @@
             json.writeStringField("mode", order.mode().wireName());
             json.writeStringField("holder", order.holder());
             json.writeNumberField("fence_token", order.fenceToken());
-            if (order.ifRevision() != Order.ANY_REVISION) {
+            if (order.ifRevision() != WeightsOrder.ANY_REVISION) {
                 json.writeNumberField("if_revision", order.ifRevision());
             }
             json.writeEndObject();
--- a/engine-client/src/main/java/burlarch/engine/EngineCall.java
+++ b/engine-client/src/main/java/burlarch/engine/EngineResponseListener.java
@@ -6,7 +6,7 @@
 import org.eclipse.jetty.client.Result;
 
 /** Collects the answer to one call, within a bound, and completes the call's future with what it means. */
-abstract class EngineCall<T> extends BufferingResponseListener {
+abstract class EngineResponseListener<T> extends BufferingResponseListener {
     /** The status where no whole answer came. */
     static final int NONE = 0;
     /** The status where the answer was larger than the bound. */
@@ -16,7 +16,7 @@
 
     private final CompletableFuture<T> future = new CompletableFuture<>();
 
-    EngineCall(int maximumBytes) {
+    EngineResponseListener(int maximumBytes) {
         super(maximumBytes);
     }
 
--- a/engine-client/src/main/java/burlarch/engine/LatestEvents.java
+++ b/engine-client/src/main/java/burlarch/engine/KvEventCompactor.java
@@ -12,10 +12,10 @@
  * are kept from then on, so that of several of one part the last alone counts: a part that is read or dropped
  * in pieces makes an event for each piece.
  */
-final class LatestEvents {
+final class KvEventCompactor {
     private record Part(String salt, long id) {}
 
-    private LatestEvents() {}
+    private KvEventCompactor() {}
 
     /** The last event of each part, in their order. */
     static List<KvEvent> of(List<KvEvent> events) {
--- a/engine-client/src/main/java/burlarch/engine/EventFollower.java
+++ b/engine-client/src/main/java/burlarch/engine/KvEventSubscriber.java
@@ -17,13 +17,13 @@
  * Follows the events of a changing set of engines and stores, with one call under way for each of them.
  * Which process follows which source is decided elsewhere.
  */
-public final class EventFollower implements AutoCloseable {
+public final class KvEventSubscriber implements AutoCloseable {
     /** How long a source may hold a call; longer waits cost nothing more. */
     public static final long WAIT_MILLIS = 900;
 
     private final EngineClient client;
-    private final KvReader reader;
-    private final Delays delays;
+    private final KvUpdateListener reader;
+    private final DelayedExecutor delays;
     private final LongSupplier clock;
     private final DoubleSupplier random;
     private final Map<String, Following> followed = new HashMap<>();
@@ -42,8 +42,12 @@
      * @param clock nanoseconds of a monotonic clock
      * @param random numbers from 0 (inclusive) to 1 (exclusive)
      */
-    public EventFollower(
-            EngineClient client, KvReader reader, Delays delays, LongSupplier clock, DoubleSupplier random) {
+    public KvEventSubscriber(
+            EngineClient client,
+            KvUpdateListener reader,
+            DelayedExecutor delays,
+            LongSupplier clock,
+            DoubleSupplier random) {
         this.client = client;
         this.reader = reader;
         this.delays = delays;
@@ -52,8 +56,8 @@
     }
 
     /** The whole set of sources from now on, new ones from their oldest event. */
-    public void follow(Collection<Source> sources) {
-        follow(sources, source -> null);
+    public void subscribe(Collection<Source> sources) {
+        subscribe(sources, source -> null);
     }
 
     /**
@@ -61,7 +65,7 @@
      *
      * @param positions how far a source's events are known by its name, or null where they are not
      */
-    public synchronized void follow(Collection<Source> sources, Function<String, KvPosition> positions) {
+    public synchronized void subscribe(Collection<Source> sources, Function<String, KvOffset> positions) {
         Set<Source> wanted = new HashSet<>(sources);
         for (Iterator<Following> all = followed.values().iterator(); all.hasNext(); ) {
             Following following = all.next();
@@ -81,7 +85,7 @@
     }
 
     /** Asks each source that is followed for its list soon, because others may lack what it told before. */
-    public synchronized void listSoon() {
+    public synchronized void requestSnapshotsSoon() {
         for (Following following : followed.values()) {
             following.listAsked = true;
         }
@@ -89,23 +93,23 @@
 
     @Override
     public void close() {
-        follow(Set.of());
+        subscribe(Set.of());
     }
 
     /** One source: each step begins once the one before is over, so only the flags are shared. */
-    private final class Following implements Runnable, BiConsumer<KvAnswer, Throwable> {
+    private final class Following implements Runnable, BiConsumer<KvEventsResponse, Throwable> {
         private final Source source;
         private final EngineAddress address;
-        private final SourceProgress progress;
+        private final KvSubscriptionState progress;
         private volatile boolean stopped;
         private volatile boolean listAsked;
         private long started;
         private boolean listing;
 
-        Following(Source source, KvPosition known) {
+        Following(Source source, KvOffset known) {
             this.source = source;
             this.address = new EngineAddress(source.store() ? null : source.name(), source.address());
-            this.progress = new SourceProgress(source.name(), random, clock.getAsLong());
+            this.progress = new KvSubscriptionState(source.name(), random, clock.getAsLong());
             if (known != null) {
                 progress.goOnFrom(known);
             }
@@ -122,7 +126,7 @@
                 progress.wantList(started);
             }
             listing = progress.listDue(started);
-            CompletableFuture<KvAnswer> call;
+            CompletableFuture<KvEventsResponse> call;
             try {
                 call = listing ? client.kvList(address) : client.kvEvents(address, progress.since(), WAIT_MILLIS);
             } catch (RuntimeException e) {
@@ -132,12 +136,12 @@
         }
 
         @Override
-        public void accept(KvAnswer answer, Throwable failure) {
+        public void accept(KvEventsResponse answer, Throwable failure) {
             if (stopped) {
                 return;
             }
             long now = clock.getAsLong();
-            KvAnswer known = answer != null ? answer : KvAnswer.failed(KvAnswer.Status.INVALID);
+            KvEventsResponse known = answer != null ? answer : KvEventsResponse.failed(KvEventsResponse.Status.INVALID);
             try {
                 handOn(known, now);
             } finally {
@@ -146,10 +150,10 @@
             }
         }
 
-        private void handOn(KvAnswer answer, long now) {
-            KvNews news = listing ? progress.onListed(answer, now) : progress.onPolled(answer, started, now);
+        private void handOn(KvEventsResponse answer, long now) {
+            KvUpdate news = listing ? progress.onListed(answer, now) : progress.onPolled(answer, started, now);
             if (news != null) {
-                reader.onKvNews(news);
+                reader.onUpdate(news);
             }
         }
     }
--- a/engine-client/src/main/java/burlarch/engine/KvAnswer.java
+++ b/engine-client/src/main/java/burlarch/engine/KvEventsResponse.java
@@ -10,7 +10,7 @@
  * @param lost whether events before these are missing
  * @param events what happened, or for a list what is kept; all empty unless the status is OK
  */
-public record KvAnswer(Status status, long epoch, long next, boolean lost, List<KvEvent> events) {
+public record KvEventsResponse(Status status, long epoch, long next, boolean lost, List<KvEvent> events) {
 
     /** How the call ended. */
     public enum Status {
@@ -25,7 +25,7 @@
         NO_ANSWER
     }
 
-    static KvAnswer failed(Status status) {
-        return new KvAnswer(status, 0, 0, false, List.of());
+    static KvEventsResponse failed(Status status) {
+        return new KvEventsResponse(status, 0, 0, false, List.of());
     }
 }
--- a/engine-client/src/main/java/burlarch/engine/KvPosition.java
+++ b/engine-client/src/main/java/burlarch/engine/KvOffset.java
@@ -5,4 +5,4 @@
  *
  * @param next the {@code since} from which the rest comes
  */
-public record KvPosition(long epoch, long next) {}
+public record KvOffset(long epoch, long next) {}
--- a/engine-client/src/main/java/burlarch/engine/SourceProgress.java
+++ b/engine-client/src/main/java/burlarch/engine/KvSubscriptionState.java
@@ -9,7 +9,7 @@
  * How far the events of one source are known, and what is to be asked next and when. No I/O, no clock, not
  * thread-safe; times are nanoseconds of one monotonic clock.
  */
-final class SourceProgress {
+final class KvSubscriptionState {
     /** Events gather for this long between calls, or a busy source would answer each of them with one. */
     static final long MINIMUM_INTERVAL = TimeUnit.MILLISECONDS.toNanos(250);
 
@@ -36,14 +36,14 @@
     private long listNotBefore;
 
     /** @param random numbers from 0 (inclusive) to 1 (exclusive) */
-    SourceProgress(String source, DoubleSupplier random, long now) {
+    KvSubscriptionState(String source, DoubleSupplier random, long now) {
         this.source = source;
         this.random = random;
         this.notBefore = now;
     }
 
     /** Goes on from where others have read it, rather than from the oldest event that is left. */
-    void goOnFrom(KvPosition position) {
+    void goOnFrom(KvOffset position) {
         met = true;
         epoch = position.epoch();
         since = position.next();
@@ -66,8 +66,8 @@
     }
 
     /** An answer to a call for events that began at {@code started}: what is to be handed on, or null. */
-    KvNews onPolled(KvAnswer answer, long started, long now) {
-        if (answer.status() != KvAnswer.Status.OK) {
+    KvUpdate onPolled(KvEventsResponse answer, long started, long now) {
+        if (answer.status() != KvEventsResponse.Status.OK) {
             onFailure(answer.status(), now);
             return null;
         }
@@ -83,7 +83,7 @@
             listWanted = false;
             notBefore = now;
             handedOn = 0;
-            return new KvNews(new KvEvents(source, epoch, false, List.of()), false, 0, 0);
+            return new KvUpdate(new KvEvents(source, epoch, false, List.of()), false, 0, 0);
         }
         since = answer.next();
         if (answer.lost()) {
@@ -95,15 +95,15 @@
         }
         long from = handedOn;
         handedOn = since;
-        KvEvents told = new KvEvents(source, epoch, answer.lost(), LatestEvents.of(answer.events()));
-        return new KvNews(told, false, from, since);
+        KvEvents told = new KvEvents(source, epoch, answer.lost(), KvEventCompactor.of(answer.events()));
+        return new KvUpdate(told, false, from, since);
     }
 
     /** An answer to a call for the list: what is to be handed on, or null. */
-    KvNews onListed(KvAnswer answer, long now) {
+    KvUpdate onListed(KvEventsResponse answer, long now) {
         listed = true;
         listNotBefore = now + spread(LIST_INTERVAL);
-        if (answer.status() != KvAnswer.Status.OK) {
+        if (answer.status() != KvEventsResponse.Status.OK) {
             onFailure(answer.status(), now);
             return null;
         }
@@ -114,7 +114,7 @@
         since = answer.next();
         handedOn = since;
         notBefore = now;
-        return new KvNews(new KvEvents(source, epoch, false, answer.events()), true, since, since);
+        return new KvUpdate(new KvEvents(source, epoch, false, answer.events()), true, since, since);
     }
 
     /** The list is to be asked for soon, as far as the last one is not too young. */
@@ -129,15 +129,15 @@
         }
     }
 
-    private void onFailure(KvAnswer.Status status, long now) {
-        if (status == KvAnswer.Status.LIMITED) {
+    private void onFailure(KvEventsResponse.Status status, long now) {
+        if (status == KvEventsResponse.Status.LIMITED) {
             notBefore = now + spread(LIMITED_PAUSE);
             return;
         }
-        if (status == KvAnswer.Status.INVALID) {
+        if (status == KvEventsResponse.Status.INVALID) {
             wantList(now);
         }
-        int doublings = status == KvAnswer.Status.MISDIRECTED ? MOST_DOUBLINGS : failures;
+        int doublings = status == KvEventsResponse.Status.MISDIRECTED ? MOST_DOUBLINGS : failures;
         long pause = Math.min(LONGEST_PAUSE, SHORTEST_PAUSE << doublings);
         notBefore = now + Math.min(LONGEST_PAUSE, spread(pause));
         failures = Math.min(MOST_DOUBLINGS, failures + 1);
--- a/engine-client/src/main/java/burlarch/engine/RecentStrings.java
+++ b/engine-client/src/main/java/burlarch/engine/StringInterner.java
@@ -4,7 +4,7 @@
  * Gives the same String for the same characters, so that names that come again and again are made once.
  * A fixed table without locks: a race costs at worst one more String.
  */
-final class RecentStrings {
+final class StringInterner {
     private static final int SLOTS = 256;
 
     private final String[] slots = new String[SLOTS];
--- a/engine-client/src/main/java/burlarch/engine/Order.java
+++ b/engine-client/src/main/java/burlarch/engine/WeightsOrder.java
@@ -10,6 +10,7 @@
  * @param fenceToken the ownership's fencing token
  * @param ifRevision the engine's sequence that is expected, {@link #ANY_REVISION} for none
  */
-public record Order(String model, long version, OrderMode mode, String holder, long fenceToken, long ifRevision) {
+public record WeightsOrder(
+        String model, long version, OrderMode mode, String holder, long fenceToken, long ifRevision) {
     public static final long ANY_REVISION = -1;
 }
--- a/router/src/main/java/burlarch/router/Attempt.java
+++ b/router/src/main/java/burlarch/router/Attempt.java
@@ -12,7 +12,7 @@
 import org.eclipse.jetty.util.thread.Invocable;
 
 /** One send of a request to one server. All is done in turn with the other events of its exchange. */
-final class Attempt implements RelayListener {
+final class Attempt implements UpstreamListener {
     private final Exchange exchange;
     private final RouteRequest request;
     private final Placement.Send send;
@@ -20,7 +20,7 @@
     private final boolean takesUp;
 
     private final Callback passed;
-    private RelayCall call;
+    private UpstreamCall call;
     private boolean over;
     private SendState state = SendState.NOT_SENT;
     /** What a rejection is to the planner; null without one. */
@@ -71,8 +71,8 @@
         return load;
     }
 
-    void begin(RelayClient client, ByteBuffer[] message, boolean headMethod) {
-        call = new RelayCall(send.instance().address(), message, headMethod, this);
+    void begin(UpstreamClient client, ByteBuffer[] message, boolean headMethod) {
+        call = new UpstreamCall(send.instance().address(), message, headMethod, this);
         client.send(call);
     }
 
@@ -123,7 +123,7 @@
         if (over) {
             return;
         }
-        load = RequestHints.load(fields.get(Headers.SERVER_LOAD));
+        load = HintHeaders.load(fields.get(Headers.SERVER_LOAD));
         if (!request.id().equals(Headers.single(fields, Headers.REQUEST_ID))) {
             breakOff("answer to another request");
             return;
@@ -179,7 +179,7 @@
             call.proceed();
             return;
         }
-        StreamRelay relay = exchange.relay(isEventStream(status, head));
+        EventStreamAssembler relay = exchange.relay(isEventStream(status, head));
         if (relay != null) {
             relayEvents(relay, content);
         } else if (left == content.remaining()) {
@@ -197,7 +197,7 @@
         call.proceed();
     }
 
-    private void relayEvents(StreamRelay relay, ByteBuffer content) {
+    private void relayEvents(EventStreamAssembler relay, ByteBuffer content) {
         ByteBuffer whole = relay.accept(content);
         exchange.learnVersion(send, relay.takeVersion());
         if (whole.hasRemaining()) {
@@ -234,7 +234,7 @@
             return;
         }
         passHead();
-        StreamRelay relay = exchange.relay(false);
+        EventStreamAssembler relay = exchange.relay(false);
         if (relay != null && relay.hasRest()) {
             complete = true;
             exchange.answer().write(relay.rest(), passed);
--- a/router/src/main/java/burlarch/router/Chunks.java
+++ b/router/src/main/java/burlarch/router/ChunkedFraming.java
@@ -4,10 +4,10 @@
 import java.nio.charset.StandardCharsets;
 
 /** The chunked framing of bodies. */
-final class Chunks {
+final class ChunkedFraming {
     private static final byte[] LAST = "0\r\n\r\n".getBytes(StandardCharsets.US_ASCII);
 
-    private Chunks() {}
+    private ChunkedFraming() {}
 
     /** A whole chunk around the content, its line end included; the content is consumed. */
     static ByteBuffer frame(ByteBuffer content) {
--- a/router/src/main/java/burlarch/router/FrontConnectionFactory.java
+++ b/router/src/main/java/burlarch/router/ClientConnectionFactory.java
@@ -10,12 +10,12 @@
 import org.eclipse.jetty.server.internal.HttpConnection;
 
 /**
- * Makes connections that leave the framing of chunks to {@link ClientAnswer}, and take no request for whole
+ * Makes connections that leave the framing of chunks to {@link ClientResponse}, and take no request for whole
  * that its client's end has cut. Jetty's own framing sends the line end behind a chunk with the next one
  * only: a client that waits for it would see each event too late.
  */
-final class FrontConnectionFactory extends HttpConnectionFactory {
-    FrontConnectionFactory(HttpConfiguration configuration) {
+final class ClientConnectionFactory extends HttpConnectionFactory {
+    ClientConnectionFactory(HttpConfiguration configuration) {
         super(configuration);
     }
 
--- a/router/src/main/java/burlarch/router/DisconnectWatch.java
+++ b/router/src/main/java/burlarch/router/ClientDisconnectWatcher.java
@@ -12,14 +12,14 @@
  * Notices that a client closes its connection while its request is being handled, when nobody else reads.
  * Bytes of a next request are handed to the connection, which takes them up after the answer.
  */
-final class DisconnectWatch implements Callback {
+final class ClientDisconnectWatcher implements Callback {
     private static final int BYTES = 4096;
 
     private final EndPoint endPoint;
     private final Runnable onGone;
     private boolean active;
 
-    DisconnectWatch(EndPoint endPoint, Runnable onGone) {
+    ClientDisconnectWatcher(EndPoint endPoint, Runnable onGone) {
         this.endPoint = endPoint;
         this.onGone = onGone;
     }
--- a/router/src/main/java/burlarch/router/FrontHandler.java
+++ b/router/src/main/java/burlarch/router/ClientRequestHandler.java
@@ -9,14 +9,14 @@
 import org.eclipse.jetty.util.Callback;
 
 /** Takes the requests of clients, and at the other address the platform's question whether to send any. */
-final class FrontHandler extends Handler.Abstract.NonBlocking {
+final class ClientRequestHandler extends Handler.Abstract.NonBlocking {
     private static final String READY_PATH = "/burlarch/readyz";
 
-    private final RouterContext context;
+    private final ForwardingContext context;
     private final BooleanSupplier ready;
     private Connector readiness;
 
-    FrontHandler(RouterContext context, BooleanSupplier ready) {
+    ClientRequestHandler(ForwardingContext context, BooleanSupplier ready) {
         this.context = context;
         this.ready = ready;
     }
@@ -32,7 +32,7 @@
             response.write(true, BufferUtil.EMPTY_BUFFER, callback);
             return true;
         }
-        new Exchange(context, request, new ClientAnswer(request, response, callback, context)).start();
+        new Exchange(context, request, new ClientResponse(request, response, callback, context)).start();
         return true;
     }
 
--- a/router/src/main/java/burlarch/router/ClientAnswer.java
+++ b/router/src/main/java/burlarch/router/ClientResponse.java
@@ -13,17 +13,17 @@
 import org.eclipse.jetty.util.Callback;
 
 /** The answer to one request of a client: a server's, passed on, or one of the router's own. Ends once. */
-final class ClientAnswer {
+final class ClientResponse {
     private final Request request;
     private final Response response;
     private final Callback callback;
-    private final RouterContext context;
+    private final ForwardingContext context;
     private final EndPoint endPoint;
-    private DisconnectWatch watch;
+    private ClientDisconnectWatcher watch;
     private boolean chunked;
     private boolean ended;
 
-    ClientAnswer(Request request, Response response, Callback callback, RouterContext context) {
+    ClientResponse(Request request, Response response, Callback callback, ForwardingContext context) {
         this.request = request;
         this.response = response;
         this.callback = callback;
@@ -34,7 +34,7 @@
 
     /** Tells when the client closes its connection before the answer is over. */
     void watch(Runnable onGone) {
-        watch = new DisconnectWatch(endPoint, onGone);
+        watch = new ClientDisconnectWatcher(endPoint, onGone);
         watch.start();
     }
 
@@ -44,7 +44,7 @@
      * @return whether the client is still there
      */
     boolean watchAfterWait(Runnable onGone) {
-        watch = new DisconnectWatch(endPoint, onGone);
+        watch = new ClientDisconnectWatcher(endPoint, onGone);
         return !watch.startAfterLook();
     }
 
@@ -73,13 +73,13 @@
 
     /** Passes bytes on at once; they are in use until {@code written} is told. */
     void write(ByteBuffer content, Callback written) {
-        response.write(false, chunked ? Chunks.frame(content) : content, written);
+        response.write(false, chunked ? ChunkedFraming.frame(content) : content, written);
     }
 
     /** Ends an answer as whole; {@code tail} is the last of a body of told length. */
     void finish(ByteBuffer tail) {
         if (end()) {
-            response.write(true, chunked ? Chunks.last() : tail, written());
+            response.write(true, chunked ? ChunkedFraming.last() : tail, written());
         }
     }
 
--- a/router/src/main/java/burlarch/router/HeldConfiguration.java
+++ b/router/src/main/java/burlarch/router/ConfigurationInForce.java
@@ -10,16 +10,16 @@
  *
  * @param version 0 while there is none
  */
-record HeldConfiguration(long version, byte[] document) {
-    static final HeldConfiguration NONE = new HeldConfiguration(0, DocumentDelta.NO_BASE);
+record ConfigurationInForce(long version, byte[] document) {
+    static final ConfigurationInForce NONE = new ConfigurationInForce(0, DocumentDelta.NO_BASE);
 
     /**
      * What a change makes of it.
      *
      * @throws DeltaMismatch where the change builds on another document, or yields another one than was meant
      */
-    HeldConfiguration changed(ConfigurationChange change) throws DeltaMismatch {
+    ConfigurationInForce changed(ConfigurationChange change) throws DeltaMismatch {
         byte[] base = change.isCompleteDocument() ? DocumentDelta.NO_BASE : document;
-        return new HeldConfiguration(change.version(), DocumentDelta.apply(base, change.delta()));
+        return new ConfigurationInForce(change.version(), DocumentDelta.apply(base, change.delta()));
     }
 }
--- a/router/src/main/java/burlarch/router/ControllerLinks.java
+++ b/router/src/main/java/burlarch/router/ControllerLinks.java
@@ -35,23 +35,23 @@
     static final int MOST_CONTROLLERS = 32;
 
     /** Puts into effect what controllers tell; each call returns once it is in effect. */
-    public interface Effects {
+    public interface UpdateHandler {
         /** @return whether the configuration could be read and is in force */
         boolean onConfiguration(long version, byte[] json);
 
         void onInstances(MergedInstanceView views);
 
         /** Controllers tell how many routers are connected with them. */
-        void onRouters(int live);
+        void onRouterCount(int live);
 
         /** A controller is out of reach; what was sent to it last may be lost. */
         void onControllerLost();
 
         /** What another router read of kept parts. */
-        void onKeptParts(byte[] batch);
+        void onPrefixCacheBatch(byte[] batch);
     }
 
-    private final Effects effects;
+    private final UpdateHandler effects;
     private final MergedInstanceView views = new MergedInstanceView();
     private final Map<PeerConnection, Integer> routersSeen = new HashMap<>();
     /** Addresses, those that were told of or lost last at the end. */
@@ -61,22 +61,22 @@
     /** Connections on which the whole configuration was asked for and has not come yet. */
     private final Set<PeerConnection> awaitingWhole = new HashSet<>();
 
-    private HeldConfiguration held = HeldConfiguration.NONE;
+    private ConfigurationInForce held = ConfigurationInForce.NONE;
     /** What is in effect; null until a controller has told. */
     private List<Instance> instances;
 
-    public ControllerLinks(Effects effects) {
+    public ControllerLinks(UpdateHandler effects) {
         this.effects = effects;
     }
 
     /** Connects to the first controllers; to be called once, before any connection is up. */
     public void start(PeerConnections ownTransport, Collection<String> seeds) {
         transport = ownTransport;
-        learn(seeds);
+        addControllers(seeds);
     }
 
     /** Connects to those that were not known. */
-    public void learn(Collection<String> addresses) {
+    public void addControllers(Collection<String> addresses) {
         for (String address : addresses) {
             if (!moveToEnd(address) && makeRoom(addresses)) {
                 controllers.add(address);
@@ -146,7 +146,7 @@
     @Override
     public void onMessage(PeerConnection connection, NodeMessage message) {
         if (message instanceof ConfigurationUpdate update) {
-            onConfiguration(connection, new HeldConfiguration(update.version(), update.json()));
+            onConfiguration(connection, new ConfigurationInForce(update.version(), update.json()));
         } else if (message instanceof ConfigurationChange change) {
             onConfigurationChange(connection, change);
         } else if (message instanceof InstancesUpdate update) {
@@ -154,11 +154,11 @@
             onViews();
             connection.send(new InstancesAck(update.revision()));
         } else if (message instanceof FleetUpdate update) {
-            learn(update.controllers());
+            addControllers(update.controllers());
             routersSeen.put(connection, update.routers());
             tellRouters();
         } else if (message instanceof PrefixCacheEvents parts) {
-            effects.onKeptParts(parts.batch());
+            effects.onPrefixCacheBatch(parts.batch());
         }
     }
 
@@ -200,7 +200,7 @@
         }
     }
 
-    private void onConfiguration(PeerConnection connection, HeldConfiguration newer) {
+    private void onConfiguration(PeerConnection connection, ConfigurationInForce newer) {
         if (newer.version() > held.version()) {
             if (!effects.onConfiguration(newer.version(), newer.document())) {
                 return;
@@ -230,6 +230,6 @@
         for (int seen : routersSeen.values()) {
             most = Math.max(most, seen);
         }
-        effects.onRouters(most);
+        effects.onRouterCount(most);
     }
 }
--- a/router/src/main/java/burlarch/router/Drain.java
+++ b/router/src/main/java/burlarch/router/Drain.java
@@ -9,7 +9,7 @@
 final class Drain {
     private static final long POLL_MILLIS = 20;
 
-    private final OpenRequests requests;
+    private final InFlightRequests requests;
     private final ServerConnector front;
     private final Scheduler scheduler;
     private final DrainSchedule schedule;
@@ -17,12 +17,12 @@
     private final CompletableFuture<Void> done = new CompletableFuture<>();
 
     /** A drain that begins now. */
-    Drain(OpenRequests requests, ServerConnector front, Scheduler scheduler, DrainSchedule schedule) {
+    Drain(InFlightRequests requests, ServerConnector front, Scheduler scheduler, DrainSchedule schedule) {
         this.requests = requests;
         this.front = front;
         this.scheduler = scheduler;
         this.schedule = schedule;
-        scheduler.schedule(this::awaitRequests, schedule.refuseAt(), TimeUnit.MILLISECONDS);
+        scheduler.schedule(this::awaitRequests, schedule.rejectAtMillis(), TimeUnit.MILLISECONDS);
     }
 
     /** Done when no request is open, or when the time for them is over. */
--- a/router/src/main/java/burlarch/router/DrainSchedule.java
+++ b/router/src/main/java/burlarch/router/DrainSchedule.java
@@ -6,11 +6,11 @@
  * could outlast it, and ends what still runs. All times are milliseconds since the signal. No I/O and no
  * clock.
  *
- * @param closeConnectionsAt from here on each answer is the last of its connection
- * @param refuseAt from here on only requests are accepted whose own time is over before {@code endAt}
- * @param endAt what still runs is ended here, and the process with it
+ * @param closeConnectionsAtMillis from here on each answer is the last of its connection
+ * @param rejectAtMillis from here on only requests are accepted whose own time is over before {@code endAtMillis}
+ * @param endAtMillis what still runs is ended here, and the process with it
  */
-record DrainSchedule(long closeConnectionsAt, long refuseAt, long endAt) {
+record DrainSchedule(long closeConnectionsAtMillis, long rejectAtMillis, long endAtMillis) {
     /**
      * The load balancer asks each second whether this router is ready and takes it out at the second refusal.
      * A connection closed before the first question would mostly be opened again right here.
@@ -42,7 +42,7 @@
 
     /** Whether an answer that begins now is to be the last of its connection. */
     boolean closesConnections(long elapsedMillis) {
-        return elapsedMillis >= closeConnectionsAt;
+        return elapsedMillis >= closeConnectionsAtMillis;
     }
 
     /**
@@ -51,11 +51,11 @@
      * @param remainingMillis until its own deadline, when it ends in any case
      */
     boolean accepts(long elapsedMillis, long remainingMillis) {
-        return elapsedMillis < refuseAt || elapsedMillis + remainingMillis <= endAt - WRITE_MILLIS;
+        return elapsedMillis < rejectAtMillis || elapsedMillis + remainingMillis <= endAtMillis - WRITE_MILLIS;
     }
 
     /** Whether what still runs is to be ended. */
     boolean isOver(long elapsedMillis) {
-        return elapsedMillis >= endAt;
+        return elapsedMillis >= endAtMillis;
     }
 }
--- a/router/src/main/java/burlarch/router/BareErrors.java
+++ b/router/src/main/java/burlarch/router/EmptyErrorHandler.java
@@ -8,7 +8,7 @@
 import org.eclipse.jetty.util.Callback;
 
 /** Answers what is no proper request with its status alone, as the last answer of the connection. */
-final class BareErrors implements Request.Handler {
+final class EmptyErrorHandler implements Request.Handler {
     @Override
     public boolean handle(Request request, Response response, Callback callback) {
         HttpFields.Mutable headers = response.getHeaders();
--- a/router/src/main/java/burlarch/router/StreamRelay.java
+++ b/router/src/main/java/burlarch/router/EventStreamAssembler.java
@@ -7,7 +7,7 @@
  * Lets whole events of a stream through and holds parts of events back, so that a stream that breaks off can
  * go on with another run's events in the same answer. No I/O and no clock.
  */
-final class StreamRelay {
+final class EventStreamAssembler {
     /** An event larger than this is none that a server sends. */
     static final int MOST_EVENT_BYTES = 1 << 20;
 
--- a/router/src/main/java/burlarch/router/Exchange.java
+++ b/router/src/main/java/burlarch/router/Exchange.java
@@ -21,7 +21,7 @@
  * One request of a client, from its head to the end of its answer: which attempts it gets and what the client
  * is told. Its events run in turn, on whatever thread brings them.
  */
-final class Exchange implements BodyReader.Taker {
+final class Exchange implements RequestBodyReader.Taker {
     /** An answer at the deadline leaves this much earlier, so as to arrive. */
     private static final long DEADLINE_MARGIN_NANOS = 5_000_000;
     /** Retry-After, in seconds, where this router can't take a request for the moment. */
@@ -29,9 +29,9 @@
     /** Retry-After, in seconds, where another router can take the request at once. */
     private static final String ELSEWHERE = "0.02";
 
-    private final RouterContext context;
+    private final ForwardingContext context;
     private final Request request;
-    private final ClientAnswer answer;
+    private final ClientResponse answer;
     private final SerializedInvoker serial = new SerializedInvoker() {
         @Override
         protected void onError(Runnable event, Throwable failure) {
@@ -43,15 +43,15 @@
 
     private ByteBuffer body;
     private RouteRequest routed;
-    private RequestHead head;
+    private ForwardedRequestHead head;
     private Scheduler.Task deadline;
     private Attempt attempt;
-    private StreamRelay relay;
+    private EventStreamAssembler relay;
     private int attempts;
     private RequestProgress progress;
     private boolean over;
 
-    Exchange(RouterContext context, Request request, ClientAnswer answer) {
+    Exchange(ForwardingContext context, Request request, ClientResponse answer) {
         this.context = context;
         this.request = request;
         this.answer = answer;
@@ -61,7 +61,7 @@
         serial.run(event);
     }
 
-    ClientAnswer answer() {
+    ClientResponse answer() {
         return answer;
     }
 
@@ -96,7 +96,7 @@
             onTooLarge();
             return;
         }
-        new BodyReader(request, most, this).run();
+        new RequestBodyReader(request, most, this).run();
     }
 
     @Override
@@ -139,7 +139,8 @@
             end(503, ELSEWHERE, true);
             return;
         }
-        head = new RequestHead(request.getMethod(), request.getHttpURI().getPathQuery(), request.getHeaders());
+        head = new ForwardedRequestHead(
+                request.getMethod(), request.getHttpURI().getPathQuery(), request.getHeaders());
         if (!watchClient()) {
             clientGone();
             return;
@@ -188,9 +189,9 @@
     }
 
     /** What holds parts of events back; null unless the answer is a stream of events that may be resumed. */
-    StreamRelay relay(boolean isEventStream) {
+    EventStreamAssembler relay(boolean isEventStream) {
         if (relay == null && isEventStream && Repeats.isResumable(routed.route())) {
-            relay = new StreamRelay();
+            relay = new EventStreamAssembler();
         }
         return relay;
     }
--- a/router/src/main/java/burlarch/router/RequestHead.java
+++ b/router/src/main/java/burlarch/router/ForwardedRequestHead.java
@@ -10,7 +10,7 @@
 import org.eclipse.jetty.http.HttpHeader;
 
 /** The head of a request as it goes on: target and headers as the client sent them, and the router's. */
-final class RequestHead {
+final class ForwardedRequestHead {
     private static final String LINE_END = "\r\n";
 
     private final String method;
@@ -19,7 +19,7 @@
     private final Set<String> named;
     private final boolean hasBody;
 
-    RequestHead(String method, String target, HttpFields fields) {
+    ForwardedRequestHead(String method, String target, HttpFields fields) {
         this.method = method;
         this.target = target;
         this.fields = fields;
--- a/router/src/main/java/burlarch/router/RouterContext.java
+++ b/router/src/main/java/burlarch/router/ForwardingContext.java
@@ -5,32 +5,32 @@
 import org.eclipse.jetty.util.thread.Scheduler;
 
 /** What the exchanges of one router share. */
-final class RouterContext {
+final class ForwardingContext {
     /** Most bytes that the bodies of all open requests take together. */
     private static final long MOST_BODY_BYTES = 16L << 20;
 
-    private final PlannerGate gate;
-    private final RelayClient client;
+    private final SynchronizedPlanner gate;
+    private final UpstreamClient client;
     private final Scheduler scheduler;
     private final BodyBudget bodies = new BodyBudget(MOST_BODY_BYTES);
     private final FailureLog failures = new FailureLog();
-    private final StartHold startHold;
-    private final OpenRequests openRequests = new OpenRequests();
+    private final StartupGate startHold;
+    private final InFlightRequests openRequests = new InFlightRequests();
     private volatile RouteTable table;
     private volatile Drain drain;
 
-    RouterContext(PlannerGate gate, RelayClient client, Scheduler scheduler) {
+    ForwardingContext(SynchronizedPlanner gate, UpstreamClient client, Scheduler scheduler) {
         this.gate = gate;
         this.client = client;
         this.scheduler = scheduler;
-        this.startHold = new StartHold(scheduler);
+        this.startHold = new StartupGate(scheduler);
     }
 
-    PlannerGate gate() {
+    SynchronizedPlanner gate() {
         return gate;
     }
 
-    RelayClient client() {
+    UpstreamClient client() {
         return client;
     }
 
@@ -47,7 +47,7 @@
     }
 
     /** What requests pass before they are read. */
-    StartHold startHold() {
+    StartupGate startHold() {
         return startHold;
     }
 
@@ -61,7 +61,7 @@
     }
 
     /** Open requests of clients. */
-    OpenRequests openRequests() {
+    InFlightRequests openRequests() {
         return openRequests;
     }
 
--- a/router/src/main/java/burlarch/router/RequestHints.java
+++ b/router/src/main/java/burlarch/router/HintHeaders.java
@@ -6,11 +6,11 @@
 import java.util.List;
 
 /** Reads the headers that tell of a prompt or a load. What is malformed counts as not told. */
-final class RequestHints {
+final class HintHeaders {
     /** No prompt has more parts than fit the largest head; this bounds what a hostile one makes us keep. */
     private static final int MOST_PARTS = 4096;
 
-    private RequestHints() {}
+    private HintHeaders() {}
 
     /** Tokens of the prompt and most tokens out, {0, 0} if not told. */
     static int[] tokenUsage(String value) {
--- a/router/src/main/java/burlarch/router/OpenRequests.java
+++ b/router/src/main/java/burlarch/router/InFlightRequests.java
@@ -10,7 +10,7 @@
  * The connections of clients on which a request is open: from its head until the last byte of its answer is
  * written. One connection carries one request at a time, so that the set is bounded by the connections.
  */
-final class OpenRequests {
+final class InFlightRequests {
     private final Set<EndPoint> open = new HashSet<>();
 
     /** A request's head has come. */
--- a/router/src/main/java/burlarch/router/InputBuffers.java
+++ b/router/src/main/java/burlarch/router/InputBufferPool.java
@@ -5,7 +5,7 @@
 import org.eclipse.jetty.util.BufferUtil;
 
 /** A few buffers for answers, kept for use by the next. One not given back is left to the collector. */
-final class InputBuffers {
+final class InputBufferPool {
     private static final int BYTES = 8192;
     private static final int MOST_KEPT = 64;
 
--- a/router/src/main/java/burlarch/router/Intake.java
+++ b/router/src/main/java/burlarch/router/Intake.java
@@ -33,7 +33,7 @@
         if (tenant == null && table.requiresKey() && !route.isPublic()) {
             return new Intake(401, null);
         }
-        int[] usage = RequestHints.tokenUsage(fields.get("X-Token-Usage"));
+        int[] usage = HintHeaders.tokenUsage(fields.get("X-Token-Usage"));
         long wait = Math.min(Headers.number(fields.get(Headers.DEADLINE), LONGEST_MILLIS), route.timeoutMillis());
         return new Intake(
                 0,
@@ -44,7 +44,7 @@
                         fields.get("X-Model"),
                         usage[0],
                         usage[1],
-                        RequestHints.parts(fields.get("X-Prefix-Hash")),
+                        HintHeaders.parts(fields.get("X-Prefix-Hash")),
                         fields.contains(Headers.LAST_EVENT_ID),
                         receivedNanos,
                         receivedNanos + wait * 1_000_000));
--- a/router/src/main/java/burlarch/router/KeepAlive.java
+++ b/router/src/main/java/burlarch/router/KeepAliveTimeout.java
@@ -8,17 +8,17 @@
  *
  * @param restMillis 0 where it must not be used again
  */
-record KeepAlive(long restMillis) {
+record KeepAliveTimeout(long restMillis) {
     /** A server that tells no time has less than a whole second. */
-    static final KeepAlive UNTOLD = new KeepAlive(300);
+    static final KeepAliveTimeout UNTOLD = new KeepAliveTimeout(300);
 
-    private static final KeepAlive NONE = new KeepAlive(0);
+    private static final KeepAliveTimeout NONE = new KeepAliveTimeout(0);
     private static final long LEAST_MILLIS = 500;
     private static final long MARGIN_MILLIS = 1000;
     private static final long MOST_SECONDS = 3600;
 
     /** What an answer's head says. */
-    static KeepAlive of(HttpFields fields) {
+    static KeepAliveTimeout of(HttpFields fields) {
         if (Headers.namedByConnection(fields).contains("close")) {
             return NONE;
         }
@@ -26,7 +26,9 @@
             String text = parameter.toLowerCase(Locale.ROOT);
             if (text.startsWith("timeout=")) {
                 long seconds = Math.min(MOST_SECONDS, Headers.number(text.substring("timeout=".length()), 0));
-                return seconds == 0 ? UNTOLD : new KeepAlive(Math.max(LEAST_MILLIS, seconds * 1000 - MARGIN_MILLIS));
+                return seconds == 0
+                        ? UNTOLD
+                        : new KeepAliveTimeout(Math.max(LEAST_MILLIS, seconds * 1000 - MARGIN_MILLIS));
             }
         }
         return UNTOLD;
--- a/router/src/main/java/burlarch/router/StrictEndPoint.java
+++ b/router/src/main/java/burlarch/router/OrderlyCloseEndPoint.java
@@ -13,11 +13,11 @@
  * An end point that tells an orderly end of input from all others. Jetty's own takes a reset, and a close
  * from this side, for an end of input, which would complete an answer that ends with its connection.
  */
-final class StrictEndPoint extends SocketChannelEndPoint {
+final class OrderlyCloseEndPoint extends SocketChannelEndPoint {
     /** Whether the peer has ended its side of the connection in order. */
     private volatile boolean ended;
 
-    StrictEndPoint(SocketChannel channel, ManagedSelector selector, SelectionKey key, Scheduler scheduler) {
+    OrderlyCloseEndPoint(SocketChannel channel, ManagedSelector selector, SelectionKey key, Scheduler scheduler) {
         super(channel, selector, key, scheduler);
     }
 
--- a/router/src/main/java/burlarch/router/KeptRelay.java
+++ b/router/src/main/java/burlarch/router/PrefixCacheEventPublisher.java
@@ -1,9 +1,9 @@
 package burlarch.router;
 
-import burlarch.engine.KvNews;
-import burlarch.engine.KvReader;
-import burlarch.router.prefixcache.BatchCodec;
-import burlarch.router.prefixcache.BatchCodec.GarbledBatch;
+import burlarch.engine.KvUpdate;
+import burlarch.engine.KvUpdateListener;
+import burlarch.router.prefixcache.KvUpdateBatchCodec;
+import burlarch.router.prefixcache.KvUpdateBatchCodec.MalformedBatchException;
 import burlarch.router.prefixcache.OutgoingBatch;
 import burlarch.transport.NodeMessage.PrefixCacheEvents;
 import burlarch.transport.PeerConnection;
@@ -17,14 +17,14 @@
  * Takes in what this router read of kept parts and what others did, and passes on the former through one
  * controller where the others do not read it themselves.
  */
-final class KeptRelay implements KvReader {
+final class PrefixCacheEventPublisher implements KvUpdateListener {
     private final SelectorEventLoop loop;
-    private final IndexFeed feed;
+    private final PrefixIndexUpdater feed;
     private final OutgoingBatch batch = new OutgoingBatch();
     private volatile Predicate<String> shared = source -> false;
     private Supplier<PeerConnection> controller = () -> null;
 
-    KeptRelay(SelectorEventLoop loop, IndexFeed feed) {
+    PrefixCacheEventPublisher(SelectorEventLoop loop, PrefixIndexUpdater feed) {
         this.loop = loop;
         this.feed = feed;
     }
@@ -41,18 +41,18 @@
     }
 
     @Override
-    public void onKvNews(KvNews news) {
-        if (feed.takeIn(news) && shared.test(news.kept().source())) {
+    public void onUpdate(KvUpdate news) {
+        if (feed.takeIn(news) && shared.test(news.events().source())) {
             loop.execute(() -> passOn(news));
         }
     }
 
     /** Another router's batch came. */
     void onBatch(byte[] bytes) {
-        List<KvNews> told;
+        List<KvUpdate> told;
         try {
-            told = BatchCodec.decode(bytes);
-        } catch (GarbledBatch e) {
+            told = KvUpdateBatchCodec.decode(bytes);
+        } catch (MalformedBatchException e) {
             Logger.warn("kept parts that cannot be read: {}", e.getMessage());
             return;
         }
@@ -61,7 +61,7 @@
         }
     }
 
-    private void passOn(KvNews news) {
+    private void passOn(KvUpdate news) {
         boolean first = batch.add(news);
         if (batch.isFull()) {
             send();
@@ -71,10 +71,10 @@
     }
 
     private void send() {
-        List<KvNews> waiting = batch.take();
+        List<KvUpdate> waiting = batch.take();
         PeerConnection through = waiting.isEmpty() ? null : controller.get();
         if (through != null) {
-            through.send(new PrefixCacheEvents(BatchCodec.encode(waiting)));
+            through.send(new PrefixCacheEvents(KvUpdateBatchCodec.encode(waiting)));
         }
     }
 }
--- a/router/src/main/java/burlarch/router/IndexFeed.java
+++ b/router/src/main/java/burlarch/router/PrefixIndexUpdater.java
@@ -1,42 +1,42 @@
 package burlarch.router;
 
-import burlarch.engine.KvNews;
-import burlarch.engine.KvPosition;
-import burlarch.router.prefixcache.SourcePositions;
+import burlarch.engine.KvOffset;
+import burlarch.engine.KvUpdate;
+import burlarch.router.prefixcache.SourceOffsets;
 import burlarch.routing.Planner;
 import java.util.Set;
 
 /** Hands what engines and stores tell of kept parts to the planner, under its lock; nothing twice. */
-final class IndexFeed {
+final class PrefixIndexUpdater {
     private final Planner planner;
     private final Object lock;
-    private final SourcePositions positions = new SourcePositions();
+    private final SourceOffsets positions = new SourceOffsets();
 
-    IndexFeed(Planner planner, Object lock) {
+    PrefixIndexUpdater(Planner planner, Object lock) {
         this.planner = planner;
         this.lock = lock;
     }
 
     /** @return whether it was new here */
-    boolean takeIn(KvNews news) {
+    boolean takeIn(KvUpdate news) {
         synchronized (lock) {
-            KvNews fresh = positions.accept(news);
+            KvUpdate fresh = positions.accept(news);
             if (fresh == null) {
                 return false;
             }
-            if (fresh.list()) {
-                planner.onKvList(fresh.kept(), System.nanoTime());
+            if (fresh.snapshot()) {
+                planner.onKvList(fresh.events(), System.nanoTime());
             } else {
-                planner.onKvEvents(fresh.kept(), System.nanoTime());
+                planner.onKvEvents(fresh.events(), System.nanoTime());
             }
             return true;
         }
     }
 
     /** How far the source is known, or null where it is not. */
-    KvPosition position(String source) {
+    KvOffset position(String source) {
         synchronized (lock) {
-            return positions.of(source);
+            return positions.offsetOf(source);
         }
     }
 
--- a/router/src/main/java/burlarch/router/BodyReader.java
+++ b/router/src/main/java/burlarch/router/RequestBodyReader.java
@@ -7,7 +7,7 @@
 import org.eclipse.jetty.util.thread.Invocable;
 
 /** Reads a request's body whole, as it comes, up to a bound. */
-final class BodyReader implements Invocable.Task {
+final class RequestBodyReader implements Invocable.Task {
     private static final int FIRST_BYTES = 1024;
 
     /** Told once how it went. */
@@ -27,7 +27,7 @@
     private final Taker taker;
     private ByteArrayOutputStream bytes;
 
-    BodyReader(Request request, int mostBytes, Taker taker) {
+    RequestBodyReader(Request request, int mostBytes, Taker taker) {
         this.request = request;
         this.mostBytes = mostBytes;
         this.taker = taker;
--- a/router/src/main/java/burlarch/router/AnswerParser.java
+++ b/router/src/main/java/burlarch/router/ResponseParser.java
@@ -10,7 +10,7 @@
 import org.eclipse.jetty.http.HttpVersion;
 
 /** Parses the answers of one connection, one after another. Used by one thread at a time. */
-final class AnswerParser implements HttpParser.ResponseHandler {
+final class ResponseParser implements HttpParser.ResponseHandler {
     private static final int MOST_HEAD_BYTES = 16384;
     private static final int FIRST_FINAL_STATUS = 200;
 
@@ -27,9 +27,9 @@
     private ByteBuffer content;
     private boolean complete;
     private Throwable broken;
-    private KeepAlive keepAlive = KeepAlive.UNTOLD;
+    private KeepAliveTimeout keepAlive = KeepAliveTimeout.UNTOLD;
 
-    AnswerParser(HeadTaker heads) {
+    ResponseParser(HeadTaker heads) {
         this.heads = heads;
     }
 
@@ -73,7 +73,7 @@
     }
 
     /** What the last answer said of its connection. */
-    KeepAlive keepAlive() {
+    KeepAliveTimeout keepAlive() {
         return keepAlive;
     }
 
@@ -94,7 +94,7 @@
     @Override
     public boolean headerComplete() {
         if (status >= FIRST_FINAL_STATUS && broken == null) {
-            keepAlive = KeepAlive.of(fields);
+            keepAlive = KeepAliveTimeout.of(fields);
             heads.onHead(status, fields, Math.max(-1, parser.getContentLength()));
         }
         return false;
--- a/router/src/main/java/burlarch/router/FleetSize.java
+++ b/router/src/main/java/burlarch/router/RouterCountMonitor.java
@@ -8,11 +8,11 @@
 import java.util.function.IntConsumer;
 
 /** Passes on how many routers there are whenever that changes. Lives on the loop. */
-final class FleetSize implements Membership.Listener {
+final class RouterCountMonitor implements Membership.Listener {
     private static final long PERIOD_NANOS = 500_000_000;
 
     private final SelectorEventLoop loop;
-    private final RouterCount count;
+    private final RouterCountTracker count;
     private final IntConsumer sharersChanged;
     private final IntConsumer liveChanged;
     private BooleanSupplier inContact = () -> false;
@@ -23,7 +23,8 @@
      * @param sharersChanged takes the number by which budgets are divided
      * @param liveChanged takes the number of those that live
      */
-    FleetSize(SelectorEventLoop loop, RouterCount count, IntConsumer sharersChanged, IntConsumer liveChanged) {
+    RouterCountMonitor(
+            SelectorEventLoop loop, RouterCountTracker count, IntConsumer sharersChanged, IntConsumer liveChanged) {
         this.loop = loop;
         this.count = count;
         this.sharersChanged = sharersChanged;
--- a/router/src/main/java/burlarch/router/RouterCount.java
+++ b/router/src/main/java/burlarch/router/RouterCountTracker.java
@@ -12,7 +12,7 @@
  * How many routers share a budget or a task, by what membership and controllers tell. Without I/O or clock:
  * times are nanoseconds of one steady clock.
  */
-final class RouterCount {
+final class RouterCountTracker {
     private final BudgetSettings settings;
     private final RouterCountEstimate estimate;
     private final Set<Long> others = new HashSet<>();
@@ -21,7 +21,7 @@
     private long firstContact;
 
     /** @param firstStart whether the whole fleet starts for the first time */
-    RouterCount(BudgetSettings settings, boolean firstStart, long now) {
+    RouterCountTracker(BudgetSettings settings, boolean firstStart, long now) {
         this.settings = settings;
         estimate = new RouterCountEstimate(settings, firstStart, now);
     }
--- a/router/src/main/java/burlarch/router/RouterProgram.java
+++ b/router/src/main/java/burlarch/router/RouterProgram.java
@@ -8,7 +8,7 @@
 import burlarch.coordination.membership.SwimSettings;
 import burlarch.coordination.registry.MergedInstanceView;
 import burlarch.engine.EngineClient;
-import burlarch.engine.EventFollower;
+import burlarch.engine.KvEventSubscriber;
 import burlarch.node.Membership;
 import burlarch.node.NodeAddresses;
 import burlarch.node.NodeBounds;
@@ -48,18 +48,18 @@
                 IndexedRouteTable::of);
         server.start();
         SelectorEventLoop loop = new SelectorEventLoop("node");
-        IndexFeed feed = new IndexFeed(planner, lock);
-        KeptRelay relay = new KeptRelay(loop, feed);
-        EventFollower follower = new EventFollower(
+        PrefixIndexUpdater feed = new PrefixIndexUpdater(planner, lock);
+        PrefixCacheEventPublisher relay = new PrefixCacheEventPublisher(loop, feed);
+        KvEventSubscriber follower = new KvEventSubscriber(
                 new EngineClient(server.newEngineHttp()),
                 relay,
                 server.delays(),
                 System::nanoTime,
                 () -> ThreadLocalRandom.current().nextDouble());
-        FollowedSources sources = new FollowedSources(settings.nodeName(), follower, feed);
-        FleetSize size = new FleetSize(
+        SourceSubscriptions sources = new SourceSubscriptions(settings.nodeName(), follower, feed);
+        RouterCountMonitor size = new RouterCountMonitor(
                 loop,
-                new RouterCount(
+                new RouterCountTracker(
                         BudgetSettings.forWindow(settings.bounds().budgetWindowNanos()),
                         settings.bootstrap(),
                         loop.nanoTime()),
@@ -68,7 +68,7 @@
         ControllerLinks links = new ControllerLinks(new InForce(planner, lock, server, sources, size, relay));
         Membership membership = join(settings, loop, links, size, sources);
         loop.execute(() -> relay.start(sources::isShared, () -> links.relayFor(settings.nodeName(), settings.zone())));
-        SettingsWatch.start(newer -> loop.execute(() -> links.learn(NodeAddresses.seeds(newer))));
+        SettingsWatch.start(newer -> loop.execute(() -> links.addControllers(NodeAddresses.seeds(newer))));
         Shutdown.onSignal(() -> {
             server.drain().join();
             membership.leaveInTime();
@@ -81,8 +81,8 @@
             NodeSettings settings,
             SelectorEventLoop loop,
             ControllerLinks links,
-            FleetSize size,
-            FollowedSources sources)
+            RouterCountMonitor size,
+            SourceSubscriptions sources)
             throws IOException {
         String address = NodeAddresses.own(settings);
         List<String> seeds = NodeAddresses.seeds(settings);
@@ -105,7 +105,7 @@
             size.start(links::reachesMostControllers);
             membership.addListener(size);
             membership.addListener(changes -> sources.onMembers(membership.members()));
-            membership.addListener(changes -> links.learn(Membership.appeared(changes, Roles.CONTROLLER)));
+            membership.addListener(changes -> links.addControllers(Membership.appeared(changes, Roles.CONTROLLER)));
             membership.start();
         });
         return membership;
@@ -129,14 +129,14 @@
     }
 
     /** Puts into force what controllers tell. */
-    private static final class InForce implements ControllerLinks.Effects {
+    private static final class InForce implements ControllerLinks.UpdateHandler {
         private final Planner planner;
         private final Object lock;
         private final RouterServer server;
-        private final FollowedSources sources;
-        private final FleetSize size;
-        private final Opening opening;
-        private final KeptRelay relay;
+        private final SourceSubscriptions sources;
+        private final RouterCountMonitor size;
+        private final StartupGateOpener opening;
+        private final PrefixCacheEventPublisher relay;
         private Configuration configuration;
         private MergedInstanceView instances;
 
@@ -144,16 +144,16 @@
                 Planner planner,
                 Object lock,
                 RouterServer server,
-                FollowedSources sources,
-                FleetSize size,
-                KeptRelay relay) {
+                SourceSubscriptions sources,
+                RouterCountMonitor size,
+                PrefixCacheEventPublisher relay) {
             this.relay = relay;
             this.sources = sources;
             this.size = size;
             this.planner = planner;
             this.lock = lock;
             this.server = server;
-            this.opening = new Opening(server.delays(), server::open);
+            this.opening = new StartupGateOpener(server.delays(), server::open);
         }
 
         @Override
@@ -182,7 +182,7 @@
         }
 
         @Override
-        public void onRouters(int live) {
+        public void onRouterCount(int live) {
             size.onTold(live);
         }
 
@@ -192,7 +192,7 @@
         }
 
         @Override
-        public void onKeptParts(byte[] batch) {
+        public void onPrefixCacheBatch(byte[] batch) {
             relay.onBatch(batch);
         }
 
--- a/router/src/main/java/burlarch/router/RouterServer.java
+++ b/router/src/main/java/burlarch/router/RouterServer.java
@@ -3,8 +3,8 @@
 import burlarch.configuration.Configuration;
 import burlarch.configuration.Configuration.Limits;
 import burlarch.configuration.RouteTable;
-import burlarch.engine.Delays;
-import burlarch.engine.EngineHttp;
+import burlarch.engine.DelayedExecutor;
+import burlarch.engine.EngineHttpClientFactory;
 import burlarch.routing.Planner;
 import java.net.InetSocketAddress;
 import java.util.concurrent.CompletableFuture;
@@ -42,12 +42,12 @@
 
     private final RouterServerSettings settings;
     private final Function<Configuration, RouteTable> tables;
-    private final PlannerGate gate;
+    private final SynchronizedPlanner gate;
     private final Scheduler scheduler = new ScheduledExecutorScheduler("router-timer", true);
     private final Server server;
-    private final RelayClient client;
-    private final RouterContext context;
-    private final FrontHandler handler;
+    private final UpstreamClient client;
+    private final ForwardingContext context;
+    private final ClientRequestHandler handler;
     private final HttpConfiguration http = httpConfiguration();
     private ServerConnector front;
     private ServerConnector readiness;
@@ -66,7 +66,7 @@
             Function<Configuration, RouteTable> tables) {
         this.settings = settings;
         this.tables = tables;
-        this.gate = new PlannerGate(planner, plannerLock);
+        this.gate = new SynchronizedPlanner(planner, plannerLock);
         QueuedThreadPool threads = new QueuedThreadPool(MOST_THREADS, LEAST_THREADS);
         threads.setName("router");
         threads.setReservedThreads(0);
@@ -75,9 +75,9 @@
                 threads,
                 scheduler,
                 new ArrayByteBufferPool(0, POOL_FACTOR, POOL_LARGEST, POOL_BUCKET, POOL_BYTES, POOL_BYTES));
-        this.client = new RelayClient(threads, scheduler, settings.connectTimeoutMillis());
-        this.context = new RouterContext(gate, client, scheduler);
-        this.handler = new FrontHandler(context, () -> ready && !draining);
+        this.client = new UpstreamClient(threads, scheduler, settings.connectTimeoutMillis());
+        this.context = new ForwardingContext(gate, client, scheduler);
+        this.handler = new ClientRequestHandler(context, () -> ready && !draining);
     }
 
     private static HttpConfiguration httpConfiguration() {
@@ -98,7 +98,7 @@
         handler.readinessAt(readiness);
         server.addBean(new ConnectionLimit(MOST_CLIENTS, front));
         server.setHandler(handler);
-        server.setErrorHandler(new BareErrors());
+        server.setErrorHandler(new EmptyErrorHandler());
         server.setStopAtShutdown(false);
         server.start();
         client.start();
@@ -106,7 +106,7 @@
 
     private ServerConnector connector(InetSocketAddress address) {
         ServerConnector connector =
-                new ServerConnector(server, null, null, null, 0, 1, new FrontConnectionFactory(http));
+                new ServerConnector(server, null, null, null, 0, 1, new ClientConnectionFactory(http));
         connector.setHost(address.getAddress().getHostAddress());
         connector.setPort(address.getPort());
         connector.setIdleTimeout(USUAL_IDLE_MILLIS);
@@ -119,11 +119,11 @@
      * started.
      */
     public HttpClient newEngineHttp() throws Exception {
-        return EngineHttp.start(server.getThreadPool(), scheduler, server.getByteBufferPool());
+        return EngineHttpClientFactory.start(server.getThreadPool(), scheduler, server.getByteBufferPool());
     }
 
     /** Runs tasks later on this server's timer. */
-    public Delays delays() {
+    public DelayedExecutor delays() {
         return (task, delayMillis) -> scheduler.schedule(task, delayMillis, TimeUnit.MILLISECONDS);
     }
 
--- a/router/src/main/java/burlarch/router/ServiceCover.java
+++ b/router/src/main/java/burlarch/router/ServiceAvailability.java
@@ -8,8 +8,8 @@
 import java.util.Set;
 
 /** Whether each service has been heard of. After a start of all controllers instances come in one by one. */
-final class ServiceCover {
-    private ServiceCover() {}
+final class ServiceAvailability {
+    private ServiceAvailability() {}
 
     /** Whether there is an instance of each service that takes requests. */
     static boolean isWhole(Configuration configuration, Collection<Instance> instances) {
--- a/router/src/main/java/burlarch/router/FollowedSources.java
+++ b/router/src/main/java/burlarch/router/SourceSubscriptions.java
@@ -4,10 +4,10 @@
 import burlarch.configuration.Configuration.Service;
 import burlarch.coordination.membership.MemberInfo;
 import burlarch.coordination.registry.Instance;
-import burlarch.engine.EventFollower;
-import burlarch.engine.EventFollower.Source;
+import burlarch.engine.KvEventSubscriber;
+import burlarch.engine.KvEventSubscriber.Source;
 import burlarch.node.Roles;
-import burlarch.router.prefixcache.SourceOwners;
+import burlarch.router.prefixcache.SourceAssignment;
 import java.util.ArrayList;
 import java.util.Collection;
 import java.util.HashMap;
@@ -16,11 +16,11 @@
 import java.util.Map;
 import java.util.Set;
 
-/** Which engines and stores this router follows, as {@link SourceOwners} says. Lives on the loop. */
-final class FollowedSources {
+/** Which engines and stores this router follows, as {@link SourceAssignment} says. Lives on the loop. */
+final class SourceSubscriptions {
     private final String nodeName;
-    private final EventFollower follower;
-    private final IndexFeed feed;
+    private final KvEventSubscriber follower;
+    private final PrefixIndexUpdater feed;
     private Configuration configuration;
     private Collection<Instance> instances = List.of();
     /** How many calls each source holds at once. */
@@ -30,7 +30,7 @@
     private Set<String> others = Set.of();
     private volatile Set<String> shared = Set.of();
 
-    FollowedSources(String nodeName, EventFollower follower, IndexFeed feed) {
+    SourceSubscriptions(String nodeName, KvEventSubscriber follower, PrefixIndexUpdater feed) {
         this.nodeName = nodeName;
         this.follower = follower;
         this.feed = feed;
@@ -74,7 +74,7 @@
     /** Another router is new, or news that was under way to others may be lost: lists make up for it. */
     void onOthersBehind() {
         if (!shared.isEmpty()) {
-            follower.listSoon();
+            follower.requestSnapshotsSoon();
         }
     }
 
@@ -116,7 +116,7 @@
     }
 
     private void follow() {
-        SourceOwners owners = new SourceOwners(nodeName, routers, others);
+        SourceAssignment owners = new SourceAssignment(nodeName, routers, others);
         List<Source> own = new ArrayList<>();
         Set<String> sharedNow = new HashSet<>();
         Set<String> known = new HashSet<>();
@@ -125,12 +125,12 @@
             if (owners.isShared(held)) {
                 sharedNow.add(source.name());
             }
-            if (owners.reads(source.name(), held)) {
+            if (owners.isReader(source.name(), held)) {
                 own.add(source);
             }
         });
         shared = sharedNow;
         feed.retain(known);
-        follower.follow(own, feed::position);
+        follower.subscribe(own, feed::position);
     }
 }
--- a/router/src/main/java/burlarch/router/StartHold.java
+++ b/router/src/main/java/burlarch/router/StartupGate.java
@@ -10,7 +10,7 @@
  * Requests that came to a router that does not know yet where they go. They wait for that: a refusal would
  * use up a try of the client for what a moment brings. Opens once and for good. Bounded by {@link #MOST}.
  */
-final class StartHold {
+final class StartupGate {
     /** Requests beyond this number do not wait. */
     static final int MOST = 512;
     /** Clients look for another router where one has not read a request for a second. */
@@ -20,7 +20,7 @@
     private final Set<Runnable> waiting = new LinkedHashSet<>();
     private boolean open;
 
-    StartHold(Scheduler scheduler) {
+    StartupGate(Scheduler scheduler) {
         this.scheduler = scheduler;
     }
 
--- a/router/src/main/java/burlarch/router/Opening.java
+++ b/router/src/main/java/burlarch/router/StartupGateOpener.java
@@ -2,7 +2,7 @@
 
 import burlarch.configuration.Configuration;
 import burlarch.coordination.registry.Instance;
-import burlarch.engine.Delays;
+import burlarch.engine.DelayedExecutor;
 import java.util.Collection;
 
 /**
@@ -10,18 +10,18 @@
  * all controllers instances come in one by one, and all that waits would crowd at the first of them. Told by
  * one thread; the delays may run on another.
  */
-final class Opening {
+final class StartupGateOpener {
     /** With no further instance for so long those that announce themselves often have done so. */
     static final long QUIET_MILLIS = 200;
     /** A service of which nothing is heard for this long has no instances. */
     static final long MOST_CLOSED_MILLIS = 1500;
 
-    private final Delays delays;
+    private final DelayedExecutor delays;
     private final Runnable open;
     private volatile int known = -1;
 
     /** @param open called at least once, perhaps again */
-    Opening(Delays delays, Runnable open) {
+    StartupGateOpener(DelayedExecutor delays, Runnable open) {
         this.delays = delays;
         this.open = open;
     }
@@ -35,7 +35,7 @@
         }
         if (now > before) {
             known = now;
-            if (ServiceCover.isWhole(configuration, instances)) {
+            if (ServiceAvailability.isWhole(configuration, instances)) {
                 delays.schedule(() -> openIfStill(now), QUIET_MILLIS);
             }
         }
--- a/router/src/main/java/burlarch/router/PlannerGate.java
+++ b/router/src/main/java/burlarch/router/SynchronizedPlanner.java
@@ -8,11 +8,11 @@
 import burlarch.routing.ServerLoad;
 
 /** Calls the planner under the lock that all its callers share. */
-final class PlannerGate {
+final class SynchronizedPlanner {
     private final Planner planner;
     private final Object lock;
 
-    PlannerGate(Planner planner, Object lock) {
+    SynchronizedPlanner(Planner planner, Object lock) {
         this.planner = planner;
         this.lock = lock;
     }
--- a/router/src/main/java/burlarch/router/RelayCall.java
+++ b/router/src/main/java/burlarch/router/UpstreamCall.java
@@ -3,15 +3,15 @@
 import java.nio.ByteBuffer;
 
 /** One request on its way to a server. Can be cancelled at any time, also while the connection comes up. */
-final class RelayCall {
+final class UpstreamCall {
     private final String address;
     private final ByteBuffer[] message;
     private final boolean headMethod;
-    private final RelayListener listener;
-    private RelayConnection connection;
+    private final UpstreamListener listener;
+    private UpstreamConnection connection;
     private boolean over;
 
-    RelayCall(String address, ByteBuffer[] message, boolean headMethod, RelayListener listener) {
+    UpstreamCall(String address, ByteBuffer[] message, boolean headMethod, UpstreamListener listener) {
         this.address = address;
         this.message = message;
         this.headMethod = headMethod;
@@ -50,12 +50,12 @@
         return headMethod;
     }
 
-    RelayListener listener() {
+    UpstreamListener listener() {
         return listener;
     }
 
     /** A connection begins to write it; false where it was cancelled before. */
-    synchronized boolean begin(RelayConnection taker) {
+    synchronized boolean begin(UpstreamConnection taker) {
         if (over) {
             return false;
         }
@@ -79,7 +79,7 @@
 
     /** Ends it without a word to the listener; the connection closes. Returns how much of it may be out. */
     SendState cancel() {
-        RelayConnection used;
+        UpstreamConnection used;
         synchronized (this) {
             over = true;
             used = connection;
@@ -93,7 +93,7 @@
 
     /** The content given last is done with: read on. */
     void proceed() {
-        RelayConnection used;
+        UpstreamConnection used;
         synchronized (this) {
             used = connection;
         }
--- a/router/src/main/java/burlarch/router/RelayClient.java
+++ b/router/src/main/java/burlarch/router/UpstreamClient.java
@@ -16,17 +16,17 @@
 import org.eclipse.jetty.util.thread.Scheduler;
 
 /** Sends requests to servers, over resting connections where there are any. */
-final class RelayClient {
+final class UpstreamClient {
     private static final long SWEEP_MILLIS = 250;
 
-    private final RelayPool pool;
+    private final UpstreamConnectionPool pool;
     private final Scheduler scheduler;
-    private final InputBuffers buffers = new InputBuffers();
+    private final InputBufferPool buffers = new InputBufferPool();
     private final Selector selector;
     private volatile boolean stopped;
 
-    RelayClient(Executor executor, Scheduler scheduler, long connectTimeoutMillis) {
-        this.pool = new RelayPool(executor);
+    UpstreamClient(Executor executor, Scheduler scheduler, long connectTimeoutMillis) {
+        this.pool = new UpstreamConnectionPool(executor);
         this.scheduler = scheduler;
         this.selector = new Selector(executor, scheduler);
         selector.setConnectTimeout(connectTimeoutMillis);
@@ -55,8 +55,8 @@
     }
 
     /** Sends a call. Its listener may hear of it before this returns. */
-    void send(RelayCall call) {
-        RelayConnection resting = pool.take(call.address(), System.nanoTime());
+    void send(UpstreamCall call) {
+        UpstreamConnection resting = pool.take(call.address(), System.nanoTime());
         while (resting != null) {
             if (resting.send(call)) {
                 return;
@@ -66,7 +66,7 @@
         connect(call);
     }
 
-    private void connect(RelayCall call) {
+    private void connect(UpstreamCall call) {
         SocketChannel channel = null;
         try {
             InetSocketAddress address = parse(call.address());
@@ -102,21 +102,21 @@
 
         @Override
         protected EndPoint newEndPoint(SelectableChannel channel, ManagedSelector managed, SelectionKey key) {
-            EndPoint endPoint = new StrictEndPoint((SocketChannel) channel, managed, key, getScheduler());
+            EndPoint endPoint = new OrderlyCloseEndPoint((SocketChannel) channel, managed, key, getScheduler());
             endPoint.setIdleTimeout(0);
             return endPoint;
         }
 
         @Override
         public Connection newConnection(SelectableChannel channel, EndPoint endPoint, Object attachment) {
-            return new RelayConnection(endPoint, pool, ((RelayCall) attachment).address(), buffers);
+            return new UpstreamConnection(endPoint, pool, ((UpstreamCall) attachment).address(), buffers);
         }
 
         @Override
         public void connectionOpened(Connection connection, Object attachment) {
             super.connectionOpened(connection, attachment);
-            RelayCall call = (RelayCall) attachment;
-            RelayConnection opened = (RelayConnection) connection;
+            UpstreamCall call = (UpstreamCall) attachment;
+            UpstreamConnection opened = (UpstreamConnection) connection;
             if (!opened.send(call)) {
                 call.failUnsent(new IOException("closed before use"));
             }
@@ -125,12 +125,12 @@
         @Override
         protected void connectionFailed(SelectableChannel channel, Throwable failure, Object attachment) {
             super.connectionFailed(channel, failure, attachment);
-            ((RelayCall) attachment).failUnsent(failure);
+            ((UpstreamCall) attachment).failUnsent(failure);
         }
 
         @Override
         protected void onAcceptFailed(SelectableChannel channel, Throwable failure, Object attachment) {
-            ((RelayCall) attachment).failUnsent(failure);
+            ((UpstreamCall) attachment).failUnsent(failure);
         }
     }
 }
--- a/router/src/main/java/burlarch/router/RelayConnection.java
+++ b/router/src/main/java/burlarch/router/UpstreamConnection.java
@@ -13,7 +13,7 @@
  * One connection to a server. It carries one request at a time, never sends one twice, and is used again only
  * after a whole answer with nothing behind it.
  */
-final class RelayConnection extends AbstractConnection {
+final class UpstreamConnection extends AbstractConnection {
     /** FLUSHED: the answer was there before the word that the last byte of the request is out. */
     private enum State {
         IDLE,
@@ -22,20 +22,20 @@
         CLOSED
     }
 
-    private final RelayPool pool;
+    private final UpstreamConnectionPool pool;
     private final String address;
-    private final InputBuffers buffers;
-    private final AnswerParser parser = new AnswerParser(this::onHead);
+    private final InputBufferPool buffers;
+    private final ResponseParser parser = new ResponseParser(this::onHead);
     private final Callback fillable =
             Callback.from(Invocable.InvocationType.NON_BLOCKING, this::onFillable, this::fail);
     /** Guards state, call and written. The parser belongs to whoever reads for the present call. */
     private State state = State.IDLE;
 
-    private RelayCall call;
+    private UpstreamCall call;
     private boolean written;
     private ByteBuffer input;
 
-    RelayConnection(EndPoint endPoint, RelayPool pool, String address, InputBuffers buffers) {
+    UpstreamConnection(EndPoint endPoint, UpstreamConnectionPool pool, String address, InputBufferPool buffers) {
         super(endPoint, pool.executor());
         this.pool = pool;
         this.address = address;
@@ -46,7 +46,7 @@
         return address;
     }
 
-    KeepAlive keepAlive() {
+    KeepAliveTimeout keepAlive() {
         return parser.keepAlive();
     }
 
@@ -57,7 +57,7 @@
     }
 
     /** Takes a call if nothing has come in since the last; else closes and returns false, nothing sent. */
-    boolean send(RelayCall next) {
+    boolean send(UpstreamCall next) {
         boolean news;
         boolean begun;
         synchronized (this) {
@@ -104,7 +104,7 @@
         }
     }
 
-    private synchronized RelayCall call() {
+    private synchronized UpstreamCall call() {
         return state == State.BUSY ? call : null;
     }
 
@@ -124,7 +124,7 @@
     }
 
     /** The call's owner has given it up. */
-    void abandon(RelayCall owner) {
+    void abandon(UpstreamCall owner) {
         synchronized (this) {
             if (call != owner || state != State.BUSY) {
                 return;
@@ -154,7 +154,7 @@
         read();
     }
 
-    void proceed(RelayCall owner) {
+    void proceed(UpstreamCall owner) {
         if (call() != owner) {
             return;
         }
@@ -170,7 +170,7 @@
                     input = buffers.take();
                 }
                 parser.parse(input);
-                RelayCall reading = call();
+                UpstreamCall reading = call();
                 if (reading == null) {
                     releaseInput();
                     return;
@@ -219,7 +219,7 @@
 
     /** A whole answer has come: the connection goes back to the pool before the taker hears of it. */
     private void finish() {
-        RelayCall ended;
+        UpstreamCall ended;
         State next;
         synchronized (this) {
             ended = call;
@@ -260,7 +260,7 @@
     }
 
     private void onHead(int status, HttpFields fields, long length) {
-        RelayCall reading = call();
+        UpstreamCall reading = call();
         if (reading != null) {
             reading.listener().onHead(status, fields, length);
         }
@@ -273,7 +273,7 @@
 
     /** @param known how much of the request is out; null where only what was told of its write is known */
     private void fail(SendState known, Throwable cause) {
-        RelayCall ended;
+        UpstreamCall ended;
         SendState sent;
         synchronized (this) {
             ended = state == State.BUSY ? call : null;
@@ -289,7 +289,7 @@
     }
 
     /** The last byte of a request is out. */
-    private void sent(RelayCall sent) {
+    private void sent(UpstreamCall sent) {
         synchronized (this) {
             if (call != sent) {
                 return;
@@ -304,7 +304,7 @@
         rest();
     }
 
-    private void notSent(RelayCall sent, Throwable cause) {
+    private void notSent(UpstreamCall sent, Throwable cause) {
         synchronized (this) {
             if (call != sent) {
                 return;
--- a/router/src/main/java/burlarch/router/RelayPool.java
+++ b/router/src/main/java/burlarch/router/UpstreamConnectionPool.java
@@ -9,17 +9,17 @@
 import java.util.concurrent.Executor;
 
 /** Connections at rest, by address. The one used last goes first, so that the others run out of time. */
-final class RelayPool {
+final class UpstreamConnectionPool {
     /** More connections than this do not rest at one address. */
     private static final int MOST_AT_REST = 256;
 
-    private record Resting(RelayConnection connection, long untilNanos) {}
+    private record Resting(UpstreamConnection connection, long untilNanos) {}
 
     private final Executor executor;
     private final Map<String, ArrayDeque<Resting>> byAddress = new HashMap<>();
     private boolean closed;
 
-    RelayPool(Executor executor) {
+    UpstreamConnectionPool(Executor executor) {
         this.executor = executor;
     }
 
@@ -28,14 +28,14 @@
     }
 
     /** A connection that may still be used, or null. */
-    RelayConnection take(String address, long nowNanos) {
-        List<RelayConnection> expired = new ArrayList<>(0);
-        RelayConnection taken = take(address, nowNanos, expired);
-        expired.forEach(RelayConnection::closeIfIdle);
+    UpstreamConnection take(String address, long nowNanos) {
+        List<UpstreamConnection> expired = new ArrayList<>(0);
+        UpstreamConnection taken = take(address, nowNanos, expired);
+        expired.forEach(UpstreamConnection::closeIfIdle);
         return taken;
     }
 
-    private synchronized RelayConnection take(String address, long nowNanos, List<RelayConnection> expired) {
+    private synchronized UpstreamConnection take(String address, long nowNanos, List<UpstreamConnection> expired) {
         ArrayDeque<Resting> stack = byAddress.get(address);
         while (stack != null && !stack.isEmpty()) {
             Resting resting = stack.pop();
@@ -47,7 +47,7 @@
         return null;
     }
 
-    void resting(RelayConnection connection) {
+    void resting(UpstreamConnection connection) {
         long until = System.nanoTime() + connection.keepAlive().restMillis() * 1_000_000;
         synchronized (this) {
             ArrayDeque<Resting> stack = byAddress.computeIfAbsent(connection.address(), a -> new ArrayDeque<>());
@@ -59,7 +59,7 @@
         connection.closeIfIdle();
     }
 
-    synchronized void closed(RelayConnection connection) {
+    synchronized void closed(UpstreamConnection connection) {
         ArrayDeque<Resting> stack = byAddress.get(connection.address());
         if (stack != null) {
             stack.removeIf(resting -> resting.connection() == connection);
@@ -68,11 +68,11 @@
 
     /** Closes what has rested for too long. */
     void sweep(long nowNanos) {
-        removeExpired(nowNanos).forEach(RelayConnection::closeIfIdle);
+        removeExpired(nowNanos).forEach(UpstreamConnection::closeIfIdle);
     }
 
-    private synchronized List<RelayConnection> removeExpired(long nowNanos) {
-        List<RelayConnection> expired = new ArrayList<>(0);
+    private synchronized List<UpstreamConnection> removeExpired(long nowNanos) {
+        List<UpstreamConnection> expired = new ArrayList<>(0);
         for (Iterator<ArrayDeque<Resting>> all = byAddress.values().iterator(); all.hasNext(); ) {
             ArrayDeque<Resting> stack = all.next();
             for (Iterator<Resting> each = stack.iterator(); each.hasNext(); ) {
@@ -91,12 +91,12 @@
 
     /** Closes all that rest, and from now on each that comes to rest. */
     void close() {
-        List<RelayConnection> all = new ArrayList<>();
+        List<UpstreamConnection> all = new ArrayList<>();
         synchronized (this) {
             closed = true;
             byAddress.values().forEach(stack -> stack.forEach(resting -> all.add(resting.connection())));
             byAddress.clear();
         }
-        all.forEach(RelayConnection::closeIfIdle);
+        all.forEach(UpstreamConnection::closeIfIdle);
     }
 }
--- a/router/src/main/java/burlarch/router/RelayListener.java
+++ b/router/src/main/java/burlarch/router/UpstreamListener.java
@@ -4,11 +4,11 @@
 import org.eclipse.jetty.http.HttpFields;
 
 /** Takes one answer. Calls come one after another; exactly one of the last two ends them. */
-interface RelayListener {
+interface UpstreamListener {
     /** The head of a final answer. {@code length} of the body, -1 where it comes in chunks. */
     void onHead(int status, HttpFields fields, long length);
 
-    /** Bytes of the body, valid until {@link RelayCall#proceed} is called; none come before that. */
+    /** Bytes of the body, valid until {@link UpstreamCall#proceed} is called; none come before that. */
     void onContent(ByteBuffer content);
 
     /** The whole answer has come. */
--- a/router/src/main/java/burlarch/router/prefixcache/BatchCodec.java
+++ b/router/src/main/java/burlarch/router/prefixcache/KvUpdateBatchCodec.java
@@ -2,7 +2,7 @@
 
 import static java.nio.charset.StandardCharsets.UTF_8;
 
-import burlarch.engine.KvNews;
+import burlarch.engine.KvUpdate;
 import burlarch.routing.KvEvents;
 import burlarch.routing.KvEvents.KvEvent;
 import java.io.ByteArrayOutputStream;
@@ -17,7 +17,7 @@
  * parts have four bytes where these suffice and eight otherwise. The model of an event is left out: the salt
  * names it.
  */
-public final class BatchCodec {
+public final class KvUpdateBatchCodec {
     private static final int VERSION = 1;
     private static final int LIST = 1;
     private static final int LOST = 2;
@@ -26,44 +26,44 @@
     private static final int FLAG_BITS = 2;
     private static final int MOST_TEXT_BYTES = 1_024;
 
-    private BatchCodec() {}
+    private KvUpdateBatchCodec() {}
 
     /** Bytes that are no batch of this version. */
-    public static final class GarbledBatch extends Exception {
+    public static final class MalformedBatchException extends Exception {
         private static final long serialVersionUID = 1;
 
-        GarbledBatch(String message) {
+        MalformedBatchException(String message) {
             super(message);
         }
     }
 
     /** The bytes of a batch, in the format that {@link #decode} reads. */
-    public static byte[] encode(List<KvNews> batch) {
+    public static byte[] encode(List<KvUpdate> batch) {
         Map<String, Integer> salts = salts(batch);
         Output out = new Output();
         out.write(VERSION);
         out.number(salts.size());
         salts.keySet().forEach(out::text);
         out.number(batch.size());
-        for (KvNews news : batch) {
+        for (KvUpdate news : batch) {
             encode(news, salts, out);
         }
         return out.toByteArray();
     }
 
-    private static Map<String, Integer> salts(List<KvNews> batch) {
+    private static Map<String, Integer> salts(List<KvUpdate> batch) {
         Map<String, Integer> salts = new LinkedHashMap<>();
-        for (KvNews news : batch) {
-            for (KvEvent event : news.kept().events()) {
+        for (KvUpdate news : batch) {
+            for (KvEvent event : news.events().events()) {
                 salts.putIfAbsent(event.salt(), salts.size());
             }
         }
         return salts;
     }
 
-    private static void encode(KvNews news, Map<String, Integer> salts, Output out) {
-        KvEvents kept = news.kept();
-        out.write((news.list() ? LIST : 0) | (kept.lost() ? LOST : 0));
+    private static void encode(KvUpdate news, Map<String, Integer> salts, Output out) {
+        KvEvents kept = news.events();
+        out.write((news.snapshot() ? LIST : 0) | (kept.lost() ? LOST : 0));
         out.text(kept.source());
         out.number(kept.epoch());
         out.number(news.since());
@@ -79,18 +79,18 @@
     }
 
     /** Reads what {@link #encode} made. */
-    public static List<KvNews> decode(byte[] bytes) throws GarbledBatch {
+    public static List<KvUpdate> decode(byte[] bytes) throws MalformedBatchException {
         Input in = new Input(bytes);
         try {
             return decode(in);
         } catch (IndexOutOfBoundsException e) {
-            throw new GarbledBatch("cut off after " + bytes.length + " bytes");
+            throw new MalformedBatchException("cut off after " + bytes.length + " bytes");
         }
     }
 
-    private static List<KvNews> decode(Input in) throws GarbledBatch {
+    private static List<KvUpdate> decode(Input in) throws MalformedBatchException {
         if (in.next() != VERSION) {
-            throw new GarbledBatch("another version");
+            throw new MalformedBatchException("another version");
         }
         int count = in.count();
         String[] salts = new String[count];
@@ -98,14 +98,14 @@
             salts[i] = in.text();
         }
         int pieces = in.count();
-        List<KvNews> batch = new ArrayList<>(pieces);
+        List<KvUpdate> batch = new ArrayList<>(pieces);
         for (int i = 0; i < pieces; i++) {
             batch.add(news(in, salts));
         }
         return batch;
     }
 
-    private static KvNews news(Input in, String[] salts) throws GarbledBatch {
+    private static KvUpdate news(Input in, String[] salts) throws MalformedBatchException {
         int flags = in.next();
         String source = in.text();
         long epoch = in.number();
@@ -120,7 +120,7 @@
             events.add(new KvEvent((head & ADDED) != 0, salt, part, (int) in.number(), ""));
         }
         KvEvents kept = new KvEvents(source, epoch, (flags & LOST) != 0, events);
-        return new KvNews(kept, (flags & LIST) != 0, since, next);
+        return new KvUpdate(kept, (flags & LIST) != 0, since, next);
     }
 
     private static final class Output extends ByteArrayOutputStream {
@@ -167,7 +167,7 @@
             return bytes[at++] & 0xff;
         }
 
-        long number() throws GarbledBatch {
+        long number() throws MalformedBatchException {
             long value = 0;
             for (int shift = 0; shift <= MOST_SHIFT; shift += 7) {
                 int read = next();
@@ -176,14 +176,14 @@
                     return value;
                 }
             }
-            throw new GarbledBatch("a number without end");
+            throw new MalformedBatchException("a number without end");
         }
 
         /** Of things that take a byte each at the least. */
-        int count() throws GarbledBatch {
+        int count() throws MalformedBatchException {
             long count = number();
             if (count < 0 || count > bytes.length - at) {
-                throw new GarbledBatch("a count of " + count);
+                throw new MalformedBatchException("a count of " + count);
             }
             return (int) count;
         }
@@ -196,10 +196,10 @@
             return value;
         }
 
-        String text() throws GarbledBatch {
+        String text() throws MalformedBatchException {
             int length = count();
             if (length > MOST_TEXT_BYTES) {
-                throw new GarbledBatch("a text of " + length + " bytes");
+                throw new MalformedBatchException("a text of " + length + " bytes");
             }
             String text = new String(bytes, at, length, UTF_8);
             at += length;
--- a/router/src/main/java/burlarch/router/prefixcache/OutgoingBatch.java
+++ b/router/src/main/java/burlarch/router/prefixcache/OutgoingBatch.java
@@ -1,6 +1,6 @@
 package burlarch.router.prefixcache;
 
-import burlarch.engine.KvNews;
+import burlarch.engine.KvUpdate;
 import java.util.ArrayList;
 import java.util.List;
 
@@ -11,13 +11,13 @@
 
     private static final int FULL_EVENTS = 64;
 
-    private List<KvNews> waiting = new ArrayList<>();
+    private List<KvUpdate> waiting = new ArrayList<>();
     private int events;
 
     /** @return whether it is the first that waits, so that the time begins with it */
-    public boolean add(KvNews news) {
+    public boolean add(KvUpdate news) {
         waiting.add(news);
-        events += news.kept().events().size();
+        events += news.events().events().size();
         return waiting.size() == 1;
     }
 
@@ -27,8 +27,8 @@
     }
 
     /** What waits, which is then gone from here; empty where nothing does. */
-    public List<KvNews> take() {
-        List<KvNews> taken = waiting;
+    public List<KvUpdate> take() {
+        List<KvUpdate> taken = waiting;
         waiting = new ArrayList<>();
         events = 0;
         return taken;
--- a/router/src/main/java/burlarch/router/prefixcache/SourceOwners.java
+++ b/router/src/main/java/burlarch/router/prefixcache/SourceAssignment.java
@@ -11,7 +11,7 @@
  * read. No other stands by: all know how far a source was read, so the next owner goes on from there and
  * loses nothing.
  */
-public final class SourceOwners {
+public final class SourceAssignment {
     /**
      * Places at a source that are left to others, and to calls that have not ended yet when the next one
      * begins.
@@ -26,7 +26,7 @@
      * @param routers how many live, this one included, as far as is known
      * @param others names of the other live routers that are known; fewer than those at times
      */
-    public SourceOwners(String self, int routers, Collection<String> others) {
+    public SourceAssignment(String self, int routers, Collection<String> others) {
         this.self = self;
         this.routers = Math.max(routers, others.size() + 1);
         this.others = new TreeSet<>(others);
@@ -39,7 +39,7 @@
     }
 
     /** Whether this router reads the source. */
-    public boolean reads(String source, int places) {
+    public boolean isReader(String source, int places) {
         return !isShared(places) || mayOwn(source, places) && isFirst(source);
     }
 
--- a/router/src/main/java/burlarch/router/prefixcache/SourcePositions.java
+++ b/router/src/main/java/burlarch/router/prefixcache/SourceOffsets.java
@@ -1,7 +1,7 @@
 package burlarch.router.prefixcache;
 
-import burlarch.engine.KvNews;
-import burlarch.engine.KvPosition;
+import burlarch.engine.KvOffset;
+import burlarch.engine.KvUpdate;
 import burlarch.routing.KvEvents;
 import java.util.HashMap;
 import java.util.Map;
@@ -11,7 +11,7 @@
  * How far each source's events are known, whoever read them: what comes twice is dropped, and what comes
  * after a gap is marked so. Two readers of one source at a time do no harm.
  */
-public final class SourcePositions {
+public final class SourceOffsets {
     /** Sources beyond this number are not checked. */
     private static final int MOST_SOURCES = 8_192;
 
@@ -37,50 +37,53 @@
     }
 
     /** What of it is to be taken in, or null where it is known already. */
-    public KvNews accept(KvNews news) {
-        Known source = known.get(news.kept().source());
+    public KvUpdate accept(KvUpdate news) {
+        Known source = known.get(news.events().source());
         if (source == null) {
             return first(news);
         }
-        if (news.kept().epoch() != source.epoch) {
-            if (source.restarted && news.kept().epoch() == source.formerEpoch) {
+        if (news.events().epoch() != source.epoch) {
+            if (source.restarted && news.events().epoch() == source.formerEpoch) {
                 return null;
             }
-            source.restart(news.kept().epoch());
-            return advance(source, news, !news.list() && news.since() > 0);
+            source.restart(news.events().epoch());
+            return advance(source, news, !news.snapshot() && news.since() > 0);
         }
-        if (news.list()) {
+        if (news.snapshot()) {
             return news.next() < source.next ? null : advance(source, news, false);
         }
-        boolean nothingNew = news.next() <= source.next && !news.kept().lost();
+        boolean nothingNew = news.next() <= source.next && !news.events().lost();
         return nothingNew ? null : advance(source, news, news.since() > source.next);
     }
 
-    private KvNews first(KvNews news) {
+    private KvUpdate first(KvUpdate news) {
         if (known.size() < MOST_SOURCES) {
-            known.put(news.kept().source(), new Known(news.kept().epoch(), news.next()));
+            known.put(news.events().source(), new Known(news.events().epoch(), news.next()));
         }
-        return marked(news, !news.list() && news.since() > 0);
+        return marked(news, !news.snapshot() && news.since() > 0);
     }
 
-    private static KvNews advance(Known source, KvNews news, boolean gap) {
+    private static KvUpdate advance(Known source, KvUpdate news, boolean gap) {
         source.next = Math.max(source.next, news.next());
         return marked(news, gap);
     }
 
-    private static KvNews marked(KvNews news, boolean gap) {
-        KvEvents kept = news.kept();
+    private static KvUpdate marked(KvUpdate news, boolean gap) {
+        KvEvents kept = news.events();
         if (!gap || kept.lost()) {
             return news;
         }
-        return new KvNews(
-                new KvEvents(kept.source(), kept.epoch(), true, kept.events()), news.list(), news.since(), news.next());
+        return new KvUpdate(
+                new KvEvents(kept.source(), kept.epoch(), true, kept.events()),
+                news.snapshot(),
+                news.since(),
+                news.next());
     }
 
     /** How far the source is known, or null where it is not. */
-    public KvPosition of(String source) {
+    public KvOffset offsetOf(String source) {
         Known position = known.get(source);
-        return position == null ? null : new KvPosition(position.epoch, position.next);
+        return position == null ? null : new KvOffset(position.epoch, position.next);
     }
 
     /** Forgets all sources but these. */
--- a/simulation/src/main/java/burlarch/simulation/coordination/Calls.java
+++ b/simulation/src/main/java/burlarch/simulation/coordination/Calls.java
@@ -2,7 +2,7 @@
 
 import burlarch.coordination.rollout.EngineReport;
 import burlarch.coordination.rollout.OrderResult;
-import burlarch.engine.Order;
+import burlarch.engine.WeightsOrder;
 
 /**
  * Calls that go over HTTP outside the simulation: each a message there and one back, either of which may be
@@ -25,7 +25,7 @@
     }
 
     /** @param order null for a report */
-    record EngineRequest(long id, String instance, Order order) {}
+    record EngineRequest(long id, String instance, WeightsOrder order) {}
 
     record EngineAnswer(long id, OrderResult result, EngineReport report) {}
 }
--- a/simulation/src/main/java/burlarch/simulation/coordination/Doubles.java
+++ b/simulation/src/main/java/burlarch/simulation/coordination/Doubles.java
@@ -2,7 +2,7 @@
 
 import burlarch.controller.ControllerCore;
 import burlarch.controller.api.ControlService;
-import burlarch.engine.EngineOrders;
+import burlarch.engine.EngineControlClient;
 import burlarch.router.ControllerLinks;
 import burlarch.simulation.NodeContext;
 import burlarch.storage.Disk;
@@ -52,12 +52,12 @@
     }
 
     /** What a router puts into effect. */
-    default ControllerLinks.Effects routerEffects(ControllerLinks.Effects real) {
+    default ControllerLinks.UpdateHandler routerEffects(ControllerLinks.UpdateHandler real) {
         return real;
     }
 
     /** A controller's calls to engines. */
-    default EngineOrders engines(EngineOrders real) {
+    default EngineControlClient engines(EngineControlClient real) {
         return real;
     }
 
--- a/simulation/src/main/java/burlarch/simulation/coordination/EngineCalls.java
+++ b/simulation/src/main/java/burlarch/simulation/coordination/EngineCalls.java
@@ -3,8 +3,8 @@
 import burlarch.coordination.rollout.EngineReport;
 import burlarch.coordination.rollout.OrderResult;
 import burlarch.engine.EngineAddress;
-import burlarch.engine.EngineOrders;
-import burlarch.engine.Order;
+import burlarch.engine.EngineControlClient;
+import burlarch.engine.WeightsOrder;
 import burlarch.simulation.NodeContext;
 import burlarch.simulation.Simulation;
 import burlarch.simulation.coordination.Calls.EngineAnswer;
@@ -16,7 +16,7 @@
 import java.util.concurrent.CompletableFuture;
 
 /** A controller's calls to engines over the simulated network. */
-final class EngineCalls implements EngineOrders {
+final class EngineCalls implements EngineControlClient {
     private static final long LIMIT_NANOS = Simulation.SECOND;
 
     private final NodeContext context;
@@ -41,7 +41,7 @@
     }
 
     @Override
-    public CompletableFuture<OrderResult> order(EngineAddress target, Order order) {
+    public CompletableFuture<OrderResult> order(EngineAddress target, WeightsOrder order) {
         onOrder.run();
         rule.onSent(target.instance(), order, simulation.now());
         return call(target, order).thenApply(answer -> {
@@ -50,7 +50,7 @@
         });
     }
 
-    private CompletableFuture<EngineAnswer> call(EngineAddress target, Order order) {
+    private CompletableFuture<EngineAnswer> call(EngineAddress target, WeightsOrder order) {
         long id = context.incarnation() + ++calls;
         CompletableFuture<EngineAnswer> result = new CompletableFuture<>();
         open.put(id, result);
