--- a/controller/src/main/java/burlarch/controller/AcceptorKeeper.java
+++ b/controller/src/main/java/burlarch/controller/AcceptorSetReconciler.java
@@ -17,73 +17,73 @@
  * the others wait longer the later they stand, so that they rarely get into each other's way. Lives on the
  * loop.
  */
-final class AcceptorKeeper {
-    private static final long PERIOD_NANOS = 250_000_000;
+final class AcceptorSetReconciler {
+    private static final long CHECK_PERIOD_NANOS = 250_000_000;
     private static final long REMOVE_AFTER_NANOS = 2_000_000_000;
-    private static final int TURNS_BETWEEN_CONTROLLERS = 2;
+    private static final int CHECKS_PER_RANK = 2;
 
     private final EventLoop loop;
-    private final DecidedState decided;
-    private final StateRegister register;
+    private final CommittedState committed;
+    private final RegisterClient register;
     private final ControllerPeers peers;
     private final Member own;
     private final long startedNanos;
-    private final AcceptorSetPlan plan;
-    private final MajorityWatch majority;
+    private final AcceptorSetPlan planner;
+    private final QuorumReachabilityReporter reachability;
     /** The newest ballot known at the last check; {@link Ballot#ZERO} until one was known. */
-    private Ballot knownBefore = Ballot.ZERO;
+    private Ballot lastSeenProposalNumber = Ballot.ZERO;
 
-    private boolean mayBeUnfinished;
-    private int controllersUp;
-    private int turnsWaited;
-    private boolean changing;
+    private boolean unfinishedWritePossible;
+    private int connectedControllers;
+    private int checksWaited;
+    private boolean proposing;
 
     /** @param lossesBorne how many acceptors may be lost at once */
-    AcceptorKeeper(
+    AcceptorSetReconciler(
             EventLoop loop,
-            DecidedState decided,
-            StateRegister register,
+            CommittedState decided,
+            RegisterClient register,
             ControllerPeers peers,
             Member own,
             int lossesBorne) {
         this.loop = loop;
-        this.decided = decided;
+        this.committed = decided;
         this.register = register;
         this.peers = peers;
         this.own = own;
         startedNanos = loop.nanoTime();
-        plan = new AcceptorSetPlan(REMOVE_AFTER_NANOS, 2 * lossesBorne + 1);
-        majority = new MajorityWatch(startedNanos);
-        loop.schedule(PERIOD_NANOS, this::check);
+        planner = new AcceptorSetPlan(REMOVE_AFTER_NANOS, 2 * lossesBorne + 1);
+        reachability = new QuorumReachabilityReporter(startedNanos);
+        loop.schedule(CHECK_PERIOD_NANOS, this::check);
     }
 
     private void check() {
-        loop.schedule(PERIOD_NANOS, this::check);
+        loop.schedule(CHECK_PERIOD_NANOS, this::check);
         List<Candidate> candidates = candidates();
         long now = loop.nanoTime();
-        majority.onLook(AcceptorReach.of(register.acceptors(), candidates, now), now);
-        watchForUnfinished();
-        Optional<List<Member>> next = changing || register.acceptors().isChanging()
+        reachability.onObserved(AcceptorReach.of(register.acceptors(), candidates, now), now);
+        detectUnfinishedWrites();
+        Optional<List<Member>> next = proposing || register.acceptors().isChanging()
                 ? Optional.empty()
-                : plan.next(decided.members(), candidates, now);
-        boolean founded = decided.value() != null;
-        if (founded && next.isEmpty() && !mayBeUnfinished) {
-            turnsWaited = 0;
+                : planner.next(committed.members(), candidates, now);
+        boolean founded = committed.value() != null;
+        if (founded && next.isEmpty() && !unfinishedWritePossible) {
+            checksWaited = 0;
             return;
         }
-        if (turnsWaited++ >= rank() * TURNS_BETWEEN_CONTROLLERS && !changing) {
+        if (checksWaited++ >= rank() * CHECKS_PER_RANK && !proposing) {
             act(founded, next);
         }
     }
 
     private void act(boolean founded, Optional<List<Member>> next) {
         if (!founded) {
-            found();
+            writeInitialState();
         } else if (next.isPresent()) {
-            change(decided.members(), next.get());
+            changeMembers(committed.members(), next.get());
         } else {
-            changing = true;
-            register.seal().whenComplete((state, failure) -> changing = false);
+            proposing = true;
+            register.seal().whenComplete((state, failure) -> proposing = false);
         }
     }
 
@@ -93,29 +93,29 @@
      * and the loss of another controller, something has to be chosen anew: what is chosen after a write was
      * left bars it, or completes it.
      */
-    private void watchForUnfinished() {
-        int up = peers.upAddresses().size();
-        if (decided.ballot().compareTo(knownBefore) > 0) {
-            mayBeUnfinished = knownBefore.equals(Ballot.ZERO);
-            knownBefore = decided.ballot();
+    private void detectUnfinishedWrites() {
+        int up = peers.connectedAddresses().size();
+        if (committed.proposalNumber().compareTo(lastSeenProposalNumber) > 0) {
+            unfinishedWritePossible = lastSeenProposalNumber.equals(Ballot.ZERO);
+            lastSeenProposalNumber = committed.proposalNumber();
         }
-        mayBeUnfinished |= up < controllersUp;
-        controllersUp = up;
+        unfinishedWritePossible |= up < connectedControllers;
+        connectedControllers = up;
     }
 
     /** The first value: an empty state, so that the set can grow before the first configuration. */
-    private void found() {
-        changing = true;
-        register.found().whenComplete((state, failure) -> changing = false);
+    private void writeInitialState() {
+        proposing = true;
+        register.writeInitialState().whenComplete((state, failure) -> proposing = false);
     }
 
-    private void change(List<Member> members, List<Member> next) {
-        changing = true;
+    private void changeMembers(List<Member> members, List<Member> next) {
+        proposing = true;
         register.changeMembers(members, next).whenComplete((state, failure) -> {
-            changing = false;
+            proposing = false;
             if (failure != null) {
-                plan.onFailed(members, next, loop.nanoTime());
-                mayBeUnfinished = true;
+                planner.onFailed(members, next, loop.nanoTime());
+                unfinishedWritePossible = true;
                 Logger.warn(
                         "acceptors stay as they are ({}): {}",
                         failure.getMessage(),
@@ -132,7 +132,7 @@
 
     private int rank() {
         int before = 0;
-        for (String address : peers.upAddresses()) {
+        for (String address : peers.connectedAddresses()) {
             before += address.compareTo(own.address()) < 0 ? 1 : 0;
         }
         return before;
--- a/controller/src/main/java/burlarch/controller/DecidedState.java
+++ b/controller/src/main/java/burlarch/controller/CommittedState.java
@@ -15,21 +15,21 @@
  * The newest value that is known to be chosen, and whom to ask for newer ones. Never goes back. Lives on the
  * loop.
  */
-final class DecidedState {
+final class CommittedState {
     /** Told of each newer value. */
     interface Listener {
-        void onDecided(SystemState state, boolean ownProposal);
+        void onCommitted(SystemState state, boolean ownProposal);
     }
 
     private final List<Listener> listeners = new ArrayList<>();
-    private Ballot ballot = Ballot.ZERO;
+    private Ballot proposalNumber = Ballot.ZERO;
     private RegisterValue value;
     private SystemState state = SystemState.EMPTY;
-    private Belief belief;
+    private Belief registerView;
 
     /** @param stored what this process's disk tells of the register: holds until a newer value is known */
-    DecidedState(Belief stored) {
-        belief = stored;
+    CommittedState(Belief stored) {
+        registerView = stored;
     }
 
     void addListener(Listener listener) {
@@ -42,25 +42,25 @@
      * @param ownProposal whether a proposal of this process chose it
      * @return whether it was newer
      */
-    boolean adopt(Ballot chosenBallot, RegisterValue chosen, boolean ownProposal) {
-        if (chosen == null || chosenBallot.compareTo(ballot) <= 0) {
+    boolean advance(Ballot chosenBallot, RegisterValue chosen, boolean ownProposal) {
+        if (chosen == null || chosenBallot.compareTo(proposalNumber) <= 0) {
             return false;
         }
-        ballot = chosenBallot;
+        proposalNumber = chosenBallot;
         value = chosen;
         state = SystemStateCodec.decode(chosen.payload());
-        List<Member> before = belief.members();
-        belief = belief.newer(Belief.of(chosenBallot, chosen));
-        AcceptorSetChange change = AcceptorSetChange.between(before, belief.members());
+        List<Member> before = registerView.members();
+        registerView = registerView.newer(Belief.of(chosenBallot, chosen));
+        AcceptorSetChange change = AcceptorSetChange.between(before, registerView.members());
         if (!change.isEmpty()) {
             Logger.info("acceptors: {}, version {}", change, chosenBallot.round());
         }
-        listeners.forEach(listener -> listener.onDecided(state, ownProposal));
+        listeners.forEach(listener -> listener.onCommitted(state, ownProposal));
         return true;
     }
 
-    Ballot ballot() {
-        return ballot;
+    Ballot proposalNumber() {
+        return proposalNumber;
     }
 
     /** Null before anything was chosen. */
@@ -73,12 +73,12 @@
     }
 
     /** What a proposal begins with. */
-    Belief belief() {
-        return belief;
+    Belief registerView() {
+        return registerView;
     }
 
     /** The acceptors as far as is known here: until a value is known as chosen, those on the disk. */
     List<Member> members() {
-        return belief.members();
+        return registerView.members();
     }
 }
--- a/controller/src/main/java/burlarch/controller/ConfigurationStream.java
+++ b/controller/src/main/java/burlarch/controller/ConfigurationDeltaSender.java
@@ -12,12 +12,12 @@
  * last on this connection, where that one is still known here; else by the whole document. Lives on the
  * loop; bounded by the routers that are connected and by {@link ConfigurationHistory}.
  */
-final class ConfigurationStream {
+final class ConfigurationDeltaSender {
     private final FrameCodec codec;
     private final ConfigurationHistory history;
-    private final Map<PeerConnection, Long> sent = new HashMap<>();
+    private final Map<PeerConnection, Long> sentVersions = new HashMap<>();
 
-    ConfigurationStream(FrameCodec codec) {
+    ConfigurationDeltaSender(FrameCodec codec) {
         this.codec = codec;
         history = new ConfigurationHistory(codec);
     }
@@ -29,7 +29,7 @@
 
     /** The router is gone. */
     void forget(PeerConnection router) {
-        sent.remove(router);
+        sentVersions.remove(router);
     }
 
     /**
@@ -38,24 +38,24 @@
      * @param held what the router said that it holds; absent where it has not said anything
      */
     void send(PeerConnection router, OptionalLong held) {
-        long base = Math.max(sent.getOrDefault(router, 0L), held.orElse(0));
+        long base = Math.max(sentVersions.getOrDefault(router, 0L), held.orElse(0));
         if (base >= history.newest()) {
             return;
         }
-        router.sendFrame(held.isPresent() ? history.frameFrom(base) : plainFrame());
-        sent.put(router, history.newest());
+        router.sendFrame(held.isPresent() ? history.frameFrom(base) : completeFrame());
+        sentVersions.put(router, history.newest());
     }
 
     /** Sends the whole newest version: the router could not use what it was sent. */
-    void sendWhole(PeerConnection router) {
+    void sendComplete(PeerConnection router) {
         if (history.newest() > 0) {
             router.sendFrame(history.frameFrom(ConfigurationHistory.NONE));
-            sent.put(router, history.newest());
+            sentVersions.put(router, history.newest());
         }
     }
 
     /** For a router that may know no other form. */
-    private byte[] plainFrame() {
+    private byte[] completeFrame() {
         return codec.encode(new ConfigurationUpdate(history.newest(), history.newestDocument()));
     }
 }
--- a/controller/src/main/java/burlarch/controller/ControllerPeers.java
+++ b/controller/src/main/java/burlarch/controller/ControllerPeers.java
@@ -20,15 +20,15 @@
  */
 final class ControllerPeers {
     /** Most controllers that are known; the one that is longest out of reach gives way to a further one. */
-    static final int MOST_PEERS = 32;
+    static final int MAX_PEERS = 32;
     /** Others are told of a controller that is out of reach for so long. */
-    private static final long TOLD_NANOS = 60_000_000_000L;
+    private static final long ADVERTISED_AFTER_LOSS_NANOS = 60_000_000_000L;
 
     private static final class Peer {
-        private String storage = "";
+        private String storageId = "";
         private String incarnation = "";
         private PeerConnection connection;
-        private long sinceNanos;
+        private long changedAtNanos;
         /** Whether there ever was a connection. */
         private boolean met;
     }
@@ -38,7 +38,7 @@
     private final String ownAddress;
     private final Map<String, Peer> peers = new TreeMap<>();
     /** The acceptors: never forgotten. */
-    private Set<String> kept = Set.of();
+    private Set<String> acceptorAddresses = Set.of();
 
     ControllerPeers(EventLoop loop, PeerConnections transport, String ownAddress) {
         this.loop = loop;
@@ -47,11 +47,11 @@
     }
 
     /** Connects to those that were not known. */
-    void learn(Collection<String> addresses) {
+    void addAddresses(Collection<String> addresses) {
         for (String address : addresses) {
             if (!address.equals(ownAddress) && !peers.containsKey(address) && makeRoom()) {
                 Peer peer = new Peer();
-                peer.sinceNanos = loop.nanoTime();
+                peer.changedAtNanos = loop.nanoTime();
                 peers.put(address, peer);
                 transport.connect(Addresses.parse(address));
             }
@@ -59,20 +59,20 @@
     }
 
     /** Learns where the acceptors are, and forgets none of them until it is told of others. */
-    void keep(Collection<String> acceptors) {
-        kept = Set.copyOf(acceptors);
-        learn(acceptors);
+    void retainAcceptors(Collection<String> acceptors) {
+        acceptorAddresses = Set.copyOf(acceptors);
+        addAddresses(acceptors);
     }
 
     /** Forgets the one that is longest out of reach where there are too many. */
     private boolean makeRoom() {
-        if (peers.size() < MOST_PEERS) {
+        if (peers.size() < MAX_PEERS) {
             return true;
         }
         String longest = null;
         for (Map.Entry<String, Peer> entry : peers.entrySet()) {
-            boolean away = entry.getValue().connection == null && !kept.contains(entry.getKey());
-            if (away && (longest == null || entry.getValue().sinceNanos - peers.get(longest).sinceNanos < 0)) {
+            boolean away = entry.getValue().connection == null && !acceptorAddresses.contains(entry.getKey());
+            if (away && (longest == null || entry.getValue().changedAtNanos - peers.get(longest).changedAtNanos < 0)) {
                 longest = entry.getKey();
             }
         }
@@ -87,14 +87,14 @@
     /** A connection to or from a controller is up. */
     void onUp(PeerConnection connection) {
         NodeMessage.Hello hello = connection.peerHello();
-        learn(List.of(hello.address()));
+        addAddresses(List.of(hello.address()));
         Peer peer = peers.get(hello.address());
         if (peer != null && connection.isOutbound()) {
-            peer.storage = hello.storage();
+            peer.storageId = hello.storage();
             peer.incarnation = hello.incarnation();
             peer.connection = connection;
             peer.met = true;
-            peer.sinceNanos = loop.nanoTime();
+            peer.changedAtNanos = loop.nanoTime();
         }
     }
 
@@ -103,7 +103,7 @@
         Peer peer = peers.get(connection.peerHello().address());
         if (peer != null && peer.connection == connection) {
             peer.connection = null;
-            peer.sinceNanos = loop.nanoTime();
+            peer.changedAtNanos = loop.nanoTime();
         }
     }
 
@@ -126,30 +126,30 @@
     }
 
     /** Whether that controller can be reached. */
-    boolean isUp(String address) {
+    boolean isConnected(String address) {
         Peer peer = peers.get(address);
         return address.equals(ownAddress) || peer != null && peer.connection != null;
     }
 
     /** Of the process that was last connected with there; empty where there was none. */
-    String incarnation(String address) {
+    String incarnationAt(String address) {
         Peer peer = peers.get(address);
         return peer == null ? "" : peer.incarnation;
     }
 
     /** Whether all controllers that are known can be reached. */
-    boolean allUp() {
-        return upAddresses().size() == peers.size();
+    boolean allConnected() {
+        return connectedAddresses().size() == peers.size();
     }
 
     /** Since when that controller is up or down; 0 where it was never heard of. */
-    long sinceNanos(String address) {
+    long connectivityChangedAtNanos(String address) {
         Peer peer = peers.get(address);
-        return peer == null ? 0 : peer.sinceNanos;
+        return peer == null ? 0 : peer.changedAtNanos;
     }
 
     /** Addresses of the controllers that can be reached, in order; without this one. */
-    List<String> upAddresses() {
+    List<String> connectedAddresses() {
         List<String> up = new ArrayList<>();
         peers.forEach((address, peer) -> {
             if (peer.connection != null) {
@@ -163,12 +163,12 @@
      * Addresses that others are told of: this one, the acceptors, and those that were connected lately. Not
      * what was only heard: else an address that is gone would be passed around for ever.
      */
-    List<String> addressesToTell() {
+    List<String> advertisedAddresses() {
         List<String> told = new ArrayList<>();
         long now = loop.nanoTime();
         peers.forEach((address, peer) -> {
-            boolean lately = peer.met && now - peer.sinceNanos < TOLD_NANOS;
-            if (peer.connection != null || lately || kept.contains(address)) {
+            boolean lately = peer.met && now - peer.changedAtNanos < ADVERTISED_AFTER_LOSS_NANOS;
+            if (peer.connection != null || lately || acceptorAddresses.contains(address)) {
                 told.add(address);
             }
         });
@@ -180,9 +180,9 @@
     List<Candidate> candidates() {
         List<Candidate> candidates = new ArrayList<>();
         peers.forEach((address, peer) -> {
-            if (!peer.storage.isEmpty() || peer.connection == null) {
-                candidates.add(
-                        new Candidate(new Member(peer.storage, address), peer.connection != null, peer.sinceNanos));
+            if (!peer.storageId.isEmpty() || peer.connection == null) {
+                candidates.add(new Candidate(
+                        new Member(peer.storageId, address), peer.connection != null, peer.changedAtNanos));
             }
         });
         return candidates;
--- a/controller/src/main/java/burlarch/controller/ControllerProgram.java
+++ b/controller/src/main/java/burlarch/controller/ControllerProgram.java
@@ -6,12 +6,12 @@
 import burlarch.coordination.membership.SwimSettings;
 import burlarch.engine.EngineClient;
 import burlarch.engine.EngineHttpClientFactory;
-import burlarch.node.Membership;
+import burlarch.node.MembershipService;
 import burlarch.node.NodeAddresses;
+import burlarch.node.NodeRoles;
 import burlarch.node.NodeSettings;
-import burlarch.node.Roles;
-import burlarch.node.SettingsWatch;
-import burlarch.node.Shutdown;
+import burlarch.node.SettingsFileWatcher;
+import burlarch.node.ShutdownHook;
 import burlarch.storage.FileSystemDisk;
 import burlarch.transport.NodeMessage;
 import burlarch.transport.NodeTransport;
@@ -47,28 +47,28 @@
     public static void run(NodeSettings settings) throws Exception {
         String address = NodeAddresses.own(settings);
         List<String> seeds = NodeAddresses.seeds(settings);
-        ControllerStorage storage = ControllerStorage.open(
+        RegisterStorage storage = RegisterStorage.open(
                 new FileSystemDisk(settings.dataDir()),
                 address,
                 seeds,
                 settings.bootstrap(),
                 ControllerProgram::randomHex);
-        long process = Incarnations.draw();
-        String incarnation = Incarnations.text(process);
+        long process = ProcessIncarnations.generate();
+        String incarnation = ProcessIncarnations.toText(process);
         SelectorEventLoop loop = new SelectorEventLoop("node");
-        ControllerCore core = new ControllerCore(loop);
+        ControllerRuntime core = new ControllerRuntime(loop);
         NodeMessage.Hello hello = new NodeMessage.Hello(
                 settings.nodeName(),
-                Roles.CONTROLLER,
+                NodeRoles.CONTROLLER,
                 address,
                 settings.zone(),
                 storage.store().identity(),
                 incarnation);
         NodeTransport transport = new NodeTransport(
                 loop, hello, NodeAddresses.socket(address), NodeTransport.Listener.of(core.listener()));
-        Membership membership = new Membership(
+        MembershipService membership = new MembershipService(
                 loop,
-                new Membership.Self(settings.nodeName(), Roles.CONTROLLER, settings.zone(), process),
+                new MembershipService.Self(settings.nodeName(), NodeRoles.CONTROLLER, settings.zone(), process),
                 NodeAddresses.socket(address),
                 seeds,
                 SwimSettings.defaults());
@@ -77,10 +77,11 @@
             ControlService calls = core.start(
                     decisions,
                     storage,
-                    new ControllerCore.World(
+                    new ControllerRuntime.Environment(
                             transport, diskThread(), new EngineClient(engineHttp()), new SplittableRandom()));
             membership.addListener(core::onMembers);
-            SettingsWatch.start(newer -> loop.execute(() -> core.learn(NodeAddresses.seeds(newer))));
+            SettingsFileWatcher.start(
+                    newer -> loop.execute(() -> core.addControllerAddresses(NodeAddresses.seeds(newer))));
             membership.start();
             serve(settings, calls, membership);
         });
@@ -93,7 +94,7 @@
                 address,
                 settings.zone(),
                 seeds,
-                Incarnations.processName(settings.nodeName(), incarnation),
+                ProcessIncarnations.processName(settings.nodeName(), incarnation),
                 settings.heartbeatNanos(),
                 TimeUnit.NANOSECONDS.toMillis(settings.bounds().versionNanos()),
                 settings.bounds().leaseNanos(),
@@ -126,7 +127,7 @@
         }
     }
 
-    private static void serve(NodeSettings settings, ControlService calls, Membership membership) {
+    private static void serve(NodeSettings settings, ControlService calls, MembershipService membership) {
         ControlServer server = new ControlServer(settings.listen().control(), calls, CALL_MILLIS);
         try {
             server.start();
@@ -134,9 +135,9 @@
             Logger.error(e, "cannot serve {}", settings.listen().control());
             Runtime.getRuntime().halt(1);
         }
-        Shutdown.onSignal(() -> {
+        ShutdownHook.onSignal(() -> {
             server.stopAccepting();
-            membership.leaveInTime();
+            membership.leaveWithinTimeout();
         });
         Logger.info("{} serves {}", settings.nodeName(), settings.listen().control());
     }
--- a/controller/src/main/java/burlarch/controller/ControllerSettings.java
+++ b/controller/src/main/java/burlarch/controller/ControllerSettings.java
@@ -10,9 +10,9 @@
  * @param seeds such addresses of other controllers
  * @param processName unique for this start of this process
  * @param heartbeatNanos between the announcements of an instance
- * @param versionMillis until when engines have to be at newly named weights
+ * @param rolloutDeadlineMillis until when engines have to be at newly named weights
  * @param leaseNanos how long a duty's owner may act after its last sign
- * @param lossesBorne how many acceptors may be lost at once
+ * @param toleratedLosses how many acceptors may be lost at once
  */
 public record ControllerSettings(
         String ownAddress,
@@ -20,6 +20,6 @@
         List<String> seeds,
         String processName,
         long heartbeatNanos,
-        long versionMillis,
+        long rolloutDeadlineMillis,
         long leaseNanos,
-        int lossesBorne) {}
+        int toleratedLosses) {}
--- a/controller/src/main/java/burlarch/controller/InstanceFeed.java
+++ b/controller/src/main/java/burlarch/controller/InstanceReplicator.java
@@ -15,32 +15,32 @@
  * whoever is reached, but nothing is lost to silence: what isn't heard here may be heard elsewhere. Lives on
  * the loop.
  */
-final class InstanceFeed {
-    private static final long BATCH_NANOS = 250_000_000;
-    private static final long EXPIRY_CHECK_NANOS = 500_000_000;
+final class InstanceReplicator {
+    private static final long BATCH_DELAY_NANOS = 250_000_000;
+    private static final long EXPIRY_CHECK_PERIOD_NANOS = 500_000_000;
     /** Instances in one message to a peer. */
-    private static final int MOST_TOLD_AT_ONCE = 500;
+    private static final int MAX_INSTANCES_PER_MESSAGE = 500;
 
     private final EventLoop loop;
     private final InstanceRegistry registry;
     private final ControllerPeers peers;
     private final RouterPublisher publisher;
-    private final QuorumWatch quorum;
+    private final QuorumContactMonitor quorum;
     private List<Instance> heartbeats = new ArrayList<>();
-    private boolean batchPlanned;
+    private boolean batchScheduled;
 
-    InstanceFeed(
+    InstanceReplicator(
             EventLoop loop,
             InstanceRegistry registry,
             ControllerPeers peers,
             RouterPublisher publisher,
-            QuorumWatch quorum) {
+            QuorumContactMonitor quorum) {
         this.loop = loop;
         this.registry = registry;
         this.peers = peers;
         this.publisher = publisher;
         this.quorum = quorum;
-        loop.schedule(EXPIRY_CHECK_NANOS, this::expire);
+        loop.schedule(EXPIRY_CHECK_PERIOD_NANOS, this::onExpiryTimer);
     }
 
     /**
@@ -48,7 +48,7 @@
      *
      * @return whether it is known now, be it by an older or a newer announcement; else there was no room
      */
-    boolean onAnnounced(Instance instance) {
+    boolean announce(Instance instance) {
         InstanceRegistry.AnnouncementResult outcome = registry.announce(instance, loop.nanoTime());
         switch (outcome) {
             case CHANGED -> {
@@ -66,14 +66,14 @@
 
     private void addHeartbeat(Instance instance) {
         heartbeats.add(instance);
-        if (!batchPlanned) {
-            batchPlanned = true;
-            loop.schedule(BATCH_NANOS, this::sendBatch);
+        if (!batchScheduled) {
+            batchScheduled = true;
+            loop.schedule(BATCH_DELAY_NANOS, this::sendBatch);
         }
     }
 
     private void sendBatch() {
-        batchPlanned = false;
+        batchScheduled = false;
         peers.sendAll(new NodeMessage.InstanceAnnouncements(heartbeats));
         heartbeats = new ArrayList<>();
     }
@@ -100,23 +100,23 @@
      * A connection to or from a controller is up: it gets what it may have missed. Either of the two that
      * lead between controllers may be the first.
      */
-    void tell(PeerConnection controller) {
+    void sendSnapshot(PeerConnection controller) {
         List<Instance> known = registry.selfReported();
-        for (int from = 0; from < known.size(); from += MOST_TOLD_AT_ONCE) {
-            int to = Math.min(known.size(), from + MOST_TOLD_AT_ONCE);
+        for (int from = 0; from < known.size(); from += MAX_INSTANCES_PER_MESSAGE) {
+            int to = Math.min(known.size(), from + MAX_INSTANCES_PER_MESSAGE);
             controller.send(new NodeMessage.InstanceAnnouncements(known.subList(from, to)));
         }
     }
 
-    private void expire() {
-        look();
-        loop.schedule(EXPIRY_CHECK_NANOS, this::expire);
+    private void onExpiryTimer() {
+        expireSilent();
+        loop.schedule(EXPIRY_CHECK_PERIOD_NANOS, this::onExpiryTimer);
     }
 
     /** Takes note of who was silent for too long, also of this process's own standstill. */
-    void look() {
+    void expireSilent() {
         long now = loop.nanoTime();
-        if (!quorum.holds()) {
+        if (!quorum.hasContact()) {
             registry.restartGrace(now);
         }
         registry.expire(now);
--- a/controller/src/main/java/burlarch/controller/OwnerWatch.java
+++ b/controller/src/main/java/burlarch/controller/LeaseHolderMonitor.java
@@ -9,20 +9,20 @@
  * process can't reach it either. That routers still vouch for an owner counts for nothing: cut off from the
  * other controllers it has no quorum and can't act. Lives on the loop.
  */
-final class OwnerWatch {
+final class LeaseHolderMonitor {
     /**
      * A controller that is out of reach for less may only be slow: its duties stay with it. One that was
      * restarted loses them this long after it is back, when those that start together have all met.
      */
-    private static final long LOST_NANOS = 1_000_000_000;
+    private static final long UNREACHABLE_GRACE_NANOS = 1_000_000_000;
 
     private final ControllerPeers peers;
-    private final KnownControllers controllers;
+    private final ControllerMembershipView membershipView;
     private final String ownAddress;
 
-    OwnerWatch(ControllerPeers peers, KnownControllers controllers, String ownAddress) {
+    LeaseHolderMonitor(ControllerPeers peers, ControllerMembershipView controllers, String ownAddress) {
         this.peers = peers;
-        this.controllers = controllers;
+        this.membershipView = controllers;
         this.ownAddress = ownAddress;
     }
 
@@ -32,33 +32,33 @@
     }
 
     /** Whether the other process that is known by this holder's name lives. */
-    boolean lives(String holder, long now) {
+    boolean isAlive(String holder, long now) {
         int at = holder.lastIndexOf('@');
         String address = holder.substring(at + 1);
         if (address.equals(ownAddress)) {
             return false;
         }
-        String incarnation = Incarnations.ofProcessName(holder.substring(0, at));
-        MemberState state = controllers.stateOf(address, incarnation);
+        String incarnation = ProcessIncarnations.ofProcessName(holder.substring(0, at));
+        MemberState state = membershipView.stateOf(address, incarnation);
         if (state == MemberState.LEFT) {
             return false;
         }
-        boolean lately = now - peers.sinceNanos(address) < LOST_NANOS;
-        if (peers.isUp(address)) {
-            return lately || incarnation.equals(peers.incarnation(address));
+        boolean lately = now - peers.connectivityChangedAtNanos(address) < UNREACHABLE_GRACE_NANOS;
+        if (peers.isConnected(address)) {
+            return lately || incarnation.equals(peers.incarnationAt(address));
         }
         return lately && state != MemberState.DEAD;
     }
 
     /** Whether all controllers that are known can be reached. */
-    boolean allUp() {
-        return peers.allUp();
+    boolean allControllersConnected() {
+        return peers.allConnected();
     }
 
     /** Addresses of those that can take a duty, this process included. */
     List<String> candidates() {
-        List<String> live = new ArrayList<>(peers.upAddresses());
-        live.removeIf(controllers::hasLeft);
+        List<String> live = new ArrayList<>(peers.connectedAddresses());
+        live.removeIf(membershipView::hasLeft);
         live.add(ownAddress);
         return live;
     }
--- a/controller/src/main/java/burlarch/controller/OwnershipKeeper.java
+++ b/controller/src/main/java/burlarch/controller/LeaseManager.java
@@ -16,62 +16,62 @@
  * ahead of need, so that the former owner's lease is over by then; while there is work it has the register
  * confirm it. Lives on the loop.
  */
-final class OwnershipKeeper {
-    private static final long PERIOD_NANOS = 200_000_000;
+final class LeaseManager {
+    private static final long CHECK_PERIOD_NANOS = 200_000_000;
     /**
      * For so long after its start, or after it was cut off, a controller may not yet be connected to others
      * that live.
      */
-    private static final long GATHERING_NANOS = 1_500_000_000;
+    private static final long DISCOVERY_NANOS = 1_500_000_000;
 
     /** Told when the duty begins and ends here. */
-    interface Duty {
+    interface SingletonRole {
         /** @param token higher than any former owner's */
-        void begin(long token);
+        void onAcquired(long token);
 
-        void end();
+        void onLost();
     }
 
     private final EventLoop loop;
-    private final StateRegister register;
-    private final OwnerWatch owners;
-    private final QuorumWatch quorum;
+    private final RegisterClient register;
+    private final LeaseHolderMonitor holders;
+    private final QuorumContactMonitor quorum;
     private final String key;
     private final String ownAddress;
     private final String holderName;
     private final OwnershipLease lease;
     private final BooleanSupplier hasWork;
-    private final Duty duty;
-    private boolean asking;
-    private boolean acting;
+    private final SingletonRole role;
+    private boolean requestPending;
+    private boolean active;
     /** When this process became the owner under its present token, and under which one. */
     private long ownerSinceNanos;
 
     private long ownerToken = -1;
 
     /** @param holderName unique for this start of this process, ending in {@code @} and its address */
-    OwnershipKeeper(
+    LeaseManager(
             EventLoop loop,
-            StateRegister register,
-            OwnerWatch owners,
-            QuorumWatch quorum,
+            RegisterClient register,
+            LeaseHolderMonitor owners,
+            QuorumContactMonitor quorum,
             String key,
             String ownAddress,
             String holderName,
             long leaseNanos,
             BooleanSupplier hasWork,
-            Duty duty) {
+            SingletonRole duty) {
         this.loop = loop;
         this.register = register;
-        this.owners = owners;
+        this.holders = owners;
         this.quorum = quorum;
         this.key = key;
         this.ownAddress = ownAddress;
         this.holderName = holderName;
         lease = new OwnershipLease(holderName, leaseNanos);
         this.hasWork = hasWork;
-        this.duty = duty;
-        loop.schedule(PERIOD_NANOS, this::check);
+        this.role = duty;
+        loop.schedule(CHECK_PERIOD_NANOS, this::check);
     }
 
     /** Name under which orders go out. */
@@ -88,37 +88,37 @@
     void onFenced() {
         if (lease.state() == LeaseState.HOLDING || lease.state() == LeaseState.WAITING_OUT) {
             lease.release();
-            update();
+            updateRole();
         }
     }
 
     /** Looks at once whether there is work, instead of at the next turn. */
     void wake() {
-        loop.execute(this::step);
+        loop.execute(this::evaluate);
     }
 
     private void check() {
-        loop.schedule(PERIOD_NANOS, this::check);
-        step();
+        loop.schedule(CHECK_PERIOD_NANOS, this::check);
+        evaluate();
     }
 
-    private void step() {
+    private void evaluate() {
         lease.onTimer(loop.nanoTime());
         if (lease.state() == LeaseState.LOST) {
             lease.release();
         }
-        if (!asking) {
-            ask();
+        if (!requestPending) {
+            requestIfDue();
         }
-        update();
+        updateRole();
     }
 
-    private void ask() {
+    private void requestIfDue() {
         boolean works = hasWork.getAsBoolean();
         switch (lease.state()) {
             case FREE -> {
-                boolean owner = isOwner(register.known());
-                if (owner ? works : falls()) {
+                boolean owner = isOwner(register.committedState());
+                if (owner ? works : isElected()) {
                     claim();
                 }
             }
@@ -140,20 +140,20 @@
      * Whether the duty falls to this controller: the owner is lost, and rendezvous over those that live names
      * it. One that is cut off from the others can't tell.
      */
-    private boolean falls() {
-        Lease known = register.known().owners().get(key);
-        if (known != null && owners.lives(known.holder(), loop.nanoTime()) || isGathering()) {
+    private boolean isElected() {
+        Lease known = register.committedState().owners().get(key);
+        if (known != null && holders.isAlive(known.holder(), loop.nanoTime()) || isDiscovering()) {
             return false;
         }
-        return ownAddress.equals(new ShardOwners(owners.candidates(), List.of(key)).ownerOf(key));
+        return ownAddress.equals(new ShardOwners(holders.candidates(), List.of(key)).ownerOf(key));
     }
 
-    private boolean isGathering() {
-        return !quorum.holds() || !quorum.heldFor(GATHERING_NANOS) && !owners.allUp();
+    private boolean isDiscovering() {
+        return !quorum.hasContact() || !quorum.hasContactFor(DISCOVERY_NANOS) && !holders.allControllersConnected();
     }
 
     private void claim() {
-        asking = true;
+        requestPending = true;
         lease.claim();
         long askedAt = loop.nanoTime();
         String[] former = new String[1];
@@ -163,7 +163,7 @@
                     return StateChanges.takeOwnership(state, key, holderName);
                 })
                 .whenComplete((state, failure) -> {
-                    asking = false;
+                    requestPending = false;
                     if (failure != null) {
                         lease.claimFailed();
                         return;
@@ -185,32 +185,32 @@
         boolean waitedOut = now - ownerSinceNanos >= lease.waitNanos();
         lease.claimTaken(taken.token(), waitedOut ? null : "another", askedAt, now);
         Logger.info("{} owned under token {}", key, taken.token());
-        update();
+        updateRole();
     }
 
     private void confirm() {
-        asking = true;
+        requestPending = true;
         long askedAt = loop.nanoTime();
         register.read().whenComplete((state, failure) -> {
-            asking = false;
+            requestPending = false;
             if (failure == null) {
                 Lease shown = state.owners().get(key);
                 if (shown != null) {
                     lease.registerShows(shown.holder(), shown.token(), askedAt);
                 }
             }
-            update();
+            updateRole();
         });
     }
 
-    private void update() {
+    private void updateRole() {
         boolean may = mayAct();
-        if (may && !acting) {
-            acting = true;
-            duty.begin(lease.token());
-        } else if (!may && acting) {
-            acting = false;
-            duty.end();
+        if (may && !active) {
+            active = true;
+            role.onAcquired(lease.token());
+        } else if (!may && active) {
+            active = false;
+            role.onLost();
         }
     }
 }
--- a/controller/src/main/java/burlarch/controller/AcceptorHost.java
+++ b/controller/src/main/java/burlarch/controller/LocalAcceptor.java
@@ -18,23 +18,23 @@
  * This process's acceptor on the disk's own thread: a disk that hangs makes the acceptor silent and holds
  * nothing else up. A reply leaves only after its state is durable; one whose write fails is dropped.
  */
-final class AcceptorHost {
+final class LocalAcceptor {
     private final AcceptorStore store;
     private final Acceptor acceptor;
     private final Executor disk;
     /** What the disk holds; written by the disk's thread, read by any. */
-    private volatile AcceptorState durable;
+    private volatile AcceptorState durableState;
 
     private boolean failing;
 
     /**
      * @param disk runs one task after the other; it rejects those beyond its bound, as proposers send again
      */
-    AcceptorHost(AcceptorStore store, Executor disk) {
+    LocalAcceptor(AcceptorStore store, Executor disk) {
         this.store = store;
         this.disk = disk;
-        durable = store.state();
-        acceptor = new Acceptor(store.identity(), durable);
+        durableState = store.state();
+        acceptor = new Acceptor(store.identity(), durableState);
     }
 
     /**
@@ -42,37 +42,37 @@
      * thread. A ballot has one value only, so this is the chosen one where that ballot is known as chosen.
      */
     RegisterValue acceptedAt(Ballot ballot) {
-        AcceptorState state = durable;
+        AcceptorState state = durableState;
         return state.accepted().equals(ballot) ? state.value() : null;
     }
 
     /** Handles a message from any thread; the reply comes on the disk's thread, or never. */
-    void handle(RegisterMessage message, Consumer<RegisterMessage> reply) {
+    void onRequest(RegisterMessage message, Consumer<RegisterMessage> reply) {
         try {
-            disk.execute(() -> step(message, reply));
+            disk.execute(() -> process(message, reply));
         } catch (RejectedExecutionException full) {
             Logger.debug("acceptor busy, message dropped");
         }
     }
 
     /** Lets the disk keep the acceptors of a chosen value; where it can't now, a later value tries again. */
-    void keepAcceptors(Belief chosen) {
+    void storeAcceptorSet(Belief chosen) {
         try {
-            disk.execute(() -> saveAcceptors(chosen));
+            disk.execute(() -> saveAcceptorSet(chosen));
         } catch (RejectedExecutionException full) {
             Logger.debug("acceptor busy, the set of acceptors is not kept yet");
         }
     }
 
-    private void saveAcceptors(Belief chosen) {
+    private void saveAcceptorSet(Belief chosen) {
         try {
-            KnownAcceptors.save(store, chosen);
+            StoredAcceptorSet.save(store, chosen);
         } catch (IOException e) {
             Logger.debug("the set of acceptors is not kept yet: {}", e.getMessage());
         }
     }
 
-    private void step(RegisterMessage message, Consumer<RegisterMessage> reply) {
+    private void process(RegisterMessage message, Consumer<RegisterMessage> reply) {
         AcceptorStep step = null;
         if (message instanceof RegisterMessage.Prepare prepare) {
             step = acceptor.onPrepare(prepare);
@@ -91,7 +91,7 @@
         try {
             store.save(step.state());
             acceptor.adopt(step.state());
-            durable = step.state();
+            durableState = step.state();
             if (failing) {
                 failing = false;
                 Logger.info("disk takes writes again");
--- a/controller/src/main/java/burlarch/controller/OperatorCalls.java
+++ b/controller/src/main/java/burlarch/controller/OperatorService.java
@@ -9,8 +9,8 @@
 import burlarch.controller.state.SystemState;
 import burlarch.coordination.registry.Instance;
 import burlarch.coordination.registry.InstanceState;
+import burlarch.node.error.ControlException;
 import burlarch.node.error.ErrorKind;
-import burlarch.node.error.FleetException;
 import burlarch.node.error.Problem;
 import burlarch.transport.EventLoop;
 import java.util.List;
@@ -25,37 +25,37 @@
  * instance says of itself is put to use all the same. An instance for which there is no room is told so, by
  * {@link ErrorKind#OVERLOADED}: no router would ever hear of it.
  */
-final class OperatorCalls implements ControlService {
+final class OperatorService implements ControlService {
     /**
      * How long routers are waited for before a change or a drain is acknowledged: those cut off won't answer.
      */
-    private static final long ROUTERS_NANOS = 300_000_000;
+    private static final long ROUTER_ACK_TIMEOUT_NANOS = 300_000_000;
     /** How long a first configuration waits for the acceptors that the losses to be borne need. */
-    private static final long FOUNDING_NANOS = 4_000_000_000L;
+    private static final long INITIAL_ACCEPTORS_TIMEOUT_NANOS = 4_000_000_000L;
 
     private final EventLoop loop;
-    private final StateRegister register;
+    private final RegisterClient register;
     private final RouterPublisher publisher;
-    private final InstanceFeed instances;
-    private final QuorumWatch quorum;
-    private final int leastAcceptors;
-    private final long startedNanos;
+    private final InstanceReplicator instances;
+    private final QuorumContactMonitor quorum;
+    private final int requiredAcceptors;
+    private final long startedAtNanos;
 
     /** @param lossesBorne how many acceptors may be lost at once */
-    OperatorCalls(
+    OperatorService(
             EventLoop loop,
-            StateRegister register,
+            RegisterClient register,
             RouterPublisher publisher,
-            InstanceFeed instances,
-            QuorumWatch quorum,
+            InstanceReplicator instances,
+            QuorumContactMonitor quorum,
             int lossesBorne) {
         this.loop = loop;
         this.register = register;
         this.publisher = publisher;
         this.instances = instances;
         this.quorum = quorum;
-        leastAcceptors = 2 * lossesBorne + 1;
-        startedNanos = loop.nanoTime();
+        requiredAcceptors = 2 * lossesBorne + 1;
+        startedAtNanos = loop.nanoTime();
     }
 
     @Override
@@ -64,7 +64,7 @@
         try {
             document = ConfigurationDocument.read(body);
         } catch (InvalidConfiguration invalid) {
-            return CompletableFuture.failedFuture(refusal(invalid));
+            return CompletableFuture.failedFuture(rejection(invalid));
         }
         return changeConfiguration(
                 "configuration " + document.version(),
@@ -79,7 +79,7 @@
         try {
             patch = ConfigurationPatch.read(body);
         } catch (InvalidConfiguration invalid) {
-            return CompletableFuture.failedFuture(refusal(invalid));
+            return CompletableFuture.failedFuture(rejection(invalid));
         }
         return changeConfiguration(
                 "patch to " + patch.version(),
@@ -88,18 +88,18 @@
                 state -> StateChanges.patchConfiguration(state, ifMatch, patch, patch.digest()));
     }
 
-    private static FleetException refusal(InvalidConfiguration invalid) {
+    private static ControlException rejection(InvalidConfiguration invalid) {
         List<Problem> problems = invalid.problems().stream()
                 .map(problem -> new Problem(problem.field(), problem.reason()))
                 .toList();
-        return new FleetException(ErrorKind.INVALID, problems);
+        return new ControlException(ErrorKind.INVALID, problems);
     }
 
     @Override
     public CompletableFuture<byte[]> readConfiguration() {
-        return onLoop(() -> quorum.holds() ? register.read() : noQuorum()).thenApply(state -> {
-            if (!state.configured()) {
-                throw new FleetException(ErrorKind.NOT_FOUND);
+        return onLoop(() -> quorum.hasContact() ? register.read() : noQuorum()).thenApply(state -> {
+            if (!state.hasConfiguration()) {
+                throw new ControlException(ErrorKind.NOT_FOUND);
             }
             return state.configuration();
         });
@@ -112,40 +112,42 @@
 
     private CompletableFuture<Void> changeConfiguration(
             String name, long ifMatch, long version, Function<SystemState, ChangeResult> change) {
-        ChangeResult.Unchanged never = StateChanges.neverTaken(ifMatch, version);
+        ChangeResult.Unchanged never = StateChanges.rejectionInAnyState(ifMatch, version);
         return never == null ? change(name, change) : CompletableFuture.failedFuture(never.failure());
     }
 
     private CompletableFuture<Void> change(String name, Function<SystemState, ChangeResult> change) {
         return onLoop(() -> {
-            if (tooFewAcceptors() || !quorum.holds()) {
-                return OperatorCalls.<Void>noQuorum();
+            if (tooFewAcceptors() || !quorum.hasContact()) {
+                return OperatorService.<Void>noQuorum();
             }
             return register.change(change)
-                    .thenCompose(state -> publisher.awaitConfiguration(state.configurationVersion(), ROUTERS_NANOS))
+                    .thenCompose(state ->
+                            publisher.awaitConfiguration(state.configurationVersion(), ROUTER_ACK_TIMEOUT_NANOS))
                     .whenComplete((done, failure) ->
                             Logger.info("{}: {}", name, failure == null ? "in force" : failure.getMessage()));
         });
     }
 
     private static <T> CompletableFuture<T> noQuorum() {
-        return CompletableFuture.failedFuture(new FleetException(ErrorKind.NO_QUORUM));
+        return CompletableFuture.failedFuture(new ControlException(ErrorKind.NO_QUORUM));
     }
 
-    private static <T> CompletableFuture<T> noRoom() {
-        return CompletableFuture.failedFuture(new FleetException(ErrorKind.OVERLOADED));
+    private static <T> CompletableFuture<T> registryFull() {
+        return CompletableFuture.failedFuture(new ControlException(ErrorKind.OVERLOADED));
     }
 
     private boolean tooFewAcceptors() {
-        return register.acceptors().all().size() < leastAcceptors && loop.nanoTime() - startedNanos < FOUNDING_NANOS;
+        return register.acceptors().all().size() < requiredAcceptors
+                && loop.nanoTime() - startedAtNanos < INITIAL_ACCEPTORS_TIMEOUT_NANOS;
     }
 
     @Override
     public CompletableFuture<Void> announce(Instance instance) {
         return onLoop(() -> {
             boolean leaves = instance.state() == InstanceState.DRAINING;
-            boolean known = instances.onAnnounced(instance);
-            return known ? acknowledge(leaves) : noRoom();
+            boolean known = instances.announce(instance);
+            return known ? acknowledge(leaves) : registryFull();
         });
     }
 
@@ -159,11 +161,11 @@
 
     /** @param leaves whether the routers have to know first that no request may be sent any more */
     private CompletableFuture<Void> acknowledge(boolean leaves) {
-        if (!quorum.holds()) {
+        if (!quorum.hasContact()) {
             return noQuorum();
         }
         return leaves
-                ? publisher.awaitInstances(instances.revision(), ROUTERS_NANOS)
+                ? publisher.awaitInstances(instances.revision(), ROUTER_ACK_TIMEOUT_NANOS)
                 : CompletableFuture.completedFuture(null);
     }
 
--- a/controller/src/main/java/burlarch/controller/KeptForwarder.java
+++ b/controller/src/main/java/burlarch/controller/PrefixCacheEventForwarder.java
@@ -1,7 +1,7 @@
 package burlarch.controller;
 
 import burlarch.coordination.ownership.ShardOwners;
-import burlarch.node.Roles;
+import burlarch.node.NodeRoles;
 import burlarch.transport.EventLoop;
 import burlarch.transport.FrameCodec;
 import burlarch.transport.NodeMessage.PrefixCacheEvents;
@@ -21,16 +21,16 @@
  * written to, and wakes, once for many. What is lost on the way shows in the numbering of its source. Lives
  * on the loop.
  */
-final class KeptForwarder {
+final class PrefixCacheEventForwarder {
     /** How long the oldest batch waits, nanoseconds. */
-    static final long DELAY_NANOS = 50_000_000;
+    static final long BATCH_DELAY_NANOS = 50_000_000;
     /**
      * A controller passes on for others once it has been connected for so long: routers try again once a
      * second at the least, so they are connected with it by then.
      */
-    static final long RELAY_AFTER_NANOS = 2_000_000_000;
+    static final long RELAY_ELIGIBLE_AFTER_NANOS = 2_000_000_000;
     /** What may wait; with more it leaves at once. */
-    private static final int MOST_WAITING = 256;
+    private static final int MAX_PENDING_FRAMES = 256;
 
     private final EventLoop loop;
     private final FrameCodec codec;
@@ -38,18 +38,18 @@
     private final String ownZone;
     private final Map<String, Set<PeerConnection>> routersByZone = new HashMap<>();
     /** Connections that this side asked for, one to each controller of another zone, with their begin. */
-    private final Map<PeerConnection, Long> controllers = new LinkedHashMap<>();
+    private final Map<PeerConnection, Long> relayCandidates = new LinkedHashMap<>();
 
-    private List<Waiting> waiting = new ArrayList<>();
+    private List<PendingFrame> pending = new ArrayList<>();
 
-    private record Waiting(PeerConnection from, byte[] frame) {
+    private record PendingFrame(PeerConnection from, byte[] frame) {
         /** Whether the sender has passed it to the other zones already. */
         boolean isRelayed() {
-            return from.peerHello().role().equals(Roles.CONTROLLER);
+            return from.peerHello().role().equals(NodeRoles.CONTROLLER);
         }
     }
 
-    KeptForwarder(EventLoop loop, FrameCodec codec, String ownAddress, String ownZone) {
+    PrefixCacheEventForwarder(EventLoop loop, FrameCodec codec, String ownAddress, String ownZone) {
         this.loop = loop;
         this.codec = codec;
         this.ownAddress = ownAddress;
@@ -57,54 +57,54 @@
     }
 
     void onUp(PeerConnection connection) {
-        if (connection.peerHello().role().equals(Roles.ROUTER)) {
+        if (connection.peerHello().role().equals(NodeRoles.ROUTER)) {
             routersByZone
                     .computeIfAbsent(connection.peerHello().zone(), zone -> new LinkedHashSet<>())
                     .add(connection);
         } else if (connection.isOutbound() && !connection.peerHello().zone().equals(ownZone)) {
-            controllers.put(connection, loop.nanoTime());
+            relayCandidates.put(connection, loop.nanoTime());
         }
     }
 
     void onDown(PeerConnection connection) {
-        controllers.remove(connection);
+        relayCandidates.remove(connection);
         Set<PeerConnection> routers = routersByZone.get(connection.peerHello().zone());
         if (routers != null && routers.remove(connection) && routers.isEmpty()) {
             routersByZone.remove(connection.peerHello().zone());
         }
     }
 
-    void onKeptParts(PeerConnection from, PrefixCacheEvents parts) {
-        waiting.add(new Waiting(from, codec.encode(parts)));
-        if (waiting.size() >= MOST_WAITING) {
+    void onPrefixCacheEvents(PeerConnection from, PrefixCacheEvents parts) {
+        pending.add(new PendingFrame(from, codec.encode(parts)));
+        if (pending.size() >= MAX_PENDING_FRAMES) {
             forward();
-        } else if (waiting.size() == 1) {
-            loop.schedule(DELAY_NANOS, this::forward);
+        } else if (pending.size() == 1) {
+            loop.schedule(BATCH_DELAY_NANOS, this::forward);
         }
     }
 
     private void forward() {
-        List<Waiting> leaving = waiting;
-        waiting = new ArrayList<>();
+        List<PendingFrame> leaving = pending;
+        pending = new ArrayList<>();
         if (leaving.isEmpty()) {
             return;
         }
-        List<Waiting> first = new ArrayList<>(leaving);
-        first.removeIf(Waiting::isRelayed);
+        List<PendingFrame> first = new ArrayList<>(leaving);
+        first.removeIf(PendingFrame::isRelayed);
         routersByZone.forEach((zone, routers) -> {
-            PeerConnection relay = zone.equals(ownZone) ? null : relayIn(zone);
+            PeerConnection relay = zone.equals(ownZone) ? null : relayFor(zone);
             if (relay != null) {
                 send(first, relay);
             } else {
-                List<Waiting> due = zone.equals(ownZone) ? leaving : first;
+                List<PendingFrame> due = zone.equals(ownZone) ? leaving : first;
                 routers.forEach(router -> send(due, router));
             }
         });
     }
 
-    private static void send(List<Waiting> frames, PeerConnection to) {
+    private static void send(List<PendingFrame> frames, PeerConnection to) {
         for (int i = 0; i < frames.size(); i++) {
-            Waiting one = frames.get(i);
+            PendingFrame one = frames.get(i);
             if (one.from() != to) {
                 to.sendFrame(one.frame());
             }
@@ -112,13 +112,13 @@
     }
 
     /** The controller of that zone that passes on what comes from here, or null where there is none. */
-    private PeerConnection relayIn(String zone) {
+    private PeerConnection relayFor(String zone) {
         long now = loop.nanoTime();
         PeerConnection best = null;
         double most = -1;
-        for (Map.Entry<PeerConnection, Long> one : controllers.entrySet()) {
+        for (Map.Entry<PeerConnection, Long> one : relayCandidates.entrySet()) {
             PeerConnection link = one.getKey();
-            boolean fits = link.peerHello().zone().equals(zone) && now - one.getValue() >= RELAY_AFTER_NANOS;
+            boolean fits = link.peerHello().zone().equals(zone) && now - one.getValue() >= RELAY_ELIGIBLE_AFTER_NANOS;
             double score = fits ? ShardOwners.unit(link.peerHello().nodeName(), ownAddress) : -1;
             if (score > most) {
                 most = score;
--- a/controller/src/main/java/burlarch/controller/Incarnations.java
+++ b/controller/src/main/java/burlarch/controller/ProcessIncarnations.java
@@ -3,16 +3,16 @@
 import java.security.SecureRandom;
 
 /** Numbers that tell the starts of processes apart, and names that hold them. */
-final class Incarnations {
-    private Incarnations() {}
+final class ProcessIncarnations {
+    private ProcessIncarnations() {}
 
     /** A new one; never 0. */
-    static long draw() {
+    static long generate() {
         long drawn = new SecureRandom().nextLong();
         return drawn == 0 ? 1 : drawn;
     }
 
-    static String text(long incarnation) {
+    static String toText(long incarnation) {
         return Long.toHexString(incarnation);
     }
 
--- a/controller/src/main/java/burlarch/controller/RegisterDriver.java
+++ b/controller/src/main/java/burlarch/controller/ProposalExecutor.java
@@ -22,33 +22,34 @@
  * Runs proposals one after the other, so that those of one process don't get into each other's way, and lets
  * the own acceptor answer those of others. Lives on the loop.
  */
-final class RegisterDriver implements Register {
+final class ProposalExecutor implements Proposer {
     /** Proposals that wait for their turn; a further one ends at once as not started. */
-    private static final int MOST_WAITING = 64;
+    private static final int MAX_QUEUED = 64;
 
-    private record Waiting(RegisterChange change, long deadlineNanos, CompletableFuture<ProposalResult> result) {}
+    private record QueuedProposal(
+            RegisterChange change, long deadlineNanos, CompletableFuture<ProposalResult> result) {}
 
     private final EventLoop loop;
     private final ControllerPeers peers;
-    private final AcceptorHost acceptor;
+    private final LocalAcceptor acceptor;
     private final String ownAddress;
     private final String proposerName;
     private final RandomGenerator random;
-    private final Supplier<Belief> belief;
-    private final Deque<Waiting> queue = new ArrayDeque<>();
+    private final Supplier<Belief> registerView;
+    private final Deque<QueuedProposal> queue = new ArrayDeque<>();
     private Proposal proposal;
-    private Waiting running;
-    private long proposals;
-    private long round;
+    private QueuedProposal running;
+    private long proposalCount;
+    private long highestTerm;
 
     /**
      * @param proposerName unique for this start of this process
      * @param belief what is known of the register here
      */
-    RegisterDriver(
+    ProposalExecutor(
             EventLoop loop,
             ControllerPeers peers,
-            AcceptorHost acceptor,
+            LocalAcceptor acceptor,
             String ownAddress,
             String proposerName,
             RandomGenerator random,
@@ -59,17 +60,17 @@
         this.ownAddress = ownAddress;
         this.proposerName = proposerName;
         this.random = random;
-        this.belief = belief;
+        this.registerView = belief;
     }
 
     @Override
     public CompletableFuture<ProposalResult> propose(RegisterChange change, long limitNanos) {
         CompletableFuture<ProposalResult> result = new CompletableFuture<>();
-        if (queue.size() >= MOST_WAITING) {
+        if (queue.size() >= MAX_QUEUED) {
             result.complete(new ProposalResult.NotStarted());
             return result;
         }
-        queue.add(new Waiting(change, loop.nanoTime() + limitNanos, result));
+        queue.add(new QueuedProposal(change, loop.nanoTime() + limitNanos, result));
         startNext();
         return result;
     }
@@ -82,7 +83,7 @@
     /** A message of the register from another controller. */
     void onMessage(PeerConnection from, RegisterMessage message) {
         if (message instanceof RegisterMessage.Prepare || message instanceof RegisterMessage.Accept) {
-            acceptor.handle(message, reply -> from.send(new NodeMessage.RegisterProtocol(reply)));
+            acceptor.onRequest(message, reply -> from.send(new NodeMessage.RegisterProtocol(reply)));
         } else {
             onReply(proposal, message);
         }
@@ -98,14 +99,19 @@
     private void startNext() {
         long now = loop.nanoTime();
         while (proposal == null && !queue.isEmpty()) {
-            Waiting next = queue.poll();
+            QueuedProposal next = queue.poll();
             if (now - next.deadlineNanos() >= 0) {
                 next.result().complete(new ProposalResult.NotStarted());
                 continue;
             }
             running = next;
             proposal = new Proposal(
-                    proposerName + "/" + ++proposals, round, belief.get(), next.change(), next.deadlineNanos(), random);
+                    proposerName + "/" + ++proposalCount,
+                    highestTerm,
+                    registerView.get(),
+                    next.change(),
+                    next.deadlineNanos(),
+                    random);
             perform(proposal, proposal.start(now));
         }
     }
@@ -136,15 +142,15 @@
 
     private void send(Proposal target, Output.Send send) {
         if (send.member().address().equals(ownAddress)) {
-            acceptor.handle(send.message(), reply -> loop.execute(() -> onReply(target, reply)));
+            acceptor.onRequest(send.message(), reply -> loop.execute(() -> onReply(target, reply)));
         } else {
             peers.send(send.member().address(), new NodeMessage.RegisterProtocol(send.message()));
         }
     }
 
     private void finish(Proposal target, ProposalResult result) {
-        round = Math.max(round, target.round());
-        Waiting ended = running;
+        highestTerm = Math.max(highestTerm, target.round());
+        QueuedProposal ended = running;
         proposal = null;
         running = null;
         loop.execute(this::startNext);
--- a/controller/src/main/java/burlarch/controller/Register.java
+++ b/controller/src/main/java/burlarch/controller/Proposer.java
@@ -5,7 +5,7 @@
 import java.util.concurrent.CompletableFuture;
 
 /** The register as those see it who change it. */
-public interface Register {
+public interface Proposer {
     /** Proposes a change; the result comes on the loop, at the latest when the limit is over. */
     CompletableFuture<ProposalResult> propose(RegisterChange change, long limitNanos);
 }
--- a/controller/src/main/java/burlarch/controller/QuorumWatch.java
+++ b/controller/src/main/java/burlarch/controller/QuorumContactMonitor.java
@@ -7,22 +7,22 @@
 import org.tinylog.Logger;
 
 /** Whether this controller stands with a quorum, by what it hears of the others. Lives on the loop. */
-final class QuorumWatch {
+final class QuorumContactMonitor {
     /** Four statuses of a peer. */
-    private static final long CONTACT_NANOS = 1_200_000_000;
+    private static final long CONTACT_TIMEOUT_NANOS = 1_200_000_000;
 
     private final EventLoop loop;
-    private final DecidedState decided;
+    private final CommittedState committed;
     private final QuorumContact contact;
-    private boolean held;
-    private long changedNanos;
+    private boolean inContact;
+    private long changedAtNanos;
 
     /** @param ownStorage storage identity of this process's acceptor */
-    QuorumWatch(EventLoop loop, DecidedState decided, String ownStorage) {
+    QuorumContactMonitor(EventLoop loop, CommittedState decided, String ownStorage) {
         this.loop = loop;
-        this.decided = decided;
-        contact = new QuorumContact(ownStorage, CONTACT_NANOS);
-        changedNanos = loop.nanoTime();
+        this.committed = decided;
+        contact = new QuorumContact(ownStorage, CONTACT_TIMEOUT_NANOS);
+        changedAtNanos = loop.nanoTime();
     }
 
     /** Another controller was heard. */
@@ -36,18 +36,18 @@
     }
 
     /** Whether a quorum of the acceptors that are known here is in contact now. */
-    boolean holds() {
-        boolean holds = contact.holds(AcceptorSet.of(decided.members()), loop.nanoTime());
-        if (holds != held) {
-            held = holds;
-            changedNanos = loop.nanoTime();
+    boolean hasContact() {
+        boolean holds = contact.holds(AcceptorSet.of(committed.members()), loop.nanoTime());
+        if (holds != inContact) {
+            inContact = holds;
+            changedAtNanos = loop.nanoTime();
             Logger.info(holds ? "in contact with a quorum" : "out of contact with a quorum");
         }
         return holds;
     }
 
-    /** Whether there is contact and has been for that time, as far as {@link #holds} was asked in it. */
-    boolean heldFor(long nanos) {
-        return holds() && loop.nanoTime() - changedNanos >= nanos;
+    /** Whether there is contact and has been for that time, as far as {@link #hasContact} was asked in it. */
+    boolean hasContactFor(long nanos) {
+        return hasContact() && loop.nanoTime() - changedAtNanos >= nanos;
     }
 }
--- a/controller/src/main/java/burlarch/controller/ConfirmedReads.java
+++ b/controller/src/main/java/burlarch/controller/QuorumReadGate.java
@@ -12,44 +12,44 @@
  * controller that is cut off from the others may hold an old one. One read serves all routers that waited at
  * its start.
  */
-final class ConfirmedReads {
-    private static final long RETRY_NANOS = 200_000_000;
+final class QuorumReadGate {
+    private static final long RETRY_DELAY_NANOS = 200_000_000;
 
     private final EventLoop loop;
-    private final StateRegister register;
+    private final RegisterClient register;
     private final RouterPublisher publisher;
-    private final Set<PeerConnection> waiting = new LinkedHashSet<>();
+    private final Set<PeerConnection> waitingRouters = new LinkedHashSet<>();
     private boolean reading;
 
-    ConfirmedReads(EventLoop loop, StateRegister register, RouterPublisher publisher) {
+    QuorumReadGate(EventLoop loop, RegisterClient register, RouterPublisher publisher) {
         this.loop = loop;
         this.register = register;
         this.publisher = publisher;
     }
 
     void onRouterUp(PeerConnection router) {
-        waiting.add(router);
+        waitingRouters.add(router);
         readNext();
     }
 
     void onRouterDown(PeerConnection router) {
-        waiting.remove(router);
+        waitingRouters.remove(router);
     }
 
     private void readNext() {
-        if (reading || waiting.isEmpty()) {
+        if (reading || waitingRouters.isEmpty()) {
             return;
         }
         reading = true;
-        List<PeerConnection> served = new ArrayList<>(waiting);
+        List<PeerConnection> served = new ArrayList<>(waitingRouters);
         register.read().whenComplete((state, failure) -> {
             reading = false;
             if (failure == null) {
-                served.forEach(waiting::remove);
-                served.forEach(publisher::onConfirmed);
+                served.forEach(waitingRouters::remove);
+                served.forEach(publisher::onQuorumRead);
                 readNext();
             } else {
-                loop.schedule(RETRY_NANOS, this::readNext);
+                loop.schedule(RETRY_DELAY_NANOS, this::readNext);
             }
         });
     }
--- a/controller/src/main/java/burlarch/controller/StateRegister.java
+++ b/controller/src/main/java/burlarch/controller/RegisterClient.java
@@ -1,7 +1,7 @@
 package burlarch.controller;
 
 import burlarch.controller.state.ChangeResult;
-import burlarch.controller.state.StateProposal;
+import burlarch.controller.state.StateChangeProposal;
 import burlarch.controller.state.SystemState;
 import burlarch.controller.state.SystemStateCodec;
 import burlarch.coordination.register.AcceptorSet;
@@ -9,8 +9,8 @@
 import burlarch.coordination.register.Member;
 import burlarch.coordination.register.ProposalResult;
 import burlarch.coordination.register.RegisterValue;
+import burlarch.node.error.ControlException;
 import burlarch.node.error.ErrorKind;
-import burlarch.node.error.FleetException;
 import burlarch.transport.NodeMessage;
 import java.util.List;
 import java.util.concurrent.CompletableFuture;
@@ -20,16 +20,16 @@
  * The register as one that holds a {@link SystemState}: what a proposal chose is adopted and told to the
  * other controllers before anyone hears of its end. Lives on the loop.
  */
-final class StateRegister {
-    private static final long PROPOSAL_NANOS = 850_000_000;
+final class RegisterClient {
+    private static final long PROPOSAL_TIMEOUT_NANOS = 850_000_000;
 
-    private final Register driver;
-    private final DecidedState decided;
+    private final Proposer proposer;
+    private final CommittedState committed;
     private final ControllerPeers peers;
 
-    StateRegister(Register driver, DecidedState decided, ControllerPeers peers) {
-        this.driver = driver;
-        this.decided = decided;
+    RegisterClient(Proposer driver, CommittedState decided, ControllerPeers peers) {
+        this.proposer = driver;
+        this.committed = decided;
         this.peers = peers;
     }
 
@@ -37,30 +37,31 @@
      * Changes the state.
      *
      * @return the state that holds the change, also where it held it before; fails with a {@link
-     * FleetException}
+     * ControlException}
      */
     CompletableFuture<SystemState> change(Function<SystemState, ChangeResult> change) {
-        StateProposal proposal = new StateProposal(change);
-        return driver.propose(proposal, PROPOSAL_NANOS).thenApply(result -> {
-            adopt(result);
+        StateChangeProposal proposal = new StateChangeProposal(change);
+        return proposer.propose(proposal, PROPOSAL_TIMEOUT_NANOS).thenApply(result -> {
+            learnChosen(result);
             return proposal.outcome(result);
         });
     }
 
     /** The newest state, as a quorum has it. */
     CompletableFuture<SystemState> read() {
-        return driver.propose(current -> Decision.keep(), PROPOSAL_NANOS).thenApply(this::adopted);
+        return proposer.propose(current -> Decision.keep(), PROPOSAL_TIMEOUT_NANOS)
+                .thenApply(this::stateOf);
     }
 
     /** Writes an empty state where the register holds none. */
-    CompletableFuture<SystemState> found() {
-        return driver.propose(
+    CompletableFuture<SystemState> writeInitialState() {
+        return proposer.propose(
                         current -> current != null
                                 ? Decision.keep()
                                 : new Decision.Write(new RegisterValue(
-                                        decided.members(), SystemStateCodec.encode(SystemState.EMPTY))),
-                        PROPOSAL_NANOS)
-                .thenApply(this::adopted);
+                                        committed.members(), SystemStateCodec.encode(SystemState.EMPTY))),
+                        PROPOSAL_TIMEOUT_NANOS)
+                .thenApply(this::stateOf);
     }
 
     /**
@@ -68,12 +69,13 @@
      * changing set of acceptors among them.
      */
     CompletableFuture<SystemState> seal() {
-        return driver.propose(current -> Decision.seal(), PROPOSAL_NANOS).thenApply(this::adopted);
+        return proposer.propose(current -> Decision.seal(), PROPOSAL_TIMEOUT_NANOS)
+                .thenApply(this::stateOf);
     }
 
     /** Changes the acceptors; the state stays. */
     CompletableFuture<SystemState> changeMembers(List<Member> from, List<Member> to) {
-        return driver.propose(
+        return proposer.propose(
                         current -> {
                             boolean asExpected =
                                     current != null && current.members().equals(from);
@@ -81,32 +83,33 @@
                                     ? new Decision.Write(new RegisterValue(to, current.payload()))
                                     : Decision.keep();
                         },
-                        PROPOSAL_NANOS)
-                .thenApply(this::adopted);
+                        PROPOSAL_TIMEOUT_NANOS)
+                .thenApply(this::stateOf);
     }
 
-    private SystemState adopted(ProposalResult result) {
-        adopt(result);
+    private SystemState stateOf(ProposalResult result) {
+        learnChosen(result);
         if (result instanceof ProposalResult.Chosen chosen) {
-            return StateProposal.stateOf(chosen.value());
+            return StateChangeProposal.stateOf(chosen.value());
         }
         boolean unclear = result instanceof ProposalResult.Unknown;
-        throw new FleetException(unclear ? ErrorKind.UNCLEAR : ErrorKind.NO_QUORUM);
+        throw new ControlException(unclear ? ErrorKind.UNCLEAR : ErrorKind.NO_QUORUM);
     }
 
-    private void adopt(ProposalResult result) {
-        if (result instanceof ProposalResult.Chosen chosen && decided.adopt(chosen.ballot(), chosen.value(), true)) {
+    private void learnChosen(ProposalResult result) {
+        if (result instanceof ProposalResult.Chosen chosen
+                && committed.advance(chosen.ballot(), chosen.value(), true)) {
             peers.sendAll(NodeMessage.Committed.withoutValue(chosen.ballot()));
         }
     }
 
     /** The newest state that is known here without asking. */
-    SystemState known() {
-        return decided.state();
+    SystemState committedState() {
+        return committed.state();
     }
 
     /** The acceptors that have a vote, as far as is known here. */
     AcceptorSet acceptors() {
-        return AcceptorSet.of(decided.members());
+        return AcceptorSet.of(committed.members());
     }
 }
--- a/controller/src/main/java/burlarch/controller/ControllerStorage.java
+++ b/controller/src/main/java/burlarch/controller/RegisterStorage.java
@@ -15,10 +15,10 @@
  * What a controller finds on its disk.
  *
  * @param store of the acceptor
- * @param belief the newest that this disk tells of the register and its acceptors: the value accepted here,
+ * @param initialView the newest that this disk tells of the register and its acceptors: the value accepted here,
  *     the acceptors of a chosen value, or those of the first start
  */
-public record ControllerStorage(AcceptorStore store, Belief belief) {
+public record RegisterStorage(AcceptorStore store, Belief initialView) {
     /** Extra value of the store: acceptors of the first start, one a line. */
     private static final String FIRST_MEMBERS = "first-members";
 
@@ -29,14 +29,14 @@
      * @param newIdentity for a disk that comes empty later: an identity that no other disk ever has
      * @throws IOException if the disk can't be read or made lasting; opening may be tried again
      */
-    public static ControllerStorage open(
+    public static RegisterStorage open(
             Disk disk, String address, List<String> seeds, boolean bootstrap, Supplier<String> newIdentity)
             throws IOException {
         return open(disk, address, seeds, bootstrap, newIdentity, SegmentedLog.DEFAULT_SEGMENT_BYTES);
     }
 
     /** As the other one, with snapshots at other distances. */
-    public static ControllerStorage open(
+    public static RegisterStorage open(
             Disk disk,
             String address,
             List<String> seeds,
@@ -47,8 +47,8 @@
         AcceptorStore store =
                 AcceptorStore.open(disk, () -> bootstrap ? firstIdentity(address) : newIdentity.get(), segmentBytes);
         Belief first = Belief.firstStart(firstMembers(store, seeds, bootstrap));
-        Belief belief = first.newer(KnownAcceptors.load(store)).newer(Belief.of(store.state()));
-        return new ControllerStorage(store, belief);
+        Belief belief = first.newer(StoredAcceptorSet.load(store)).newer(Belief.of(store.state()));
+        return new RegisterStorage(store, belief);
     }
 
     private static String firstIdentity(String address) {
--- a/controller/src/main/java/burlarch/controller/WeightsDuty.java
+++ b/controller/src/main/java/burlarch/controller/RolloutCoordinator.java
@@ -15,7 +15,7 @@
 import org.tinylog.Logger;
 
 /** Brings engines to the named weights while this controller owns the duty. Lives on the loop. */
-final class WeightsDuty implements OwnershipKeeper.Duty {
+final class RolloutCoordinator implements LeaseManager.SingletonRole {
     private static final long PERIOD_NANOS = 300_000_000;
 
     private final EventLoop loop;
@@ -23,10 +23,10 @@
     private final RouterPublisher publisher;
     private final EngineControlClient engines;
     private final WeightsRollout rollout;
-    private OwnershipKeeper ownership;
+    private LeaseManager ownership;
     private EventLoop.Timer timer;
 
-    WeightsDuty(
+    RolloutCoordinator(
             EventLoop loop,
             InstanceRegistry registry,
             RouterPublisher publisher,
@@ -40,9 +40,9 @@
     }
 
     /** To be called once. */
-    void start(OwnershipKeeper keeper) {
+    void start(LeaseManager keeper) {
         ownership = keeper;
-        loop.schedule(PERIOD_NANOS, this::look);
+        loop.schedule(PERIOD_NANOS, this::updateInstances);
     }
 
     /** Whether some engine has yet to get newer weights. */
@@ -51,15 +51,15 @@
     }
 
     /** A value was chosen. */
-    void onDecided(SystemState state) {
+    void onCommitted(SystemState state) {
         perform(rollout.onTargets(state.weights(), loop.nanoTime()));
         if (hasWork()) {
             ownership.wake();
         }
     }
 
-    private void look() {
-        loop.schedule(PERIOD_NANOS, this::look);
+    private void updateInstances() {
+        loop.schedule(PERIOD_NANOS, this::updateInstances);
         List<Instance> live = registry.snapshot().instances().stream()
                 .filter(instance -> instance.state() != InstanceState.GONE)
                 .toList();
@@ -67,25 +67,25 @@
     }
 
     @Override
-    public void begin(long token) {
+    public void onAcquired(long token) {
         perform(rollout.onOwnership(token, loop.nanoTime()));
     }
 
     @Override
-    public void end() {
+    public void onLost() {
         perform(rollout.onOwnershipLost(loop.nanoTime()));
     }
 
     private void perform(List<RolloutAction> actions) {
         for (RolloutAction action : actions) {
             if (action instanceof RolloutAction.SendOrder order) {
-                send(order);
+                sendOrder(order);
             } else if (action instanceof RolloutAction.MarkLoading mark) {
                 registry.setLoading(mark.instanceId(), mark.loading(), loop.nanoTime());
             } else if (action instanceof RolloutAction.RequestReport ask) {
-                report(ask.instanceId());
+                requestReport(ask.instanceId());
             } else if (action instanceof RolloutAction.Timer next) {
-                plan(next);
+                scheduleTimer(next);
             } else if (action instanceof RolloutAction.OwnershipLost) {
                 loop.execute(ownership::onFenced);
             }
@@ -93,7 +93,7 @@
         publisher.sendInstances();
     }
 
-    private void send(RolloutAction.SendOrder order) {
+    private void sendOrder(RolloutAction.SendOrder order) {
         Instance instance = registry.find(order.instanceId());
         if (instance == null || !ownership.mayAct()) {
             loop.execute(() -> onResult(order, OrderResult.NO_RESPONSE));
@@ -114,7 +114,7 @@
         perform(rollout.onOrderResult(order.instanceId(), result, loop.nanoTime()));
     }
 
-    private void report(String id) {
+    private void requestReport(String id) {
         Instance instance = registry.find(id);
         if (instance == null) {
             loop.execute(() -> perform(rollout.onReport(id, null, loop.nanoTime())));
@@ -129,7 +129,7 @@
         return new EngineAddress(instance.id(), instance.address());
     }
 
-    private void plan(RolloutAction.Timer next) {
+    private void scheduleTimer(RolloutAction.Timer next) {
         if (timer != null) {
             timer.cancel();
         }
--- a/controller/src/main/java/burlarch/controller/RouterPublisher.java
+++ b/controller/src/main/java/burlarch/controller/RouterPublisher.java
@@ -26,12 +26,12 @@
      * A configuration that another controller chose is sent by that one: here only to those that lack it by
      * then.
      */
-    private static final long OTHERS_CHANGE_DELAY_NANOS = 150_000_000;
+    private static final long PEER_COMMIT_DELAY_NANOS = 150_000_000;
 
     /** Routers that come and go, and controllers that are new, within this time are told of together. */
-    static final long FLEET_DELAY_NANOS = 50_000_000;
+    static final long FLEET_UPDATE_DELAY_NANOS = 50_000_000;
     /** A router that says nothing of what it holds for so long is sent the whole configuration. */
-    private static final long FIRST_WORD_NANOS = 100_000_000;
+    private static final long FIRST_ACK_TIMEOUT_NANOS = 100_000_000;
 
     private final EventLoop loop;
     private final FrameCodec codec;
@@ -44,27 +44,27 @@
     private final Set<PeerConnection> confirmed = new HashSet<>();
 
     private SystemState state = SystemState.EMPTY;
-    private final ConfigurationStream configurationStream;
+    private final ConfigurationDeltaSender configurationStream;
     private long sentRevision;
     private List<String> knownControllers = List.of();
-    private boolean fleetPlanned;
+    private boolean fleetUpdateScheduled;
 
     RouterPublisher(EventLoop loop, FrameCodec codec, InstanceRegistry registry) {
         this.loop = loop;
         this.codec = codec;
         this.registry = registry;
-        configurationStream = new ConfigurationStream(codec);
+        configurationStream = new ConfigurationDeltaSender(codec);
     }
 
     /**
-     * A router is connected. It gets instances at once, the configuration once {@link #onConfirmed} allows.
+     * A router is connected. It gets instances at once, the configuration once {@link #onQuorumRead} allows.
      */
     void onRouterUp(PeerConnection router, List<String> controllers) {
         routers.add(router);
         configurations.subscribe(router);
         instances.subscribe(router);
         router.sendFrame(frame(registry.snapshot()));
-        sendFleet(controllers);
+        scheduleFleetUpdate(controllers);
     }
 
     void onRouterDown(PeerConnection router, List<String> controllers) {
@@ -76,7 +76,7 @@
         configurations.unsubscribe(router);
         instances.unsubscribe(router);
         finishWaits();
-        sendFleet(controllers);
+        scheduleFleetUpdate(controllers);
     }
 
     /** How many routers are connected. */
@@ -85,16 +85,16 @@
     }
 
     /** Tells the routers soon which controllers there are and how many routers. */
-    void sendFleet(List<String> controllers) {
+    void scheduleFleetUpdate(List<String> controllers) {
         knownControllers = controllers;
-        if (!fleetPlanned) {
-            fleetPlanned = true;
-            loop.schedule(FLEET_DELAY_NANOS, this::sendFleetNow);
+        if (!fleetUpdateScheduled) {
+            fleetUpdateScheduled = true;
+            loop.schedule(FLEET_UPDATE_DELAY_NANOS, this::sendFleetUpdate);
         }
     }
 
-    private void sendFleetNow() {
-        fleetPlanned = false;
+    private void sendFleetUpdate() {
+        fleetUpdateScheduled = false;
         byte[] frame = codec.encode(new NodeMessage.FleetUpdate(knownControllers, routers.size()));
         routers.forEach(router -> router.sendFrame(frame));
     }
@@ -103,19 +103,19 @@
      * The router was connected before a read that a quorum confirmed began: it may be sent the newest
      * configuration.
      */
-    void onConfirmed(PeerConnection router) {
+    void onQuorumRead(PeerConnection router) {
         if (!routers.contains(router) || !confirmed.add(router)) {
             return;
         }
         if (configurations.acknowledgedBy(router).isPresent()) {
             sendConfiguration(router);
         } else {
-            loop.schedule(FIRST_WORD_NANOS, () -> sendConfiguration(router));
+            loop.schedule(FIRST_ACK_TIMEOUT_NANOS, () -> sendConfiguration(router));
         }
     }
 
     /** A value was chosen. */
-    void onDecided(SystemState decided, boolean ownProposal) {
+    void onCommitted(SystemState decided, boolean ownProposal) {
         boolean newer = decided.configurationVersion() > state.configurationVersion();
         state = decided;
         if (!newer) {
@@ -125,7 +125,7 @@
         if (ownProposal) {
             sendConfiguration();
         } else {
-            loop.schedule(OTHERS_CHANGE_DELAY_NANOS, this::sendConfiguration);
+            loop.schedule(PEER_COMMIT_DELAY_NANOS, this::sendConfiguration);
         }
     }
 
@@ -142,7 +142,7 @@
     /** What was sent fits no document that the router holds. */
     void onFetchConfiguration(PeerConnection router) {
         if (confirmed.contains(router)) {
-            configurationStream.sendWhole(router);
+            configurationStream.sendComplete(router);
         }
     }
 
--- a/controller/src/main/java/burlarch/controller/KnownAcceptors.java
+++ b/controller/src/main/java/burlarch/controller/StoredAcceptorSet.java
@@ -15,14 +15,14 @@
  * asks after a start that is no acceptor, or whose own vote has missed a change of the acceptors. Bounded by
  * {@link AcceptorStore#MAX_NAMED_VALUE_BYTES}.
  */
-final class KnownAcceptors {
+final class StoredAcceptorSet {
     /** Extra value of the store: round and proposer of the ballot, then one acceptor a line. */
     private static final String KEY = "known-acceptors";
 
     private static final String SEPARATOR = " ";
-    private static final int PARTS = 2;
+    private static final int FIELDS_PER_LINE = 2;
 
-    private KnownAcceptors() {}
+    private StoredAcceptorSet() {}
 
     /** What was saved last; {@link Belief#NONE} where nothing was. */
     static Belief load(AcceptorStore store) {
@@ -31,10 +31,10 @@
             return Belief.NONE;
         }
         List<String> lines = new String(kept, UTF_8).lines().toList();
-        String[] ballot = lines.get(0).split(SEPARATOR, PARTS);
+        String[] ballot = lines.get(0).split(SEPARATOR, FIELDS_PER_LINE);
         List<Member> members = new ArrayList<>();
         for (String line : lines.subList(1, lines.size())) {
-            String[] member = line.split(SEPARATOR, PARTS);
+            String[] member = line.split(SEPARATOR, FIELDS_PER_LINE);
             members.add(new Member(member[0], member[1]));
         }
         return Belief.ofChosenSet(new Ballot(Long.parseLong(ballot[0]), ballot[1]), members);
--- a/controller/src/main/java/burlarch/controller/api/ControlHandler.java
+++ b/controller/src/main/java/burlarch/controller/api/ControlHandler.java
@@ -1,8 +1,8 @@
 package burlarch.controller.api;
 
+import burlarch.node.error.ControlException;
 import burlarch.node.error.ErrorKind;
-import burlarch.node.error.FleetException;
-import burlarch.node.http.BodyBudget;
+import burlarch.node.http.RequestBodyBudget;
 import com.fasterxml.jackson.databind.JsonNode;
 import java.util.concurrent.CompletableFuture;
 import java.util.function.Function;
@@ -17,17 +17,17 @@
     private static final String CONFIGURATION = "/burlarch/config";
     private static final String WEIGHTS = "/burlarch/version-put";
     private static final String INSTANCES = "/burlarch/instances/";
-    private static final int LONGEST_ID = 256;
+    private static final int MAX_ID_LENGTH = 256;
 
     private final ControlService service;
-    private final BodyBudget budget;
-    private final long callMillis;
+    private final RequestBodyBudget budget;
+    private final long callTimeoutMillis;
     private volatile boolean draining;
 
-    ControlHandler(ControlService service, BodyBudget budget, long callMillis) {
+    ControlHandler(ControlService service, RequestBodyBudget budget, long callMillis) {
         this.service = service;
         this.budget = budget;
-        this.callMillis = callMillis;
+        this.callTimeoutMillis = callMillis;
     }
 
     /** From now on each connection ends with its next answer. */
@@ -37,7 +37,7 @@
 
     @Override
     public boolean handle(Request request, Response response, Callback callback) {
-        ControlCall call = new ControlCall(request, response, callback, draining);
+        ControlExchange call = new ControlExchange(request, response, callback, draining);
         try {
             dispatch(request, call);
         } catch (RuntimeException failure) {
@@ -46,7 +46,7 @@
         return true;
     }
 
-    private void dispatch(Request request, ControlCall call) {
+    private void dispatch(Request request, ControlExchange call) {
         String path = Request.getPathInContext(request);
         if (path.equals(CONFIGURATION)) {
             configuration(request, call);
@@ -55,19 +55,19 @@
         } else if (path.startsWith(INSTANCES)) {
             instance(request, call, path.substring(INSTANCES.length()));
         } else {
-            throw new FleetException(ErrorKind.NOT_FOUND);
+            throw new ControlException(ErrorKind.NOT_FOUND);
         }
     }
 
-    private void configuration(Request request, ControlCall call) {
+    private void configuration(Request request, ControlExchange call) {
         switch (request.getMethod()) {
-            case "GET" -> call.answerWith(service.readConfiguration(), callMillis);
+            case "GET" -> call.respondWith(service.readConfiguration(), callTimeoutMillis);
             case "PUT" -> {
                 long ifMatch = ifMatch(request);
                 withBody(
                         request,
                         call,
-                        BodyLimits.LONGEST_CONFIGURATION,
+                        RequestBodyLimits.MAX_CONFIGURATION_BYTES,
                         body -> service.putConfiguration(body, ifMatch));
             }
             case "PATCH" -> {
@@ -75,39 +75,43 @@
                 withBody(
                         request,
                         call,
-                        BodyLimits.LONGEST_CONFIGURATION,
+                        RequestBodyLimits.MAX_CONFIGURATION_BYTES,
                         body -> service.patchConfiguration(body, ifMatch));
             }
-            default -> throw new FleetException(ErrorKind.METHOD);
+            default -> throw new ControlException(ErrorKind.METHOD);
         }
     }
 
-    private void weights(Request request, ControlCall call) {
+    private void weights(Request request, ControlExchange call) {
         if (!request.getMethod().equals("POST")) {
-            throw new FleetException(ErrorKind.METHOD);
+            throw new ControlException(ErrorKind.METHOD);
         }
-        withBody(request, call, BodyLimits.LONGEST_OTHER, body -> {
-            JsonNode json = Json.object(body);
-            return service.nameWeights(Json.text(json, "model"), Json.whole(json, "config_version"));
+        withBody(request, call, RequestBodyLimits.MAX_OTHER_BYTES, body -> {
+            JsonNode json = ControlJson.object(body);
+            return service.nameWeights(
+                    ControlJson.requiredText(json, "model"), ControlJson.wholeNumber(json, "config_version"));
         });
     }
 
-    private void instance(Request request, ControlCall call, String id) {
-        if (id.isEmpty() || id.length() > LONGEST_ID || id.indexOf('/') >= 0) {
-            throw new FleetException(ErrorKind.NOT_FOUND);
+    private void instance(Request request, ControlExchange call, String id) {
+        if (id.isEmpty() || id.length() > MAX_ID_LENGTH || id.indexOf('/') >= 0) {
+            throw new ControlException(ErrorKind.NOT_FOUND);
         }
         switch (request.getMethod()) {
             case "PUT" -> withBody(
-                    request, call, BodyLimits.LONGEST_OTHER, body -> service.announce(Announcements.read(id, body)));
-            case "DELETE" -> call.answerWith(service.leave(id), callMillis);
-            default -> throw new FleetException(ErrorKind.METHOD);
+                    request,
+                    call,
+                    RequestBodyLimits.MAX_OTHER_BYTES,
+                    body -> service.announce(InstanceAnnouncementParser.read(id, body)));
+            case "DELETE" -> call.respondWith(service.leave(id), callTimeoutMillis);
+            default -> throw new ControlException(ErrorKind.METHOD);
         }
     }
 
     private void withBody(
-            Request request, ControlCall call, int longest, Function<byte[], CompletableFuture<Void>> action) {
-        BodyReader[] reader = new BodyReader[1];
-        reader[0] = new BodyReader(
+            Request request, ControlExchange call, int longest, Function<byte[], CompletableFuture<Void>> action) {
+        RequestBodyReader[] reader = new RequestBodyReader[1];
+        reader[0] = new RequestBodyReader(
                 request,
                 longest,
                 budget,
@@ -115,7 +119,7 @@
                     try {
                         CompletableFuture<Void> result = action.apply(body);
                         result.whenComplete((nothing, failure) -> reader[0].release());
-                        call.answerWith(result, callMillis);
+                        call.respondWith(result, callTimeoutMillis);
                     } catch (RuntimeException failure) {
                         reader[0].release();
                         call.fail(failure);
@@ -137,7 +141,7 @@
         try {
             return Long.parseLong(text.replace("\"", "").trim());
         } catch (NumberFormatException notNumber) {
-            throw new FleetException(ErrorKind.BAD_REQUEST, "If-Match", "must be a whole number");
+            throw new ControlException(ErrorKind.BAD_REQUEST, "If-Match", "must be a whole number");
         }
     }
 }
--- a/controller/src/main/java/burlarch/controller/api/Json.java
+++ b/controller/src/main/java/burlarch/controller/api/ControlJson.java
@@ -1,7 +1,7 @@
 package burlarch.controller.api;
 
+import burlarch.node.error.ControlException;
 import burlarch.node.error.ErrorKind;
-import burlarch.node.error.FleetException;
 import burlarch.node.error.Problem;
 import com.fasterxml.jackson.core.JsonProcessingException;
 import com.fasterxml.jackson.databind.JsonNode;
@@ -12,27 +12,27 @@
 import java.io.UncheckedIOException;
 
 /** The small bodies of the control interface, as trees. */
-final class Json {
+final class ControlJson {
     private static final ObjectMapper MAPPER = new ObjectMapper();
-    private static final int MOST_PROBLEMS = 16;
-    private static final int LONGEST_TEXT = 256;
+    private static final int MAX_PROBLEMS = 16;
+    private static final int MAX_TEXT_LENGTH = 256;
 
-    private Json() {}
+    private ControlJson() {}
 
     /**
      * The object in a body.
      *
-     * @throws FleetException if it holds no object
+     * @throws ControlException if it holds no object
      */
     static JsonNode object(byte[] body) {
         JsonNode tree;
         try {
             tree = MAPPER.readTree(body);
         } catch (IOException broken) {
-            throw new FleetException(ErrorKind.BAD_REQUEST, "", "not JSON");
+            throw new ControlException(ErrorKind.BAD_REQUEST, "", "not JSON");
         }
         if (!tree.isObject()) {
-            throw new FleetException(ErrorKind.BAD_REQUEST, "", "not an object");
+            throw new ControlException(ErrorKind.BAD_REQUEST, "", "not an object");
         }
         return tree;
     }
@@ -40,12 +40,12 @@
     /**
      * A text that has to be there.
      *
-     * @throws FleetException if it is absent, empty, too long or no text
+     * @throws ControlException if it is absent, empty, too long or no text
      */
-    static String text(JsonNode object, String field) {
+    static String requiredText(JsonNode object, String field) {
         String text = optionalText(object, field);
         if (text.isEmpty()) {
-            throw new FleetException(ErrorKind.INVALID, field, "must be a text");
+            throw new ControlException(ErrorKind.INVALID, field, "must be a text");
         }
         return text;
     }
@@ -53,12 +53,12 @@
     /**
      * A text, or a number as text; empty where it is absent.
      *
-     * @throws FleetException if it is too long
+     * @throws ControlException if it is too long
      */
     static String optionalText(JsonNode object, String field) {
         String text = object.path(field).asText("");
-        if (text.length() > LONGEST_TEXT) {
-            throw new FleetException(ErrorKind.INVALID, field, "too long");
+        if (text.length() > MAX_TEXT_LENGTH) {
+            throw new ControlException(ErrorKind.INVALID, field, "too long");
         }
         return text;
     }
@@ -66,23 +66,23 @@
     /**
      * A whole number that has to be there.
      *
-     * @throws FleetException if it is absent or no whole number
+     * @throws ControlException if it is absent or no whole number
      */
-    static long whole(JsonNode object, String field) {
+    static long wholeNumber(JsonNode object, String field) {
         JsonNode node = object.path(field);
         if (!node.isIntegralNumber() || !node.canConvertToLong()) {
-            throw new FleetException(ErrorKind.INVALID, field, "must be a whole number");
+            throw new ControlException(ErrorKind.INVALID, field, "must be a whole number");
         }
         return node.asLong();
     }
 
     /** What is told of a failure: its kind, and the first of its problems by field and reason. */
-    static byte[] error(FleetException failure) {
+    static byte[] error(ControlException failure) {
         ObjectNode error = MAPPER.createObjectNode().put("error", failure.kind().code());
         ArrayNode problems = error.putArray("problems");
         for (Problem problem : failure.problems()) {
-            if (problems.size() < MOST_PROBLEMS) {
-                problems.addObject().put("field", cut(problem.field())).put("reason", cut(problem.reason()));
+            if (problems.size() < MAX_PROBLEMS) {
+                problems.addObject().put("field", truncate(problem.field())).put("reason", truncate(problem.reason()));
             }
         }
         try {
@@ -92,7 +92,7 @@
         }
     }
 
-    private static String cut(String text) {
-        return text != null && text.length() > LONGEST_TEXT ? text.substring(0, LONGEST_TEXT) : text;
+    private static String truncate(String text) {
+        return text != null && text.length() > MAX_TEXT_LENGTH ? text.substring(0, MAX_TEXT_LENGTH) : text;
     }
 }
--- a/controller/src/main/java/burlarch/controller/api/ControlServer.java
+++ b/controller/src/main/java/burlarch/controller/api/ControlServer.java
@@ -1,6 +1,6 @@
 package burlarch.controller.api;
 
-import burlarch.node.http.BodyBudget;
+import burlarch.node.http.RequestBodyBudget;
 import java.net.InetSocketAddress;
 import java.nio.channels.ServerSocketChannel;
 import java.util.concurrent.TimeUnit;
@@ -15,13 +15,13 @@
 
 /** The HTTP server on the {@code control} address, for the operator and for what announces itself. */
 public final class ControlServer {
-    private static final int MOST_THREADS = 6;
-    private static final int LEAST_THREADS = 2;
+    private static final int MAX_THREADS = 6;
+    private static final int MIN_THREADS = 2;
     private static final int ACCEPTORS = 0;
     private static final int SELECTORS = 1;
     private static final int BACKLOG = 256;
-    private static final int MOST_CONNECTIONS = 1024;
-    private static final long IDLE_MILLIS = TimeUnit.SECONDS.toMillis(30);
+    private static final int MAX_CONNECTIONS = 1024;
+    private static final long IDLE_TIMEOUT_MILLIS = TimeUnit.SECONDS.toMillis(30);
 
     private final Server server;
     private final ServerConnector connector;
@@ -35,18 +35,18 @@
      *     second after which its caller gives up
      */
     public ControlServer(InetSocketAddress address, ControlService service, long callMillis) {
-        QueuedThreadPool threads = new QueuedThreadPool(MOST_THREADS, LEAST_THREADS);
+        QueuedThreadPool threads = new QueuedThreadPool(MAX_THREADS, MIN_THREADS);
         threads.setReservedThreads(0);
         threads.setName("control");
         server = new Server(threads);
         connector = new ServerConnector(server, ACCEPTORS, SELECTORS, new HttpConnectionFactory(quiet()));
         connector.setHost(address.getHostString());
         connector.setPort(address.getPort());
-        connector.setIdleTimeout(IDLE_MILLIS);
+        connector.setIdleTimeout(IDLE_TIMEOUT_MILLIS);
         connector.setAcceptQueueSize(BACKLOG);
         server.addConnector(connector);
-        server.addBean(new NetworkConnectionLimit(MOST_CONNECTIONS, connector));
-        handler = new ControlHandler(service, new BodyBudget(BodyLimits.MOST_TOGETHER), callMillis);
+        server.addBean(new NetworkConnectionLimit(MAX_CONNECTIONS, connector));
+        handler = new ControlHandler(service, new RequestBodyBudget(RequestBodyLimits.MAX_TOTAL_BYTES), callMillis);
         server.setHandler(handler);
     }
 
--- a/controller/src/main/java/burlarch/controller/api/Announcements.java
+++ b/controller/src/main/java/burlarch/controller/api/InstanceAnnouncementParser.java
@@ -4,31 +4,31 @@
 import burlarch.coordination.registry.Instance.ServedModel;
 import burlarch.coordination.registry.InstanceRegistry;
 import burlarch.coordination.registry.InstanceState;
+import burlarch.node.error.ControlException;
 import burlarch.node.error.ErrorKind;
-import burlarch.node.error.FleetException;
 import com.fasterxml.jackson.databind.JsonNode;
 import java.util.ArrayList;
 import java.util.List;
 
 /** Reads what an instance says of itself. Fields that are not known are passed over. */
-final class Announcements {
-    private static final int MOST_MODELS = 64;
+final class InstanceAnnouncementParser {
+    private static final int MAX_MODELS = 64;
 
-    private Announcements() {}
+    private InstanceAnnouncementParser() {}
 
     /**
      * The instance in a heartbeat's body.
      *
-     * @throws FleetException if it is no JSON, or lacks its service, address, state or sequence
+     * @throws ControlException if it is no JSON, or lacks its service, address, state or sequence
      */
     static Instance read(String id, byte[] body) {
-        JsonNode json = Json.object(body);
+        JsonNode json = ControlJson.object(body);
         return new Instance(
                 id,
-                Json.text(json, "service"),
+                ControlJson.requiredText(json, "service"),
                 address(json),
-                Json.optionalText(json, "zone"),
-                Json.optionalText(json, "config_version"),
+                ControlJson.optionalText(json, "zone"),
+                ControlJson.optionalText(json, "config_version"),
                 Math.max(0, json.path("capacity").asInt()),
                 state(json),
                 Math.max(0, json.path("warmup_left_ms").asLong()),
@@ -37,38 +37,39 @@
     }
 
     private static long sequence(JsonNode json) {
-        long sequence = Json.whole(json, "sequence");
+        long sequence = ControlJson.wholeNumber(json, "sequence");
         if (sequence < 0 || sequence >= InstanceRegistry.LEFT_SEQUENCE) {
-            throw new FleetException(ErrorKind.INVALID, "sequence", "out of range");
+            throw new ControlException(ErrorKind.INVALID, "sequence", "out of range");
         }
         return sequence;
     }
 
     private static String address(JsonNode json) {
-        String address = Json.text(json, "address");
+        String address = ControlJson.requiredText(json, "address");
         int colon = address.lastIndexOf(':');
         if (colon <= 0 || colon == address.length() - 1) {
-            throw new FleetException(ErrorKind.INVALID, "address", "must be IP:PORT");
+            throw new ControlException(ErrorKind.INVALID, "address", "must be IP:PORT");
         }
         return address;
     }
 
     private static InstanceState state(JsonNode json) {
-        return switch (Json.text(json, "state")) {
+        return switch (ControlJson.requiredText(json, "state")) {
             case "ready" -> InstanceState.READY;
             case "draining" -> InstanceState.DRAINING;
-            default -> throw new FleetException(ErrorKind.INVALID, "state", "must be ready or draining");
+            default -> throw new ControlException(ErrorKind.INVALID, "state", "must be ready or draining");
         };
     }
 
     private static List<ServedModel> models(JsonNode list) {
-        if (list.size() > MOST_MODELS) {
-            throw new FleetException(ErrorKind.INVALID, "models", "too many");
+        if (list.size() > MAX_MODELS) {
+            throw new ControlException(ErrorKind.INVALID, "models", "too many");
         }
         List<ServedModel> models = new ArrayList<>(list.size());
         for (JsonNode model : list) {
             models.add(new ServedModel(
-                    Json.text(model, "name"), model.path("config_version").asLong()));
+                    ControlJson.requiredText(model, "name"),
+                    model.path("config_version").asLong()));
         }
         return List.copyOf(models);
     }
--- a/controller/src/main/java/burlarch/controller/api/BodyReader.java
+++ b/controller/src/main/java/burlarch/controller/api/RequestBodyReader.java
@@ -1,8 +1,8 @@
 package burlarch.controller.api;
 
+import burlarch.node.error.ControlException;
 import burlarch.node.error.ErrorKind;
-import burlarch.node.error.FleetException;
-import burlarch.node.http.BodyBudget;
+import burlarch.node.http.RequestBodyBudget;
 import java.nio.ByteBuffer;
 import java.util.Arrays;
 import java.util.function.Consumer;
@@ -10,15 +10,15 @@
 import org.eclipse.jetty.server.Request;
 
 /** Collects the body of one request without blocking, within the budget. */
-final class BodyReader implements Runnable {
-    private static final int FIRST_BYTES = 4 << 10;
+final class RequestBodyReader implements Runnable {
+    private static final int INITIAL_BYTES = 4 << 10;
     private static final int GROWTH = 2;
 
     private final Request request;
-    private final int longest;
-    private final BodyBudget budget;
-    private final Consumer<byte[]> whenRead;
-    private final Consumer<Throwable> whenFailed;
+    private final int maxBytes;
+    private final RequestBodyBudget budget;
+    private final Consumer<byte[]> onComplete;
+    private final Consumer<Throwable> onFailure;
     private byte[] bytes = new byte[0];
     private int length;
 
@@ -27,41 +27,41 @@
      *
      * @param longest most bytes that are taken
      * @param whenRead gets the body, which stays within the budget until {@link #release}
-     * @param whenFailed gets a {@link FleetException}, or the failure of a connection that broke
+     * @param whenFailed gets a {@link ControlException}, or the failure of a connection that broke
      */
-    BodyReader(
+    RequestBodyReader(
             Request request,
             int longest,
-            BodyBudget budget,
+            RequestBodyBudget budget,
             Consumer<byte[]> whenRead,
             Consumer<Throwable> whenFailed) {
         this.request = request;
-        this.longest = longest;
+        this.maxBytes = longest;
         this.budget = budget;
-        this.whenRead = whenRead;
-        this.whenFailed = whenFailed;
+        this.onComplete = whenRead;
+        this.onFailure = whenFailed;
     }
 
     /** Reads what is there and asks to be run again when there is more. */
     @Override
     public void run() {
         try {
-            if (request.getLength() > longest) {
-                throw new FleetException(ErrorKind.TOO_LARGE);
+            if (request.getLength() > maxBytes) {
+                throw new ControlException(ErrorKind.TOO_LARGE);
             }
             if (readAvailable()) {
-                whenRead.accept(length == bytes.length ? bytes : Arrays.copyOf(bytes, length));
+                onComplete.accept(length == bytes.length ? bytes : Arrays.copyOf(bytes, length));
             } else {
                 request.demand(this);
             }
-        } catch (FleetException failure) {
-            whenFailed.accept(failure);
+        } catch (ControlException failure) {
+            onFailure.accept(failure);
         }
     }
 
     /** Gives the bytes back to the budget. To be called once, after which nothing is read any more. */
     void release() {
-        budget.giveBack(bytes.length);
+        budget.release(bytes.length);
         bytes = new byte[0];
         length = 0;
     }
@@ -75,7 +75,7 @@
             if (Content.Chunk.isFailure(chunk)) {
                 // No wrong body: its sender may bring the same call whole. The server tells of a wrong
                 // chunk in the same way.
-                throw new FleetException(ErrorKind.BROKEN_OFF);
+                throw new ControlException(ErrorKind.BROKEN_OFF);
             }
             boolean last = chunk.isLast();
             try {
@@ -91,8 +91,8 @@
 
     private void append(ByteBuffer chunk) {
         int more = chunk.remaining();
-        if (more > longest - length) {
-            throw new FleetException(ErrorKind.TOO_LARGE);
+        if (more > maxBytes - length) {
+            throw new ControlException(ErrorKind.TOO_LARGE);
         }
         if (more > bytes.length - length) {
             grow(length + more);
@@ -103,10 +103,10 @@
 
     private void grow(int least) {
         long declared = request.getLength();
-        long wanted = Math.max(Math.max(least, FIRST_BYTES), (long) bytes.length * GROWTH);
-        int size = (int) Math.min(wanted, declared >= least ? declared : longest);
-        if (!budget.take(size - bytes.length)) {
-            throw new FleetException(ErrorKind.OVERLOADED);
+        long wanted = Math.max(Math.max(least, INITIAL_BYTES), (long) bytes.length * GROWTH);
+        int size = (int) Math.min(wanted, declared >= least ? declared : maxBytes);
+        if (!budget.tryReserve(size - bytes.length)) {
+            throw new ControlException(ErrorKind.OVERLOADED);
         }
         bytes = Arrays.copyOf(bytes, size);
     }
--- a/controller/src/main/java/burlarch/controller/state/TakenChange.java
+++ b/controller/src/main/java/burlarch/controller/state/AppliedChange.java
@@ -19,7 +19,7 @@
  * @param fingerprint the first 64 bits of a SHA-256 of all else: it only has to tell apart changes that bring
  *     one version, and two of those are alike by chance once in 2^64
  */
-public record TakenChange(long version, long fingerprint) {
+public record AppliedChange(long version, long fingerprint) {
     private static final String PUT = "PUT";
     private static final String PATCH = "PATCH";
 
@@ -29,13 +29,13 @@
      * @param ifMatch the version that it builds on
      * @param digest of the document's content
      */
-    public static TakenChange put(long ifMatch, long version, String digest) {
-        return new TakenChange(version, fingerprint(PUT, ifMatch, digest));
+    public static AppliedChange put(long ifMatch, long version, String digest) {
+        return new AppliedChange(version, fingerprint(PUT, ifMatch, digest));
     }
 
     /** The change that a patch is. Parameters as for {@link #put}. */
-    public static TakenChange patch(long ifMatch, long version, String digest) {
-        return new TakenChange(version, fingerprint(PATCH, ifMatch, digest));
+    public static AppliedChange patch(long ifMatch, long version, String digest) {
+        return new AppliedChange(version, fingerprint(PATCH, ifMatch, digest));
     }
 
     private static long fingerprint(String method, long ifMatch, String digest) {
--- a/controller/src/main/java/burlarch/controller/state/TakenChanges.java
+++ b/controller/src/main/java/burlarch/controller/state/AppliedChanges.java
@@ -20,18 +20,18 @@
  * above the one before, both in groups of seven bits, and the fingerprint's eight bytes. A change takes nine
  * bytes, or some more where versions are far apart.
  */
-public final class TakenChanges {
+public final class AppliedChanges {
     /** How many changes are remembered; the oldest gives way. About 37 KB then travel with each value. */
-    public static final int MOST = 4096;
+    public static final int MAX_CHANGES = 4096;
     /** Nothing was taken yet. */
-    public static final TakenChanges NONE = forgottenUpTo(0);
+    public static final AppliedChanges NONE = forgottenUpTo(0);
 
     /** What is known of a change. */
     public enum Recall {
         /** It was taken. */
-        TAKEN,
+        APPLIED,
         /** It was not taken: its version was brought by another change, or by none. */
-        NOT_TAKEN,
+        NOT_APPLIED,
         /** Its version is among those that are forgotten: it may have been taken. */
         FORGOTTEN
     }
@@ -45,39 +45,39 @@
     private final long[] versions;
     private final long[] fingerprints;
 
-    private TakenChanges(long forgottenVersion, long[] versions, long[] fingerprints) {
+    private AppliedChanges(long forgottenVersion, long[] versions, long[] fingerprints) {
         this.forgottenVersion = forgottenVersion;
         this.versions = versions;
         this.fingerprints = fingerprints;
     }
 
     /** Nothing is known of this version and those below it, and nothing was taken above it. */
-    public static TakenChanges forgottenUpTo(long version) {
-        return new TakenChanges(version, new long[0], new long[0]);
+    public static AppliedChanges forgottenUpTo(long version) {
+        return new AppliedChanges(version, new long[0], new long[0]);
     }
 
     /** What is known of this change. */
-    public Recall recall(TakenChange change) {
+    public Recall recall(AppliedChange change) {
         if (change.version() <= forgottenVersion) {
             return Recall.FORGOTTEN;
         }
         int place = Arrays.binarySearch(versions, change.version());
-        return place >= 0 && fingerprints[place] == change.fingerprint() ? Recall.TAKEN : Recall.NOT_TAKEN;
+        return place >= 0 && fingerprints[place] == change.fingerprint() ? Recall.APPLIED : Recall.NOT_APPLIED;
     }
 
     /** These and a newer one, without the oldest where there is no room for both. */
-    public TakenChanges with(TakenChange change) {
+    public AppliedChanges with(AppliedChange change) {
         if (change.version() <= newestVersion()) {
             throw new IllegalArgumentException("versions rise: " + change.version());
         }
-        int from = versions.length < MOST ? 0 : 1;
+        int from = versions.length < MAX_CHANGES ? 0 : 1;
         long forgotten = from == 0 ? forgottenVersion : versions[0];
         int kept = versions.length - from;
         long[] newVersions = Arrays.copyOfRange(versions, from, from + kept + 1);
         long[] newFingerprints = Arrays.copyOfRange(fingerprints, from, from + kept + 1);
         newVersions[kept] = change.version();
         newFingerprints[kept] = change.fingerprint();
-        return new TakenChanges(forgotten, newVersions, newFingerprints);
+        return new AppliedChanges(forgotten, newVersions, newFingerprints);
     }
 
     /** Of versions up to this one, nothing is known; 0 where all is. */
@@ -90,10 +90,10 @@
     }
 
     /** Those that are remembered, oldest first. */
-    public List<TakenChange> changes() {
-        List<TakenChange> changes = new ArrayList<>(versions.length);
+    public List<AppliedChange> changes() {
+        List<AppliedChange> changes = new ArrayList<>(versions.length);
         for (int i = 0; i < versions.length; i++) {
-            changes.add(new TakenChange(versions[i], fingerprints[i]));
+            changes.add(new AppliedChange(versions[i], fingerprints[i]));
         }
         return changes;
     }
@@ -123,7 +123,7 @@
      * @throws IllegalArgumentException for other bytes
      */
     @JsonCreator(mode = JsonCreator.Mode.DELEGATING)
-    static TakenChanges fromBytes(byte[] text) {
+    static AppliedChanges fromBytes(byte[] text) {
         ByteBuffer bytes = ByteBuffer.wrap(text);
         try {
             long forgotten = getNumber(bytes);
@@ -138,7 +138,7 @@
                     throw new IllegalArgumentException("versions don't rise");
                 }
             }
-            return new TakenChanges(forgotten, Arrays.copyOf(versions, count), Arrays.copyOf(fingerprints, count));
+            return new AppliedChanges(forgotten, Arrays.copyOf(versions, count), Arrays.copyOf(fingerprints, count));
         } catch (BufferUnderflowException | ArrayIndexOutOfBoundsException cutShort) {
             throw new IllegalArgumentException("cut short", cutShort);
         }
--- a/controller/src/main/java/burlarch/controller/state/ChangeResult.java
+++ b/controller/src/main/java/burlarch/controller/state/ChangeResult.java
@@ -1,7 +1,7 @@
 package burlarch.controller.state;
 
+import burlarch.node.error.ControlException;
 import burlarch.node.error.ErrorKind;
-import burlarch.node.error.FleetException;
 import burlarch.node.error.Problem;
 import java.util.List;
 
@@ -10,35 +10,35 @@
     /** The state that the change leads to. */
     record Changed(SystemState state) implements ChangeResult {}
 
-    /** The state stays. {@code problems} is empty but for {@link Answer#INVALID}. */
-    record Unchanged(Answer answer, List<Problem> problems) implements ChangeResult {
-        static final Unchanged ALREADY_TAKEN = new Unchanged(Answer.ALREADY_TAKEN, List.of());
-        static final Unchanged CONFLICT = new Unchanged(Answer.CONFLICT, List.of());
-        static final Unchanged UNCLEAR = new Unchanged(Answer.UNCLEAR, List.of());
+    /** The state stays. {@code problems} is empty but for {@link UnchangedReason#INVALID}. */
+    record Unchanged(UnchangedReason reason, List<Problem> problems) implements ChangeResult {
+        static final Unchanged ALREADY_APPLIED = new Unchanged(UnchangedReason.ALREADY_APPLIED, List.of());
+        static final Unchanged CONFLICT = new Unchanged(UnchangedReason.CONFLICT, List.of());
+        static final Unchanged UNCLEAR = new Unchanged(UnchangedReason.UNCLEAR, List.of());
 
         static Unchanged invalid(String field, String reason) {
-            return new Unchanged(Answer.INVALID, List.of(new Problem(field, reason)));
+            return new Unchanged(UnchangedReason.INVALID, List.of(new Problem(field, reason)));
         }
 
         /**
          * The refusal as a failure of the call.
          *
-         * @throws IllegalStateException for {@link Answer#ALREADY_TAKEN}, which is a success
+         * @throws IllegalStateException for {@link UnchangedReason#ALREADY_APPLIED}, which is a success
          */
-        public FleetException failure() {
-            return switch (answer) {
-                case CONFLICT -> new FleetException(ErrorKind.CONFLICT);
-                case UNCLEAR -> new FleetException(ErrorKind.UNCLEAR);
-                case INVALID -> new FleetException(ErrorKind.INVALID, problems);
-                case ALREADY_TAKEN -> throw new IllegalStateException("taken");
+        public ControlException failure() {
+            return switch (reason) {
+                case CONFLICT -> new ControlException(ErrorKind.CONFLICT);
+                case UNCLEAR -> new ControlException(ErrorKind.UNCLEAR);
+                case INVALID -> new ControlException(ErrorKind.INVALID, problems);
+                case ALREADY_APPLIED -> throw new IllegalStateException("taken");
             };
         }
     }
 
     /** Why a state stays as it is. */
-    enum Answer {
+    enum UnchangedReason {
         /** That very change, or one that makes it needless, is in the state already: a success. */
-        ALREADY_TAKEN,
+        ALREADY_APPLIED,
         /** Another version is current than the one that the change builds on. */
         CONFLICT,
         /** The change breaks a rule. */
@@ -50,7 +50,7 @@
         UNCLEAR;
 
         /** Whether it promises that the change is not in force and never will be. */
-        boolean isRefusal() {
+        boolean isRejection() {
             return this == CONFLICT || this == INVALID;
         }
     }
--- a/controller/src/main/java/burlarch/controller/state/StateProposal.java
+++ b/controller/src/main/java/burlarch/controller/state/StateChangeProposal.java
@@ -1,15 +1,15 @@
 package burlarch.controller.state;
 
-import burlarch.controller.state.ChangeResult.Answer;
 import burlarch.controller.state.ChangeResult.Changed;
 import burlarch.controller.state.ChangeResult.Unchanged;
+import burlarch.controller.state.ChangeResult.UnchangedReason;
 import burlarch.coordination.register.Decision;
 import burlarch.coordination.register.Member;
 import burlarch.coordination.register.ProposalResult;
 import burlarch.coordination.register.RegisterChange;
 import burlarch.coordination.register.RegisterValue;
+import burlarch.node.error.ControlException;
 import burlarch.node.error.ErrorKind;
-import burlarch.node.error.FleetException;
 import java.util.List;
 import java.util.function.Function;
 
@@ -21,11 +21,11 @@
  * values of the register are one chain, along which versions rise and what was taken is remembered, so
  * neither answer can become wrong later.
  */
-public final class StateProposal implements RegisterChange {
+public final class StateChangeProposal implements RegisterChange {
     private final Function<SystemState, ChangeResult> change;
 
     /** @param change a pure function, such as those of {@link StateChanges} */
-    public StateProposal(Function<SystemState, ChangeResult> change) {
+    public StateChangeProposal(Function<SystemState, ChangeResult> change) {
         this.change = change;
     }
 
@@ -37,19 +37,19 @@
             List<Member> members = current == null ? List.of() : current.members();
             return new Decision.Write(new RegisterValue(members, SystemStateCodec.encode(changed.state())));
         }
-        Answer answer = ((Unchanged) result).answer();
-        return answer.isRefusal() ? Decision.seal() : Decision.keep();
+        UnchangedReason answer = ((Unchanged) result).reason();
+        return answer.isRejection() ? Decision.seal() : Decision.keep();
     }
 
     /**
      * The state that holds the change, also where it held it before.
      *
-     * @throws FleetException where the change is refused, or where it is unclear whether it is taken
+     * @throws ControlException where the change is refused, or where it is unclear whether it is taken
      */
     public SystemState outcome(ProposalResult result) {
         if (!(result instanceof ProposalResult.Chosen chosen)) {
             boolean unclear = result instanceof ProposalResult.Unknown;
-            throw new FleetException(unclear ? ErrorKind.UNCLEAR : ErrorKind.NO_QUORUM);
+            throw new ControlException(unclear ? ErrorKind.UNCLEAR : ErrorKind.NO_QUORUM);
         }
         SystemState state = stateOf(chosen.value());
         if (chosen.decision() instanceof Decision.Write) {
@@ -57,7 +57,7 @@
         }
         // Nothing was written, so the chosen value is the one that was decided on.
         Unchanged unchanged = (Unchanged) change.apply(state);
-        if (unchanged.answer() != Answer.ALREADY_TAKEN) {
+        if (unchanged.reason() != UnchangedReason.ALREADY_APPLIED) {
             throw unchanged.failure();
         }
         return state;
--- a/controller/src/main/java/burlarch/controller/state/StateChanges.java
+++ b/controller/src/main/java/burlarch/controller/state/StateChanges.java
@@ -3,9 +3,9 @@
 import burlarch.configuration.ConfigurationDocument;
 import burlarch.configuration.ConfigurationPatch;
 import burlarch.configuration.InvalidConfiguration;
-import burlarch.controller.state.ChangeResult.Answer;
 import burlarch.controller.state.ChangeResult.Changed;
 import burlarch.controller.state.ChangeResult.Unchanged;
+import burlarch.controller.state.ChangeResult.UnchangedReason;
 import burlarch.node.error.Problem;
 import java.util.List;
 
@@ -14,7 +14,7 @@
  * on a newer state. What was taken is known again before all else, also under changes that were built on it.
  */
 public final class StateChanges {
-    private static final int LONGEST_NAME = 256;
+    private static final int MAX_NAME_LENGTH = 256;
 
     private StateChanges() {}
 
@@ -22,20 +22,20 @@
      * Brings a whole configuration.
      *
      * @param ifMatch the version that it builds on, 0 for the first
-     * @param digest of the document, see {@link TakenChange}
+     * @param digest of the document, see {@link AppliedChange}
      */
     public static ChangeResult putConfiguration(
             SystemState state, long ifMatch, ConfigurationDocument document, String digest) {
-        TakenChange change = TakenChange.put(ifMatch, document.version(), digest);
-        Unchanged refusal = refusal(state, ifMatch, change);
+        AppliedChange change = AppliedChange.put(ifMatch, document.version(), digest);
+        Unchanged refusal = rejection(state, ifMatch, change);
         return refusal != null ? refusal : withConfiguration(state, change, document);
     }
 
     private static ChangeResult withConfiguration(
-            SystemState state, TakenChange change, ConfigurationDocument document) {
+            SystemState state, AppliedChange change, ConfigurationDocument document) {
         byte[] json = document.json();
-        if (json.length > SystemState.MOST_CONFIGURATION_BYTES) {
-            return Unchanged.invalid("", "longer than " + SystemState.MOST_CONFIGURATION_BYTES + " bytes");
+        if (json.length > SystemState.MAX_CONFIGURATION_BYTES) {
+            return Unchanged.invalid("", "longer than " + SystemState.MAX_CONFIGURATION_BYTES + " bytes");
         }
         return new Changed(state.withConfiguration(change, json));
     }
@@ -43,19 +43,19 @@
     /** Changes named items of the current configuration. Parameters as for {@link #putConfiguration}. */
     public static ChangeResult patchConfiguration(
             SystemState state, long ifMatch, ConfigurationPatch patch, String digest) {
-        TakenChange change = TakenChange.patch(ifMatch, patch.version(), digest);
-        Unchanged refusal = refusal(state, ifMatch, change);
+        AppliedChange change = AppliedChange.patch(ifMatch, patch.version(), digest);
+        Unchanged refusal = rejection(state, ifMatch, change);
         if (refusal != null) {
             return refusal;
         }
-        if (!state.configured()) {
+        if (!state.hasConfiguration()) {
             return Unchanged.invalid("", "there is no configuration to change yet");
         }
         try {
             ConfigurationDocument base = ConfigurationDocument.read(state.configuration());
             return withConfiguration(state, change, patch.applyTo(base));
         } catch (InvalidConfiguration invalid) {
-            return new Unchanged(Answer.INVALID, problems(invalid));
+            return new Unchanged(UnchangedReason.INVALID, problems(invalid));
         }
     }
 
@@ -70,7 +70,7 @@
      *
      * @return null where it depends on the state
      */
-    public static Unchanged neverTaken(long ifMatch, long version) {
+    public static Unchanged rejectionInAnyState(long ifMatch, long version) {
         if (ifMatch < 0) {
             return Unchanged.invalid("If-Match", "must not be below 0");
         }
@@ -85,19 +85,19 @@
      * for all later states too, as the same call may still be on its way to another controller. So a change
      * is refused only where its base is past; one whose base was not chosen yet may still be taken.
      */
-    private static Unchanged refusal(SystemState state, long ifMatch, TakenChange change) {
-        Unchanged never = neverTaken(ifMatch, change.version());
+    private static Unchanged rejection(SystemState state, long ifMatch, AppliedChange change) {
+        Unchanged never = rejectionInAnyState(ifMatch, change.version());
         if (never != null) {
             return never;
         }
-        return switch (state.taken().recall(change)) {
-            case TAKEN -> Unchanged.ALREADY_TAKEN;
+        return switch (state.appliedChanges().recall(change)) {
+            case APPLIED -> Unchanged.ALREADY_APPLIED;
             case FORGOTTEN -> Unchanged.UNCLEAR;
-            case NOT_TAKEN -> onBase(state, ifMatch);
+            case NOT_APPLIED -> rejectionByBase(state, ifMatch);
         };
     }
 
-    private static Unchanged onBase(SystemState state, long ifMatch) {
+    private static Unchanged rejectionByBase(SystemState state, long ifMatch) {
         if (ifMatch > state.configurationVersion()) {
             return Unchanged.UNCLEAR;
         }
@@ -114,9 +114,9 @@
         }
         Long newest = state.weights().get(model);
         if (newest != null && newest >= version) {
-            return Unchanged.ALREADY_TAKEN;
+            return Unchanged.ALREADY_APPLIED;
         }
-        if (newest == null && state.weights().size() >= SystemState.MOST_NAMES) {
+        if (newest == null && state.weights().size() >= SystemState.MAX_NAMES) {
             return Unchanged.invalid("model", "too many models");
         }
         return new Changed(state.withWeights(model, version));
@@ -132,15 +132,15 @@
         }
         Lease lease = state.owners().get(key);
         if (lease != null && lease.holder().equals(holder)) {
-            return Unchanged.ALREADY_TAKEN;
+            return Unchanged.ALREADY_APPLIED;
         }
-        if (lease == null && state.owners().size() >= SystemState.MOST_NAMES) {
+        if (lease == null && state.owners().size() >= SystemState.MAX_NAMES) {
             return Unchanged.invalid("key", "too many keys");
         }
         return new Changed(state.withOwner(key, holder));
     }
 
     private static boolean isName(String text) {
-        return text != null && !text.isEmpty() && text.length() <= LONGEST_NAME;
+        return text != null && !text.isEmpty() && text.length() <= MAX_NAME_LENGTH;
     }
 }
--- a/controller/src/main/java/burlarch/controller/state/SystemState.java
+++ b/controller/src/main/java/burlarch/controller/state/SystemState.java
@@ -11,7 +11,7 @@
  *
  * @param configurationVersion 0 while there is none
  * @param configuration the whole document, JSON; empty while there is none
- * @param taken the newest changes that were taken; in a value of an older release, which has none, all are
+ * @param appliedChanges the newest changes that were taken; in a value of an older release, which has none, all are
  *     forgotten
  * @param weights newest named version of weights by model
  * @param owners owner by key
@@ -21,42 +21,42 @@
 public record SystemState(
         @JsonProperty("v") long configurationVersion,
         @JsonProperty("c") byte[] configuration,
-        @JsonProperty("k") TakenChanges taken,
+        @JsonProperty("k") AppliedChanges appliedChanges,
         @JsonProperty("w") Map<String, Long> weights,
         @JsonProperty("o") Map<String, Lease> owners,
         @JsonProperty("n") long nextToken) {
     /** The longest configuration that is taken, so that one message and one record on disk hold it. */
-    public static final int MOST_CONFIGURATION_BYTES = 5 << 20;
+    public static final int MAX_CONFIGURATION_BYTES = 5 << 20;
     /** Most models that have named weights, and most keys that have an owner. */
-    public static final int MOST_NAMES = 1024;
+    public static final int MAX_NAMES = 1024;
     /** The state of a fleet that nobody has configured yet. */
-    public static final SystemState EMPTY = new SystemState(0, new byte[0], TakenChanges.NONE, Map.of(), Map.of(), 1);
+    public static final SystemState EMPTY = new SystemState(0, new byte[0], AppliedChanges.NONE, Map.of(), Map.of(), 1);
 
     public SystemState {
         configuration = configuration == null ? new byte[0] : configuration;
-        taken = taken == null ? TakenChanges.forgottenUpTo(configurationVersion) : taken;
+        appliedChanges = appliedChanges == null ? AppliedChanges.forgottenUpTo(configurationVersion) : appliedChanges;
         weights = weights == null ? Map.of() : Map.copyOf(weights);
         owners = owners == null ? Map.of() : Map.copyOf(owners);
     }
 
     /** Whether a configuration was ever taken. */
-    public boolean configured() {
+    public boolean hasConfiguration() {
         return configurationVersion > 0;
     }
 
-    SystemState withConfiguration(TakenChange change, byte[] document) {
-        return new SystemState(change.version(), document, taken.with(change), weights, owners, nextToken);
+    SystemState withConfiguration(AppliedChange change, byte[] document) {
+        return new SystemState(change.version(), document, appliedChanges.with(change), weights, owners, nextToken);
     }
 
     SystemState withWeights(String model, long version) {
         Map<String, Long> changed = new HashMap<>(weights);
         changed.put(model, version);
-        return new SystemState(configurationVersion, configuration, taken, changed, owners, nextToken);
+        return new SystemState(configurationVersion, configuration, appliedChanges, changed, owners, nextToken);
     }
 
     SystemState withOwner(String key, String holder) {
         Map<String, Lease> changed = new HashMap<>(owners);
         changed.put(key, new Lease(holder, nextToken));
-        return new SystemState(configurationVersion, configuration, taken, weights, changed, nextToken + 1);
+        return new SystemState(configurationVersion, configuration, appliedChanges, weights, changed, nextToken + 1);
     }
 }
--- a/controller/src/main/java/burlarch/controller/state/SystemStateCodec.java
+++ b/controller/src/main/java/burlarch/controller/state/SystemStateCodec.java
@@ -20,7 +20,7 @@
 
     private static final byte COMPRESSED = 1;
     /** The longest state before it is compressed: the longest configuration, and all that is beside it. */
-    private static final int MOST_STATE_BYTES = 2 * SystemState.MOST_CONFIGURATION_BYTES;
+    private static final int MAX_STATE_BYTES = 2 * SystemState.MAX_CONFIGURATION_BYTES;
 
     private SystemStateCodec() {}
 
@@ -47,7 +47,7 @@
             return SystemState.EMPTY;
         }
         try {
-            byte[] plain = payload[0] == COMPRESSED ? CompressedBytes.expand(payload, 1, MOST_STATE_BYTES) : payload;
+            byte[] plain = payload[0] == COMPRESSED ? CompressedBytes.expand(payload, 1, MAX_STATE_BYTES) : payload;
             return MAPPER.readValue(plain, SystemState.class);
         } catch (DataFormatException broken) {
             throw new UncheckedIOException(new IOException(broken));
--- a/fleet/src/main/java/burlarch/fleet/Main.java
+++ b/fleet/src/main/java/burlarch/fleet/Main.java
@@ -1,6 +1,6 @@
 package burlarch.fleet;
 
-import burlarch.node.HangUp;
+import burlarch.node.HangupSignal;
 import burlarch.operator.CommandFailure;
 import burlarch.settings.SettingsException;
 import java.io.IOException;
@@ -66,7 +66,7 @@
     private Main() {}
 
     public static void main(String[] arguments) {
-        HangUp.take();
+        HangupSignal.install();
         // The validator logs by this library: through tinylog, like all else.
         System.setProperty("org.jboss.logging.provider", "slf4j");
         int code = execute(arguments, System.out, System.err);
--- a/node-testing/src/main/java/burlarch/testing/RecordingLink.java
+++ b/node-testing/src/main/java/burlarch/testing/RecordingLink.java
@@ -1,6 +1,6 @@
 package burlarch.testing;
 
-import burlarch.node.Roles;
+import burlarch.node.NodeRoles;
 import burlarch.transport.NodeMessage;
 import burlarch.transport.PeerConnection;
 import java.util.ArrayList;
@@ -25,7 +25,7 @@
     /** To the controller of that zone that is named by its address. */
     public RecordingLink(String address, String zone) {
         String storage = STORAGE_PREFIX + address;
-        peer = new NodeMessage.Hello(address, Roles.CONTROLLER, address, zone, storage, INCARNATION);
+        peer = new NodeMessage.Hello(address, NodeRoles.CONTROLLER, address, zone, storage, INCARNATION);
     }
 
     @Override
--- a/node/src/main/java/burlarch/node/Membership.java
+++ b/node/src/main/java/burlarch/node/MembershipService.java
@@ -24,11 +24,11 @@
  * {@link Swim} on a port for datagrams: moves its messages, keeps its one timer and tells of changes. Lives
  * on the loop; methods are to be called there unless they say otherwise.
  */
-public final class Membership implements AutoCloseable {
+public final class MembershipService implements AutoCloseable {
     /** Addresses kept ready for sending; beyond it they are made anew. */
-    private static final int MOST_SOCKETS = 4_096;
+    private static final int MAX_CACHED_ADDRESSES = 4_096;
 
-    private static final long LEAVE_MILLIS = 300;
+    private static final long LEAVE_TIMEOUT_MILLIS = 300;
 
     private final SelectorEventLoop loop;
     private final DatagramEndpoint endpoint;
@@ -36,16 +36,16 @@
     private final List<Listener> listeners = new ArrayList<>();
     private final Map<String, InetSocketAddress> sockets = new HashMap<>();
     private SelectorEventLoop.Timer timer;
-    private long timerAt;
+    private long timerDueAtNanos;
     private boolean started;
     private boolean closed;
 
     /**
      * Who this process is among the members.
      *
-     * @param process drawn anew at each start, never 0
+     * @param processId drawn anew at each start, never 0
      */
-    public record Self(String name, String role, String zone, long process) {}
+    public record Self(String name, String role, String zone, long processId) {}
 
     /** Told on the loop. */
     public interface Listener {
@@ -60,14 +60,14 @@
      * @param seeds addresses at which other members may be, IP:PORT
      * @throws IOException where the address cannot be bound
      */
-    public Membership(
+    public MembershipService(
             SelectorEventLoop loop, Self self, InetSocketAddress bind, List<String> seeds, SwimSettings settings)
             throws IOException {
         this.loop = loop;
         endpoint = new DatagramEndpoint(loop, bind, this::onDatagram);
         MemberInfo own =
-                new MemberInfo(self.name(), text(endpoint.address()), self.role(), self.zone(), self.process());
-        swim = new Swim(own, seeds, settings, self.process(), loop.nanoTime());
+                new MemberInfo(self.name(), text(endpoint.address()), self.role(), self.zone(), self.processId());
+        swim = new Swim(own, seeds, settings, self.processId(), loop.nanoTime());
     }
 
     /** Told from now on. */
@@ -89,7 +89,7 @@
     }
 
     /** Whether any other member was heard of. */
-    public boolean joined() {
+    public boolean hasJoined() {
         return swim.joined();
     }
 
@@ -117,9 +117,9 @@
     }
 
     /** {@link #leave()}, waited for a short time; not to be called on the loop. */
-    public void leaveInTime() {
+    public void leaveWithinTimeout() {
         try {
-            leave().get(LEAVE_MILLIS, TimeUnit.MILLISECONDS);
+            leave().get(LEAVE_TIMEOUT_MILLIS, TimeUnit.MILLISECONDS);
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         } catch (ExecutionException | TimeoutException e) {
@@ -128,7 +128,7 @@
     }
 
     /** Addresses of those with this role that joined the live ones by the changes. */
-    public static List<String> appeared(List<MemberChange> changes, String role) {
+    public static List<String> appearedAddresses(List<MemberChange> changes, String role) {
         List<String> addresses = new ArrayList<>(0);
         for (MemberChange change : changes) {
             if (change.appeared() && change.member().role().equals(role)) {
@@ -175,26 +175,26 @@
             endpoint.send(socket(datagram.to()), datagram.bytes());
         }
         if (!step.changes().isEmpty()) {
-            step.changes().forEach(Membership::log);
+            step.changes().forEach(MembershipService::log);
             listeners.forEach(listener -> listener.onChanges(step.changes()));
         }
     }
 
     private void wakeUpAt(long due) {
         if (timer != null) {
-            if (timerAt == due) {
+            if (timerDueAtNanos == due) {
                 return;
             }
             timer.cancel();
         }
-        timerAt = due;
+        timerDueAtNanos = due;
         timer = loop.schedule(due - loop.nanoTime(), this::onTimer);
     }
 
     private InetSocketAddress socket(String address) {
         InetSocketAddress known = sockets.get(address);
         if (known == null) {
-            if (sockets.size() >= MOST_SOCKETS) {
+            if (sockets.size() >= MAX_CACHED_ADDRESSES) {
                 sockets.clear();
             }
             known = NodeAddresses.socket(address);
@@ -209,7 +209,7 @@
 
     private static void log(MemberChange change) {
         MemberInfo member = change.member();
-        if (member.role().equals(Roles.CONTROLLER)) {
+        if (member.role().equals(NodeRoles.CONTROLLER)) {
             Logger.info("{} {} at {}: {}", member.role(), member.name(), member.address(), change.after());
         } else {
             Logger.debug("{} {} at {}: {}", member.role(), member.name(), member.address(), change.after());
--- a/node/src/main/java/burlarch/node/NodeSettingsReader.java
+++ b/node/src/main/java/burlarch/node/NodeSettingsReader.java
@@ -18,7 +18,7 @@
 final class NodeSettingsReader {
     private static final long NANOS_PER_MILLI = 1_000_000;
     private static final int MAX_PORT = 65_535;
-    private static final int LEAST_FREE_PORT = 1_024;
+    private static final int MIN_PORT = 1_024;
     private static final int MAX_COUNT = 1_000_000_000;
     private static final double MAX_MILLIS = 1e12;
 
@@ -84,8 +84,7 @@
     }
 
     private PortRange portRange(Section top) {
-        List<Integer> ports =
-                check.needed(top, "port_range", null, () -> top.wholes("port_range", LEAST_FREE_PORT, MAX_PORT));
+        List<Integer> ports = check.needed(top, "port_range", null, () -> top.wholes("port_range", MIN_PORT, MAX_PORT));
         check.valid(
                 top,
                 "port_range",
--- a/node/src/main/java/burlarch/node/SettingsWatch.java
+++ b/node/src/main/java/burlarch/node/SettingsFileWatcher.java
@@ -13,19 +13,19 @@
  * Reads the settings file again on SIGHUP, and where it changed without one. A file that is missing or wrong
  * changes nothing: what was read before stays in force.
  */
-public final class SettingsWatch implements Runnable {
-    private static final long PERIOD_MILLIS = TimeUnit.SECONDS.toMillis(2);
+public final class SettingsFileWatcher implements Runnable {
+    private static final long POLL_PERIOD_MILLIS = TimeUnit.SECONDS.toMillis(2);
 
     private final Path file;
-    private final Consumer<NodeSettings> changed;
+    private final Consumer<NodeSettings> listener;
     private final Object wake = new Object();
-    private FileTime seen;
+    private FileTime lastSeenModified;
     private boolean signalled;
 
-    SettingsWatch(Path file, Consumer<NodeSettings> changed) {
+    SettingsFileWatcher(Path file, Consumer<NodeSettings> changed) {
         this.file = file;
-        this.changed = changed;
-        seen = modified();
+        this.listener = changed;
+        lastSeenModified = modified();
     }
 
     /**
@@ -38,8 +38,8 @@
         if (file == null) {
             return;
         }
-        SettingsWatch watch = new SettingsWatch(Path.of(file), changed);
-        HangUp.listen(watch::onSignal);
+        SettingsFileWatcher watch = new SettingsFileWatcher(Path.of(file), changed);
+        HangupSignal.setListener(watch::onSignal);
         Thread thread = new Thread(watch, "settings");
         thread.setDaemon(true);
         thread.start();
@@ -70,12 +70,12 @@
     private boolean await() throws InterruptedException {
         synchronized (wake) {
             if (!signalled) {
-                wake.wait(PERIOD_MILLIS);
+                wake.wait(POLL_PERIOD_MILLIS);
             }
             FileTime now = modified();
-            boolean due = signalled || now != null && !now.equals(seen);
+            boolean due = signalled || now != null && !now.equals(lastSeenModified);
             signalled = false;
-            seen = now == null ? seen : now;
+            lastSeenModified = now == null ? lastSeenModified : now;
             return due;
         }
     }
@@ -90,7 +90,7 @@
 
     private void read() {
         try {
-            changed.accept(NodeSettings.load(file));
+            listener.accept(NodeSettings.load(file));
             Logger.info("settings read again");
         } catch (SettingsException e) {
             Logger.warn("settings stay as they were: {}", e.getMessage());
--- a/node/src/main/java/burlarch/node/error/FleetException.java
+++ b/node/src/main/java/burlarch/node/error/ControlException.java
@@ -6,21 +6,21 @@
  * A call that failed in a way that its caller is to be told. Carries no stack trace, being no fault of the
  * code.
  */
-public final class FleetException extends RuntimeException {
+public final class ControlException extends RuntimeException {
     private static final long serialVersionUID = 1L;
 
     private final ErrorKind kind;
     private final transient List<Problem> problems;
 
-    public FleetException(ErrorKind kind) {
+    public ControlException(ErrorKind kind) {
         this(kind, List.of());
     }
 
-    public FleetException(ErrorKind kind, String field, String reason) {
+    public ControlException(ErrorKind kind, String field, String reason) {
         this(kind, List.of(new Problem(field, reason)));
     }
 
-    public FleetException(ErrorKind kind, List<Problem> problems) {
+    public ControlException(ErrorKind kind, List<Problem> problems) {
         super(kind + " " + problems, null, false, false);
         this.kind = kind;
         this.problems = List.copyOf(problems);
--- a/node/src/main/java/burlarch/node/error/ErrorKind.java
+++ b/node/src/main/java/burlarch/node/error/ErrorKind.java
@@ -29,7 +29,7 @@
     METHOD("METHOD", 405, ErrorKind.NO_RETRY);
 
     private static final int NO_RETRY = 0;
-    private static final double MILLIS_A_SECOND = 1000.0;
+    private static final double MILLIS_PER_SECOND = 1000.0;
 
     private final String code;
     private final int status;
@@ -52,14 +52,14 @@
     }
 
     /** Whether the same call may succeed later, so that the answer carries {@code Retry-After}. */
-    public boolean mayRetry() {
+    public boolean isRetryable() {
         return retryAfterMillis != NO_RETRY;
     }
 
     /**
-     * The value of {@code Retry-After}: seconds, fractions included. Holds only where {@link #mayRetry()}.
+     * The value of {@code Retry-After}: seconds, fractions included. Holds only where {@link #isRetryable()}.
      */
     public String retryAfterSeconds() {
-        return Double.toString(retryAfterMillis / MILLIS_A_SECOND);
+        return Double.toString(retryAfterMillis / MILLIS_PER_SECOND);
     }
 }
--- a/operator-cli/src/main/java/burlarch/operator/ConfigCommand.java
+++ b/operator-cli/src/main/java/burlarch/operator/ConfigCommand.java
@@ -14,7 +14,7 @@
 /** What {@code config} does: get, put, patch, validate. Its parts are public, as args4j makes them. */
 public final class ConfigCommand {
     private static final String PATH = "/burlarch/config";
-    private static final int NONE_YET = 404;
+    private static final int NOT_FOUND = 404;
 
     private ConfigCommand() {}
 
@@ -31,7 +31,7 @@
 
         @Override
         public void run(PrintStream output) throws Exception {
-            ControlClient.Answer answer = read(client(control));
+            ControlClient.Response answer = read(client(control));
             output.write(answer.body());
             output.println();
         }
@@ -75,7 +75,7 @@
             try {
                 version = ConfigurationPatch.read(json).version();
             } catch (InvalidConfiguration invalid) {
-                throw Refusals.of(invalid);
+                throw RejectionMessages.toFailure(invalid);
             }
             send("PATCH", client(control), json, ifMatch);
             output.println("configuration " + version + " is acknowledged");
@@ -98,7 +98,7 @@
         try {
             return ConfigurationDocument.read(json);
         } catch (InvalidConfiguration invalid) {
-            throw Refusals.of(invalid);
+            throw RejectionMessages.toFailure(invalid);
         }
     }
 
@@ -106,19 +106,19 @@
         List<String> addresses = List.of(control.split(","));
         for (String address : addresses) {
             if (!address.matches("[A-Za-z0-9.-]+:[0-9]{1,5}")) {
-                throw new CommandFailure(CommandFailure.COULD_NOT_RUN, address + " is no HOST:PORT");
+                throw new CommandFailure(CommandFailure.INVALID_USAGE, address + " is no HOST:PORT");
             }
         }
         return new ControlClient(addresses);
     }
 
-    private static ControlClient.Answer read(ControlClient client) throws CommandFailure, InterruptedException {
-        ControlClient.Answer answer = client.call("GET", PATH, null, null);
-        if (answer.status() == NONE_YET) {
+    private static ControlClient.Response read(ControlClient client) throws CommandFailure, InterruptedException {
+        ControlClient.Response answer = client.call("GET", PATH, null, null);
+        if (answer.status() == NOT_FOUND) {
             throw new CommandFailure(CommandFailure.UNCLEAR, "there is no configuration yet");
         }
-        if (!answer.ok()) {
-            throw Refusals.of(answer);
+        if (!answer.isSuccess()) {
+            throw RejectionMessages.toFailure(answer);
         }
         return answer;
     }
@@ -127,19 +127,19 @@
     private static void send(String method, ControlClient client, byte[] json, Long ifMatch)
             throws CommandFailure, InterruptedException, IOException {
         long base = ifMatch != null ? ifMatch : current(client);
-        ControlClient.Answer answer = client.call(method, PATH, json, base);
-        if (!answer.ok()) {
-            throw Refusals.of(answer);
+        ControlClient.Response answer = client.call(method, PATH, json, base);
+        if (!answer.isSuccess()) {
+            throw RejectionMessages.toFailure(answer);
         }
     }
 
     private static long current(ControlClient client) throws CommandFailure, InterruptedException, IOException {
-        ControlClient.Answer answer = client.call("GET", PATH, null, null);
-        if (answer.status() == NONE_YET) {
+        ControlClient.Response answer = client.call("GET", PATH, null, null);
+        if (answer.status() == NOT_FOUND) {
             return 0;
         }
-        if (!answer.ok()) {
-            throw Refusals.of(answer);
+        if (!answer.isSuccess()) {
+            throw RejectionMessages.toFailure(answer);
         }
         return valid(answer.body()).version();
     }
--- a/operator-cli/src/main/java/burlarch/operator/ControlClient.java
+++ b/operator-cli/src/main/java/burlarch/operator/ControlClient.java
@@ -14,25 +14,25 @@
  * again is acknowledged again, so that tries without a clear answer do no harm.
  */
 final class ControlClient {
-    private static final int ROUNDS = 4;
-    private static final Duration PATIENCE = Duration.ofSeconds(2);
-    private static final long PAUSE_MILLIS = 200;
+    private static final int MAX_ROUNDS = 4;
+    private static final Duration REQUEST_TIMEOUT = Duration.ofSeconds(2);
+    private static final long RETRY_DELAY_MILLIS = 200;
 
     private final HttpClient http = HttpClient.newBuilder()
             .version(HttpClient.Version.HTTP_1_1)
-            .connectTimeout(PATIENCE)
+            .connectTimeout(REQUEST_TIMEOUT)
             .followRedirects(HttpClient.Redirect.NORMAL)
             .build();
     private final List<String> controllers;
 
     /** An answer as it came. */
-    record Answer(int status, byte[] body) {
-        boolean ok() {
+    record Response(int status, byte[] body) {
+        boolean isSuccess() {
             return status / 100 == 2;
         }
 
         /** Whether another controller, or the same one later, may answer otherwise. */
-        private boolean unclear() {
+        private boolean isInconclusive() {
             return status >= 500 || status == 408 || status == 429;
         }
     }
@@ -49,30 +49,30 @@
      * @param ifMatch null for none
      * @throws CommandFailure if no controller answered clearly
      */
-    Answer call(String method, String path, byte[] body, Long ifMatch) throws CommandFailure, InterruptedException {
+    Response call(String method, String path, byte[] body, Long ifMatch) throws CommandFailure, InterruptedException {
         String reason = "";
-        for (int round = 0; round < ROUNDS; round++) {
+        for (int round = 0; round < MAX_ROUNDS; round++) {
             for (String controller : controllers) {
                 try {
-                    Answer answer = once(controller, method, path, body, ifMatch);
-                    if (!answer.unclear()) {
+                    Response answer = send(controller, method, path, body, ifMatch);
+                    if (!answer.isInconclusive()) {
                         return answer;
                     }
-                    reason = controller + ": " + Refusals.reasons(answer.body(), "status " + answer.status());
+                    reason = controller + ": " + RejectionMessages.reasons(answer.body(), "status " + answer.status());
                 } catch (IOException failure) {
                     String message = failure.getMessage();
                     reason = controller + ": " + (message == null ? "no connection" : message);
                 }
             }
-            Thread.sleep(PAUSE_MILLIS);
+            Thread.sleep(RETRY_DELAY_MILLIS);
         }
         throw new CommandFailure(CommandFailure.UNCLEAR, "no clear answer; last of " + reason);
     }
 
-    private Answer once(String controller, String method, String path, byte[] body, Long ifMatch)
+    private Response send(String controller, String method, String path, byte[] body, Long ifMatch)
             throws IOException, InterruptedException {
         HttpRequest.Builder request = HttpRequest.newBuilder(URI.create("http://" + controller + path))
-                .timeout(PATIENCE)
+                .timeout(REQUEST_TIMEOUT)
                 .method(method, body == null ? BodyPublishers.noBody() : BodyPublishers.ofByteArray(body));
         if (body != null) {
             request.header("Content-Type", "application/json");
@@ -81,6 +81,6 @@
             request.header("If-Match", ifMatch.toString());
         }
         HttpResponse<byte[]> answer = http.send(request.build(), HttpResponse.BodyHandlers.ofByteArray());
-        return new Answer(answer.statusCode(), answer.body());
+        return new Response(answer.statusCode(), answer.body());
     }
 }
--- a/operator-cli/src/main/java/burlarch/operator/Refusals.java
+++ b/operator-cli/src/main/java/burlarch/operator/RejectionMessages.java
@@ -8,10 +8,10 @@
 import java.util.List;
 
 /** Tells why something was refused, a reason a line. */
-final class Refusals {
+final class RejectionMessages {
     private static final int OTHER_VERSION = 412;
 
-    private Refusals() {}
+    private RejectionMessages() {}
 
     /** The reasons that an answer's body tells, or else the given one. */
     static String reasons(byte[] body, String otherwise) {
@@ -36,15 +36,15 @@
     }
 
     /** What an answer that is no acknowledgement means. */
-    static CommandFailure of(ControlClient.Answer answer) {
+    static CommandFailure toFailure(ControlClient.Response answer) {
         String reasons = reasons(answer.body(), "status " + answer.status());
         return answer.status() == OTHER_VERSION
-                ? new CommandFailure(CommandFailure.OTHER_VERSION, "another version is in place: " + reasons)
+                ? new CommandFailure(CommandFailure.VERSION_CONFLICT, "another version is in place: " + reasons)
                 : new CommandFailure(CommandFailure.INVALID, reasons);
     }
 
     /** What a local check found. */
-    static CommandFailure of(InvalidConfiguration invalid) {
+    static CommandFailure toFailure(InvalidConfiguration invalid) {
         List<String> lines = new ArrayList<>();
         invalid.problems().forEach(problem -> lines.add(line(problem.field(), problem.reason())));
         return new CommandFailure(CommandFailure.INVALID, String.join(System.lineSeparator(), lines));
--- a/router/src/main/java/burlarch/router/Exchange.java
+++ b/router/src/main/java/burlarch/router/Exchange.java
@@ -122,7 +122,7 @@
             clientGone();
             return;
         }
-        if (!context.bodies().take(whole.remaining())) {
+        if (!context.bodies().tryReserve(whole.remaining())) {
             end(503, SOON, false);
             return;
         }
@@ -311,7 +311,7 @@
             deadline.cancel();
         }
         if (body != null) {
-            context.bodies().giveBack(body.remaining());
+            context.bodies().release(body.remaining());
         }
         return true;
     }
