--- a/router/src/main/java/burlarch/router/ForwardingContext.java
+++ b/router/src/main/java/burlarch/router/ForwardingContext.java
@@ -1,7 +1,7 @@
 package burlarch.router;
 
 import burlarch.configuration.RouteTable;
-import burlarch.node.http.BodyBudget;
+import burlarch.node.http.RequestBodyBudget;
 import org.eclipse.jetty.util.thread.Scheduler;
 
 /** What the exchanges of one router share. */
@@ -12,7 +12,7 @@
     private final SynchronizedPlanner gate;
     private final UpstreamClient client;
     private final Scheduler scheduler;
-    private final BodyBudget bodies = new BodyBudget(MOST_BODY_BYTES);
+    private final RequestBodyBudget bodies = new RequestBodyBudget(MOST_BODY_BYTES);
     private final FailureLog failures = new FailureLog();
     private final StartupGate startHold;
     private final InFlightRequests openRequests = new InFlightRequests();
@@ -38,7 +38,7 @@
         return scheduler;
     }
 
-    BodyBudget bodies() {
+    RequestBodyBudget bodies() {
         return bodies;
     }
 
--- a/router/src/main/java/burlarch/router/RouterCountMonitor.java
+++ b/router/src/main/java/burlarch/router/RouterCountMonitor.java
@@ -1,14 +1,14 @@
 package burlarch.router;
 
 import burlarch.coordination.membership.MemberChange;
-import burlarch.node.Membership;
+import burlarch.node.MembershipService;
 import burlarch.transport.SelectorEventLoop;
 import java.util.List;
 import java.util.function.BooleanSupplier;
 import java.util.function.IntConsumer;
 
 /** Passes on how many routers there are whenever that changes. Lives on the loop. */
-final class RouterCountMonitor implements Membership.Listener {
+final class RouterCountMonitor implements MembershipService.Listener {
     private static final long PERIOD_NANOS = 500_000_000;
 
     private final SelectorEventLoop loop;
--- a/router/src/main/java/burlarch/router/RouterCountTracker.java
+++ b/router/src/main/java/burlarch/router/RouterCountTracker.java
@@ -3,7 +3,7 @@
 import burlarch.coordination.budget.BudgetSettings;
 import burlarch.coordination.budget.RouterCountEstimate;
 import burlarch.coordination.membership.MemberChange;
-import burlarch.node.Roles;
+import burlarch.node.NodeRoles;
 import java.util.HashSet;
 import java.util.List;
 import java.util.Set;
@@ -29,7 +29,7 @@
     /** Membership changed. */
     void onChanges(List<MemberChange> changes, long now) {
         for (MemberChange change : changes) {
-            if (change.member().role().equals(Roles.ROUTER)) {
+            if (change.member().role().equals(NodeRoles.ROUTER)) {
                 onRouter(change, now);
             }
         }
--- a/router/src/main/java/burlarch/router/RouterProgram.java
+++ b/router/src/main/java/burlarch/router/RouterProgram.java
@@ -9,13 +9,13 @@
 import burlarch.coordination.registry.MergedInstanceView;
 import burlarch.engine.EngineClient;
 import burlarch.engine.KvEventSubscriber;
-import burlarch.node.Membership;
+import burlarch.node.MembershipService;
 import burlarch.node.NodeAddresses;
 import burlarch.node.NodeBounds;
 import burlarch.node.NodeSettings;
-import burlarch.node.Roles;
-import burlarch.node.SettingsWatch;
-import burlarch.node.Shutdown;
+import burlarch.node.NodeRoles;
+import burlarch.node.SettingsFileWatcher;
+import burlarch.node.ShutdownHook;
 import burlarch.routing.FleetPlanner;
 import burlarch.routing.Planner;
 import burlarch.routing.PlannerSettings;
@@ -66,18 +66,18 @@
                 sharers -> tellPlanner(planner, lock, sharers),
                 sources::onRouters);
         ControllerLinks links = new ControllerLinks(new InForce(planner, lock, server, sources, size, relay));
-        Membership membership = join(settings, loop, links, size, sources);
+        MembershipService membership = join(settings, loop, links, size, sources);
         loop.execute(() -> relay.start(sources::isShared, () -> links.relayFor(settings.nodeName(), settings.zone())));
-        SettingsWatch.start(newer -> loop.execute(() -> links.addControllers(NodeAddresses.seeds(newer))));
-        Shutdown.onSignal(() -> {
+        SettingsFileWatcher.start(newer -> loop.execute(() -> links.addControllers(NodeAddresses.seeds(newer))));
+        ShutdownHook.onSignal(() -> {
             server.drain().join();
-            membership.leaveInTime();
+            membership.leaveWithinTimeout();
         });
         Logger.info("{} serves {}", settings.nodeName(), settings.listen().front());
     }
 
     /** Connects with the controllers and joins the members. */
-    private static Membership join(
+    private static MembershipService join(
             NodeSettings settings,
             SelectorEventLoop loop,
             ControllerLinks links,
@@ -90,13 +90,13 @@
         NodeTransport transport = new NodeTransport(
                 loop,
                 new NodeMessage.Hello(
-                        settings.nodeName(), Roles.ROUTER, address, settings.zone(), "", incarnation.toString()),
+                        settings.nodeName(), NodeRoles.ROUTER, address, settings.zone(), "", incarnation.toString()),
                 NodeAddresses.socket(address),
                 NodeTransport.Listener.of(links));
-        Membership membership = new Membership(
+        MembershipService membership = new MembershipService(
                 loop,
-                new Membership.Self(
-                        settings.nodeName(), Roles.ROUTER, settings.zone(), incarnation.getLeastSignificantBits()),
+                new MembershipService.Self(
+                        settings.nodeName(), NodeRoles.ROUTER, settings.zone(), incarnation.getLeastSignificantBits()),
                 NodeAddresses.socket(address),
                 seeds,
                 SwimSettings.defaults());
@@ -105,7 +105,7 @@
             size.start(links::reachesMostControllers);
             membership.addListener(size);
             membership.addListener(changes -> sources.onMembers(membership.members()));
-            membership.addListener(changes -> links.addControllers(Membership.appeared(changes, Roles.CONTROLLER)));
+            membership.addListener(changes -> links.addControllers(MembershipService.appearedAddresses(changes, NodeRoles.CONTROLLER)));
             membership.start();
         });
         return membership;
--- a/router/src/main/java/burlarch/router/SourceSubscriptions.java
+++ b/router/src/main/java/burlarch/router/SourceSubscriptions.java
@@ -6,7 +6,7 @@
 import burlarch.coordination.registry.Instance;
 import burlarch.engine.KvEventSubscriber;
 import burlarch.engine.KvEventSubscriber.Source;
-import burlarch.node.Roles;
+import burlarch.node.NodeRoles;
 import burlarch.router.prefixcache.SourceAssignment;
 import java.util.ArrayList;
 import java.util.Collection;
@@ -57,7 +57,7 @@
     void onMembers(Collection<MemberInfo> members) {
         Set<String> names = new HashSet<>();
         for (MemberInfo member : members) {
-            if (member.role().equals(Roles.ROUTER)) {
+            if (member.role().equals(NodeRoles.ROUTER)) {
                 names.add(member.name());
             }
         }
--- a/simulation/src/main/java/burlarch/simulation/coordination/ChainRule.java
+++ b/simulation/src/main/java/burlarch/simulation/coordination/ChainRule.java
@@ -1,9 +1,9 @@
 package burlarch.simulation.coordination;
 
+import burlarch.controller.state.AppliedChanges.Recall;
 import burlarch.controller.state.Lease;
 import burlarch.controller.state.SystemState;
 import burlarch.controller.state.SystemStateCodec;
-import burlarch.controller.state.TakenChanges.Recall;
 import burlarch.coordination.register.Ballot;
 import java.util.Arrays;
 import java.util.HashMap;
@@ -53,8 +53,8 @@
     }
 
     private static String broken(SystemState before, SystemState after) {
-        boolean all = before.taken().changes().stream()
-                .allMatch(change -> after.taken().recall(change) != Recall.NOT_TAKEN);
+        boolean all = before.appliedChanges().changes().stream()
+                .allMatch(change -> after.appliedChanges().recall(change) != Recall.NOT_APPLIED);
         if (!all) {
             return "a change";
         }
--- a/simulation/src/main/java/burlarch/simulation/coordination/ControlCalls.java
+++ b/simulation/src/main/java/burlarch/simulation/coordination/ControlCalls.java
@@ -1,8 +1,8 @@
 package burlarch.simulation.coordination;
 
 import burlarch.controller.api.ControlService;
+import burlarch.node.error.ControlException;
 import burlarch.node.error.ErrorKind;
-import burlarch.node.error.FleetException;
 import burlarch.simulation.NodeContext;
 import burlarch.simulation.Simulation;
 import burlarch.simulation.coordination.Calls.ControlAnswer;
@@ -87,7 +87,7 @@
         while (cause instanceof CompletionException && cause.getCause() != null) {
             cause = cause.getCause();
         }
-        if (cause instanceof FleetException told) {
+        if (cause instanceof ControlException told) {
             return told.kind().status();
         }
         if (!(cause instanceof CancellationException)) {
--- a/simulation/src/main/java/burlarch/simulation/coordination/OperatorNode.java
+++ b/simulation/src/main/java/burlarch/simulation/coordination/OperatorNode.java
@@ -3,7 +3,7 @@
 import burlarch.configuration.ConfigurationDocument;
 import burlarch.configuration.ConfigurationPatch;
 import burlarch.configuration.InvalidConfiguration;
-import burlarch.controller.state.TakenChange;
+import burlarch.controller.state.AppliedChange;
 import burlarch.simulation.NodeContext;
 import burlarch.simulation.SimulatedNode;
 import burlarch.simulation.Simulation;
@@ -28,7 +28,7 @@
     static final class Book {
         private long known;
         private ControlAction lastAction;
-        private TakenChange lastChange;
+        private AppliedChange lastChange;
         private long lastIfMatch;
         private long lastAcknowledgedAt;
         private long lastReadAt;
@@ -157,7 +157,7 @@
         long version = book.known + 1;
         byte[] body = Bodies.large(version, mark());
         try {
-            TakenChange change = TakenChange.patch(
+            AppliedChange change = AppliedChange.patch(
                     book.known, version, ConfigurationPatch.read(body).digest());
             send(new ControlAction.Patch(body, book.known), change, book.known);
         } catch (InvalidConfiguration invalid) {
@@ -172,7 +172,7 @@
     private void put(long ifMatch, long version, boolean valid) {
         byte[] body = Bodies.configuration(version, mark());
         try {
-            TakenChange change = TakenChange.put(
+            AppliedChange change = AppliedChange.put(
                     ifMatch, version, ConfigurationDocument.read(body).digest());
             if (!valid) {
                 rules.operators().onInvalid(change);
@@ -186,7 +186,7 @@
     private void patch(long ifMatch, long version) {
         byte[] body = Bodies.patch(version, mark());
         try {
-            TakenChange change = TakenChange.patch(
+            AppliedChange change = AppliedChange.patch(
                     ifMatch, version, ConfigurationPatch.read(body).digest());
             send(new ControlAction.Patch(body, ifMatch), change, ifMatch);
         } catch (InvalidConfiguration invalid) {
@@ -194,7 +194,7 @@
         }
     }
 
-    private void send(ControlAction action, TakenChange change, long ifMatch) {
+    private void send(ControlAction action, AppliedChange change, long ifMatch) {
         long begun = simulation.now();
         caller.call(action, LIMIT, answer -> {
             noteEnd(change.toString(), begun);
--- a/simulation/src/main/java/burlarch/simulation/coordination/RouterNode.java
+++ b/simulation/src/main/java/burlarch/simulation/coordination/RouterNode.java
@@ -3,8 +3,8 @@
 import burlarch.coordination.registry.Instance;
 import burlarch.coordination.registry.InstanceState;
 import burlarch.coordination.registry.MergedInstanceView;
-import burlarch.node.Membership;
-import burlarch.node.Roles;
+import burlarch.node.MembershipService;
+import burlarch.node.NodeRoles;
 import burlarch.router.ControllerLinks;
 import burlarch.simulation.NodeContext;
 import burlarch.simulation.SimulatedNode;
@@ -45,7 +45,12 @@
         loop.enter(now);
         links = new ControllerLinks(doubles.routerEffects(new InForce()));
         NodeMessage.Hello hello = new NodeMessage.Hello(
-                context.name(), Roles.ROUTER, context.address(), "zone", "", Long.toHexString(context.incarnation()));
+                context.name(),
+                NodeRoles.ROUTER,
+                context.address(),
+                "zone",
+                "",
+                Long.toHexString(context.incarnation()));
         transport = new SimulatedLinks(
                 context,
                 loop,
@@ -56,9 +61,9 @@
         membership = new SimulatedMembership(
                 context,
                 loop,
-                Roles.ROUTER,
+                NodeRoles.ROUTER,
                 seeds,
-                changes -> links.addControllers(Membership.appeared(changes, Roles.CONTROLLER)));
+                changes -> links.addControllers(MembershipService.appearedAddresses(changes, NodeRoles.CONTROLLER)));
         loop.leave();
     }
 
