--- a/storage/src/main/java/burlarch/storage/AcceptorRecordCodec.java
+++ b/storage/src/main/java/burlarch/storage/AcceptorRecordCodec.java
@@ -59,8 +59,8 @@
     }
 
     /**
-     * Returns the record that leads from one state to the next. If only the promised ballot changed, the record does not
-     * repeat the value, which may be large.
+     * Returns the record that leads from one state to the next. If only the promised ballot changed, the record does
+     * not repeat the value, which may be large.
      */
     static byte[] encodeChange(AcceptorState from, AcceptorState to) throws IOException {
         ByteArrayOutputStream bytes = new ByteArrayOutputStream();
--- a/storage/src/main/java/burlarch/storage/AcceptorStore.java
+++ b/storage/src/main/java/burlarch/storage/AcceptorStore.java
@@ -12,8 +12,8 @@
  * named values of the controller beside it.
  *
  * <p><b>Durable before acknowledged.</b> {@link #save} and {@link #saveNamedValue} return only after the new state is
- * synced; an acceptor replies to a request only after that. So no reply is ever based on a state that a power failure can
- * take back.
+ * synced; an acceptor replies to a request only after that. So no reply is ever based on a state that a power failure
+ * can take back.
  *
  * <p><b>Memory follows the disk.</b> If a save fails, the store still holds the state before it and can be used on. The
  * outcome on the disk is open: a restart may find either state.
@@ -53,7 +53,8 @@
      *
      * @param newIdentity called if the disk is empty: an identity that no other disk ever has
      * @param segmentBytes how much is written between two snapshots
-     * @throws DamagedLogException if synced records are lost; the acceptor must not vote, and opening again does not help
+     * @throws DamagedLogException if synced records are lost; the acceptor must not vote, and opening again does not
+     *     help
      * @throws IOException if the disk cannot be read or synced; opening may be tried again
      */
     public static AcceptorStore open(Disk disk, Supplier<String> newIdentity, long segmentBytes) throws IOException {
--- a/storage/src/main/java/burlarch/storage/FileChannelDiskFile.java
+++ b/storage/src/main/java/burlarch/storage/FileChannelDiskFile.java
@@ -6,8 +6,8 @@
 import java.nio.channels.FileChannel;
 
 /**
- * A file behind a {@link FileChannel}. Bytes are moved in chunks: for each thread the JVM keeps a native buffer as large
- * as the largest transfer, which would stay at the size of the largest record.
+ * A file behind a {@link FileChannel}. Bytes are moved in chunks: for each thread the JVM keeps a native buffer as
+ * large as the largest transfer, which would stay at the size of the largest record.
  */
 final class FileChannelDiskFile implements DiskFile {
     private static final int CHUNK_BYTES = 64 * 1024;
--- a/storage/src/main/java/burlarch/storage/LogRecovery.java
+++ b/storage/src/main/java/burlarch/storage/LogRecovery.java
@@ -13,9 +13,9 @@
  * left loses against records that were synced after it; one whose removal did not last loses against the snapshot that
  * replaced it.
  *
- * <p><b>Synced before trusted.</b> The process that wrote the current segment may have died between a write and its sync.
- * Its records can be read now and would still be lost in a power failure. The segment and the directory are synced
- * before any record is handed out.
+ * <p><b>Synced before trusted.</b> The process that wrote the current segment may have died between a write and its
+ * sync. Its records can be read now and would still be lost in a power failure. The segment and the directory are
+ * synced before any record is handed out.
  *
  * <p><b>Loss is reported.</b> {@link DamagedLogException} is thrown in two cases:
  *
@@ -51,7 +51,10 @@
     private final ObsoleteSegments obsolete;
     /** The open segment whose readable part reaches the highest sequence; null if none has a snapshot. */
     private OpenedSegment newest;
-    /** The segment that proves a sync of the highest sequence; closed unless it is the newest; null if none proves one. */
+    /**
+     * The segment that proves a sync of the highest sequence; closed unless it is the newest; null if none proves
+     * one.
+     */
     private OpenedSegment damaged;
 
     private long nextNumber = FIRST_NUMBER + 1;
--- a/storage/src/main/java/burlarch/storage/Segment.java
+++ b/storage/src/main/java/burlarch/storage/Segment.java
@@ -15,7 +15,7 @@
  *   SUSPECT    SYNCED (cut)    -             SUSPECT     SUSPECT
  * </pre>
  *
- * <p><b>Failed writes leave no trace in a later record's way.</b> After a failed write or sync any part of the tail may
+ * <p><b>Tail cut before reuse.</b> After a failed write or sync any part of the tail may
  * be on the medium. Everything since the last sync is given up, and before the next append the file is truncated to
  * {@code syncedBytes} and synced. Without that, remains of a given-up record could be read behind a shorter record that
  * was written in its place.
@@ -23,8 +23,8 @@
  * <p><b>Proof of sync.</b> A record of the kind {@link SegmentRecord#AFTER_SYNCED} is written only in the state SYNCED,
  * where nothing before it is without a sync. {@link SegmentScanner} relies on it.
  *
- * <p>Owned by the log's thread. Whoever calls {@link #create} or {@link #open} closes the segment: {@link SegmentedLog} the current one,
- * {@link LogRecovery} all others.
+ * <p>Owned by the log's thread. Whoever calls {@link #create} or {@link #open} closes the segment:
+ * {@link SegmentedLog} the current one, {@link LogRecovery} all others.
  */
 final class Segment {
     /** What is known of the part of the file behind {@code syncedBytes}. */
@@ -73,8 +73,8 @@
     }
 
     /**
-     * Creates a file that holds one snapshot. When this returns, the snapshot and the directory entry are durable; after
-     * a failure the file may exist with any part of the snapshot, and is closed.
+     * Creates a file that holds one snapshot. When this returns, the snapshot and the directory entry are durable;
+     * after a failure the file may exist with any part of the snapshot, and is closed.
      */
     static Segment create(Disk disk, long number, long sequence, byte[] snapshot) throws IOException {
         Segment segment = new Segment(number, disk.create(SegmentFileName.of(number)), Tail.SYNCED, 0, 0);
@@ -90,8 +90,8 @@
     }
 
     /**
-     * Opens an existing file and reads it. The caller must {@link #sync} before it trusts what was read: the process that
-     * wrote it may have died before its own sync.
+     * Opens an existing file and reads it. The caller must {@link #sync} before it trusts what was read: the process
+     * that wrote it may have died before its own sync.
      */
     static OpenedSegment open(Disk disk, long number) throws IOException {
         DiskFile file = disk.open(SegmentFileName.of(number));
--- a/storage/src/main/java/burlarch/storage/SegmentScanner.java
+++ b/storage/src/main/java/burlarch/storage/SegmentScanner.java
@@ -12,11 +12,11 @@
  * <p><b>Readable part.</b> The first record must be a snapshot, all others must not be one, and sequences must rise.
  * The readable part ends where no such record begins.
  *
- * <p><b>Torn tail or damage</b> (invariant <i>proof of sync</i>). What was written after the last sync may be lost in a
- * power failure, in whole or in part. That is a torn tail, and it is harmless: nothing of it was acknowledged. Damage to
- * synced records is a loss. The two are told apart by the kind of the records behind the readable part: a record of the
- * kind {@link SegmentRecord#AFTER_SYNCED} was written only when everything before it had been synced. If such a record is
- * intact behind bytes that cannot be read, then those bytes were synced and are damaged.
+ * <p><b>Torn tail or damage</b> (invariant <i>proof of sync</i>). What was written after the last sync may be lost in
+ * a power failure, in whole or in part. That is a torn tail, and it is harmless: nothing of it was acknowledged.
+ * Damage to synced records is a loss. The two are told apart by the kind of the records behind the readable part: a
+ * record of the kind {@link SegmentRecord#AFTER_SYNCED} was written only when everything before it had been synced.
+ * If such a record is intact behind bytes that cannot be read, then those bytes were synced and are damaged.
  *
  * <p><b>Limit.</b> The last sync leaves no such record until the next record is written. Damage to what only that sync
  * covered looks like a torn tail and is not detected.
@@ -70,8 +70,8 @@
     }
 
     /**
-     * Looks at each byte behind the readable part for the beginning of an intact record that proves a sync. The kind and
-     * the sequence are compared first, as reading a record and its checksum at each byte would take too long.
+     * Looks at each byte behind the readable part for the beginning of an intact record that proves a sync. The kind
+     * and the sequence are compared first, as reading a record and its checksum at each byte would take too long.
      *
      * @return the highest sequence of such a record, or 0
      */
--- a/storage/src/main/java/burlarch/storage/SegmentedLog.java
+++ b/storage/src/main/java/burlarch/storage/SegmentedLog.java
@@ -11,16 +11,16 @@
  * <p><b>Durable before acknowledged.</b> Appended records are durable once {@link #sync} has returned, a snapshot once
  * {@link #replaceWithSnapshot} has returned.
  *
- * <p><b>Errors.</b> After an {@link IOException} of {@link #append} or {@link #sync} every record since the last sync is
- * undone; a restart may still find it. After one of {@link #replaceWithSnapshot} the log is as before. In each case the
- * same call may be tried again. An undone record that a restart finds does no harm: its writer was told that the outcome
- * is open, and it is found only if nothing was synced after it.
+ * <p><b>Errors.</b> After an {@link IOException} of {@link #append} or {@link #sync} every record since the last sync
+ * is undone; a restart may still find it. After one of {@link #replaceWithSnapshot} the log is as before. In each
+ * case the same call may be tried again. An undone record that a restart finds does no harm: its writer was told that
+ * the outcome is open, and it is found only if nothing was synced after it.
  *
- * <p><b>Bound.</b> At most {@value #MAX_OBSOLETE_SEGMENTS} obsolete segments exist beside the current one; if they cannot
- * be removed, no further segment is begun.
+ * <p><b>Bound.</b> At most {@value #MAX_OBSOLETE_SEGMENTS} obsolete segments exist beside the current one; if they
+ * cannot be removed, no further segment is begun.
  *
- * <p>What is found on the disk at opening is {@link LogRecovery}'s concern. One thread owns a log; calls may block on the
- * disk.
+ * <p>What is found on the disk at opening is {@link LogRecovery}'s concern. One thread owns a log; calls may block on
+ * the disk.
  */
 public final class SegmentedLog implements Closeable {
     /** The largest record and the largest snapshot, without header. */
@@ -156,7 +156,10 @@
         }
     }
 
-    /** Creates the next segment. The first one keeps its number over failed attempts: {@link LogRecovery} relies on it. */
+    /**
+     * Creates the next segment. The first one keeps its number over failed attempts: {@link LogRecovery} relies on
+     * it.
+     */
     private Segment createSegment(byte[] snapshot) throws IOException {
         long number = isEmpty() ? LogRecovery.FIRST_NUMBER : nextNumber++;
         try {
--- a/storage/src/main/java/burlarch/storage/package-info.java
+++ b/storage/src/main/java/burlarch/storage/package-info.java
@@ -14,8 +14,8 @@
  * <ul>
  *   <li><i>durable before acknowledged</i>: a call that returns without an exception has synced what it was given
  *       ({@link burlarch.storage.AcceptorStore}, {@link burlarch.storage.SegmentedLog#sync});
- *   <li><i>failed writes leave no trace in a later record's way</i>: the tail after the last sync is cut before anything
- *       is written in its place ({@code Segment});
+ *   <li><i>tail cut before reuse</i>: the tail after the last sync is cut before
+ *       anything is written in its place ({@code Segment});
  *   <li><i>proof of sync</i>: damage to synced records is told apart from a torn tail ({@code SegmentScanner});
  *   <li><i>successor before removal</i>: a segment is removed only after its successor is synced, file and directory
  *       entry both ({@link burlarch.storage.SegmentedLog#replaceWithSnapshot});
