--- a/controller/src/main/java/burlarch/controller/ControllerProgram.java
+++ b/controller/src/main/java/burlarch/controller/ControllerProgram.java
@@ -3,6 +3,8 @@
 import burlarch.configuration.ConfigurationDocument;
 import burlarch.controller.api.ControlServer;
 import burlarch.controller.api.ControlService;
+import burlarch.controller.peers.ProcessIncarnations;
+import burlarch.controller.register.RegisterStorage;
 import burlarch.coordination.membership.SwimSettings;
 import burlarch.engine.EngineClient;
 import burlarch.engine.EngineHttpClientFactory;
--- a/controller/src/main/java/burlarch/controller/ControllerRuntime.java
+++ b/controller/src/main/java/burlarch/controller/ControllerRuntime.java
@@ -1,6 +1,24 @@
 package burlarch.controller;
 
 import burlarch.controller.api.ControlService;
+import burlarch.controller.api.OperatorService;
+import burlarch.controller.distribution.PrefixCacheEventForwarder;
+import burlarch.controller.distribution.QuorumReadGate;
+import burlarch.controller.distribution.RouterPublisher;
+import burlarch.controller.instances.InstanceReplicator;
+import burlarch.controller.ownership.LeaseHolderMonitor;
+import burlarch.controller.ownership.LeaseManager;
+import burlarch.controller.peers.ControllerMembershipView;
+import burlarch.controller.peers.ControllerPeers;
+import burlarch.controller.register.AcceptorSetReconciler;
+import burlarch.controller.register.CommittedState;
+import burlarch.controller.register.LocalAcceptor;
+import burlarch.controller.register.ProposalExecutor;
+import burlarch.controller.register.Proposer;
+import burlarch.controller.register.QuorumContactMonitor;
+import burlarch.controller.register.RegisterClient;
+import burlarch.controller.register.RegisterStorage;
+import burlarch.controller.rollout.RolloutCoordinator;
 import burlarch.controller.state.SystemState;
 import burlarch.coordination.membership.MemberChange;
 import burlarch.coordination.register.AcceptorSet;
--- a/controller/src/main/java/burlarch/controller/api/ControlJson.java
+++ b/controller/src/main/java/burlarch/controller/api/ControlJson.java
@@ -1,8 +1,8 @@
 package burlarch.controller.api;
 
-import burlarch.node.error.ControlException;
-import burlarch.node.error.ErrorKind;
-import burlarch.node.error.Problem;
+import burlarch.controller.error.ControlException;
+import burlarch.controller.error.ErrorKind;
+import burlarch.controller.error.Problem;
 import com.fasterxml.jackson.core.JsonProcessingException;
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.ObjectMapper;
--- a/controller/src/main/java/burlarch/controller/api/ControlService.java
+++ b/controller/src/main/java/burlarch/controller/api/ControlService.java
@@ -5,7 +5,7 @@
 
 /**
  * What the control interface calls. Nothing here blocks; calls come on any thread. A future fails with a
- * {@link burlarch.node.error.ControlException}; any other failure is told as a call without a clear end. A
+ * {@link burlarch.controller.error.ControlException}; any other failure is told as a call without a clear end. A
  * future that isn't done within the interface's limit is cancelled and answered as without a clear end too.
  */
 public interface ControlService {
--- a/controller/src/main/java/burlarch/controller/api/InstanceAnnouncementParser.java
+++ b/controller/src/main/java/burlarch/controller/api/InstanceAnnouncementParser.java
@@ -1,11 +1,11 @@
 package burlarch.controller.api;
 
+import burlarch.controller.error.ControlException;
+import burlarch.controller.error.ErrorKind;
 import burlarch.coordination.registry.Instance;
 import burlarch.coordination.registry.Instance.ServedModel;
 import burlarch.coordination.registry.InstanceRegistry;
 import burlarch.coordination.registry.InstanceState;
-import burlarch.node.error.ControlException;
-import burlarch.node.error.ErrorKind;
 import com.fasterxml.jackson.databind.JsonNode;
 import java.util.ArrayList;
 import java.util.List;
--- a/controller/src/main/java/burlarch/controller/OperatorService.java
+++ b/controller/src/main/java/burlarch/controller/api/OperatorService.java
@@ -1,17 +1,20 @@
-package burlarch.controller;
+package burlarch.controller.api;
 
 import burlarch.configuration.ConfigurationDocument;
 import burlarch.configuration.ConfigurationPatch;
 import burlarch.configuration.InvalidConfiguration;
-import burlarch.controller.api.ControlService;
+import burlarch.controller.distribution.RouterPublisher;
+import burlarch.controller.error.ControlException;
+import burlarch.controller.error.ErrorKind;
+import burlarch.controller.error.Problem;
+import burlarch.controller.instances.InstanceReplicator;
+import burlarch.controller.register.QuorumContactMonitor;
+import burlarch.controller.register.RegisterClient;
 import burlarch.controller.state.ChangeResult;
 import burlarch.controller.state.StateChanges;
 import burlarch.controller.state.SystemState;
 import burlarch.coordination.registry.Instance;
 import burlarch.coordination.registry.InstanceState;
-import burlarch.node.error.ControlException;
-import burlarch.node.error.ErrorKind;
-import burlarch.node.error.Problem;
 import burlarch.transport.EventLoop;
 import java.util.List;
 import java.util.concurrent.CompletableFuture;
@@ -25,7 +28,7 @@
  * instance says of itself is put to use all the same. An instance for which there is no room is told so, by
  * {@link ErrorKind#OVERLOADED}: no router would ever hear of it.
  */
-final class OperatorService implements ControlService {
+public final class OperatorService implements ControlService {
     /**
      * How long routers are waited for before a change or a drain is acknowledged: those cut off won't answer.
      */
@@ -42,7 +45,7 @@
     private final long startedAtNanos;
 
     /** @param lossesBorne how many acceptors may be lost at once */
-    OperatorService(
+    public OperatorService(
             EventLoop loop,
             RegisterClient register,
             RouterPublisher publisher,
--- a/controller/src/main/java/burlarch/controller/api/RequestBodyReader.java
+++ b/controller/src/main/java/burlarch/controller/api/RequestBodyReader.java
@@ -1,7 +1,7 @@
 package burlarch.controller.api;
 
-import burlarch.node.error.ControlException;
-import burlarch.node.error.ErrorKind;
+import burlarch.controller.error.ControlException;
+import burlarch.controller.error.ErrorKind;
 import burlarch.node.http.RequestBodyBudget;
 import java.nio.ByteBuffer;
 import java.util.Arrays;
--- a/controller/src/main/java/burlarch/controller/ConfigurationDeltaSender.java
+++ b/controller/src/main/java/burlarch/controller/distribution/ConfigurationDeltaSender.java
@@ -1,4 +1,4 @@
-package burlarch.controller;
+package burlarch.controller.distribution;
 
 import burlarch.transport.FrameCodec;
 import burlarch.transport.NodeMessage.ConfigurationUpdate;
--- a/controller/src/main/java/burlarch/controller/ConfigurationHistory.java
+++ b/controller/src/main/java/burlarch/controller/distribution/ConfigurationHistory.java
@@ -1,4 +1,4 @@
-package burlarch.controller;
+package burlarch.controller.distribution;
 
 import burlarch.configuration.DocumentDelta;
 import burlarch.transport.FrameCodec;
--- a/controller/src/main/java/burlarch/controller/PrefixCacheEventForwarder.java
+++ b/controller/src/main/java/burlarch/controller/distribution/PrefixCacheEventForwarder.java
@@ -1,4 +1,4 @@
-package burlarch.controller;
+package burlarch.controller.distribution;
 
 import burlarch.coordination.ownership.ShardOwners;
 import burlarch.node.NodeRoles;
@@ -21,7 +21,7 @@
  * written to, and wakes, once for many. What is lost on the way shows in the numbering of its source. Lives
  * on the loop.
  */
-final class PrefixCacheEventForwarder {
+public final class PrefixCacheEventForwarder {
     /** How long the oldest batch waits, nanoseconds. */
     static final long BATCH_DELAY_NANOS = 50_000_000;
     /**
@@ -49,14 +49,14 @@
         }
     }
 
-    PrefixCacheEventForwarder(EventLoop loop, FrameCodec codec, String ownAddress, String ownZone) {
+    public PrefixCacheEventForwarder(EventLoop loop, FrameCodec codec, String ownAddress, String ownZone) {
         this.loop = loop;
         this.codec = codec;
         this.ownAddress = ownAddress;
         this.ownZone = ownZone;
     }
 
-    void onUp(PeerConnection connection) {
+    public void onUp(PeerConnection connection) {
         if (connection.peerHello().role().equals(NodeRoles.ROUTER)) {
             routersByZone
                     .computeIfAbsent(connection.peerHello().zone(), zone -> new LinkedHashSet<>())
@@ -66,7 +66,7 @@
         }
     }
 
-    void onDown(PeerConnection connection) {
+    public void onDown(PeerConnection connection) {
         relayCandidates.remove(connection);
         Set<PeerConnection> routers = routersByZone.get(connection.peerHello().zone());
         if (routers != null && routers.remove(connection) && routers.isEmpty()) {
@@ -74,7 +74,7 @@
         }
     }
 
-    void onPrefixCacheEvents(PeerConnection from, PrefixCacheEvents parts) {
+    public void onPrefixCacheEvents(PeerConnection from, PrefixCacheEvents parts) {
         pending.add(new PendingFrame(from, codec.encode(parts)));
         if (pending.size() >= MAX_PENDING_FRAMES) {
             forward();
--- a/controller/src/main/java/burlarch/controller/QuorumReadGate.java
+++ b/controller/src/main/java/burlarch/controller/distribution/QuorumReadGate.java
@@ -1,5 +1,6 @@
-package burlarch.controller;
+package burlarch.controller.distribution;
 
+import burlarch.controller.register.RegisterClient;
 import burlarch.transport.EventLoop;
 import burlarch.transport.PeerConnection;
 import java.util.ArrayList;
@@ -12,7 +13,7 @@
  * controller that is cut off from the others may hold an old one. One read serves all routers that waited at
  * its start.
  */
-final class QuorumReadGate {
+public final class QuorumReadGate {
     private static final long RETRY_DELAY_NANOS = 200_000_000;
 
     private final EventLoop loop;
@@ -21,18 +22,18 @@
     private final Set<PeerConnection> waitingRouters = new LinkedHashSet<>();
     private boolean reading;
 
-    QuorumReadGate(EventLoop loop, RegisterClient register, RouterPublisher publisher) {
+    public QuorumReadGate(EventLoop loop, RegisterClient register, RouterPublisher publisher) {
         this.loop = loop;
         this.register = register;
         this.publisher = publisher;
     }
 
-    void onRouterUp(PeerConnection router) {
+    public void onRouterUp(PeerConnection router) {
         waitingRouters.add(router);
         readNext();
     }
 
-    void onRouterDown(PeerConnection router) {
+    public void onRouterDown(PeerConnection router) {
         waitingRouters.remove(router);
     }
 
--- a/controller/src/main/java/burlarch/controller/RouterPublisher.java
+++ b/controller/src/main/java/burlarch/controller/distribution/RouterPublisher.java
@@ -1,4 +1,4 @@
-package burlarch.controller;
+package burlarch.controller.distribution;
 
 import burlarch.controller.state.SystemState;
 import burlarch.coordination.distribution.AcknowledgementTracker;
@@ -21,7 +21,7 @@
  * Streams configurations and instances to the routers that are connected, and tells when all of them hold a
  * revision. Lives on the loop.
  */
-final class RouterPublisher {
+public final class RouterPublisher {
     /**
      * A configuration that another controller chose is sent by that one: here only to those that lack it by
      * then.
@@ -49,7 +49,7 @@
     private List<String> knownControllers = List.of();
     private boolean fleetUpdateScheduled;
 
-    RouterPublisher(EventLoop loop, FrameCodec codec, InstanceRegistry registry) {
+    public RouterPublisher(EventLoop loop, FrameCodec codec, InstanceRegistry registry) {
         this.loop = loop;
         this.codec = codec;
         this.registry = registry;
@@ -59,7 +59,7 @@
     /**
      * A router is connected. It gets instances at once, the configuration once {@link #onQuorumRead} allows.
      */
-    void onRouterUp(PeerConnection router, List<String> controllers) {
+    public void onRouterUp(PeerConnection router, List<String> controllers) {
         routers.add(router);
         configurations.subscribe(router);
         instances.subscribe(router);
@@ -67,7 +67,7 @@
         scheduleFleetUpdate(controllers);
     }
 
-    void onRouterDown(PeerConnection router, List<String> controllers) {
+    public void onRouterDown(PeerConnection router, List<String> controllers) {
         if (!routers.remove(router)) {
             return;
         }
@@ -80,12 +80,12 @@
     }
 
     /** How many routers are connected. */
-    int routerCount() {
+    public int routerCount() {
         return routers.size();
     }
 
     /** Tells the routers soon which controllers there are and how many routers. */
-    void scheduleFleetUpdate(List<String> controllers) {
+    public void scheduleFleetUpdate(List<String> controllers) {
         knownControllers = controllers;
         if (!fleetUpdateScheduled) {
             fleetUpdateScheduled = true;
@@ -103,7 +103,7 @@
      * The router was connected before a read that a quorum confirmed began: it may be sent the newest
      * configuration.
      */
-    void onQuorumRead(PeerConnection router) {
+    public void onQuorumRead(PeerConnection router) {
         if (!routers.contains(router) || !confirmed.add(router)) {
             return;
         }
@@ -115,7 +115,7 @@
     }
 
     /** A value was chosen. */
-    void onCommitted(SystemState decided, boolean ownProposal) {
+    public void onCommitted(SystemState decided, boolean ownProposal) {
         boolean newer = decided.configurationVersion() > state.configurationVersion();
         state = decided;
         if (!newer) {
@@ -140,14 +140,14 @@
     }
 
     /** What was sent fits no document that the router holds. */
-    void onFetchConfiguration(PeerConnection router) {
+    public void onFetchConfiguration(PeerConnection router) {
         if (confirmed.contains(router)) {
             configurationStream.sendComplete(router);
         }
     }
 
     /** Sends the routers what changed in the registry since the last call. */
-    void sendInstances() {
+    public void sendInstances() {
         if (registry.revision() == sentRevision) {
             return;
         }
@@ -160,7 +160,7 @@
         return codec.encode(new InstancesUpdate(changes.revision(), changes.complete(), changes.instances()));
     }
 
-    void onConfigurationAck(PeerConnection router, long version) {
+    public void onConfigurationAck(PeerConnection router, long version) {
         boolean first = configurations.acknowledgedBy(router).isEmpty();
         configurations.onAcknowledged(router, version);
         finishWaits();
@@ -169,18 +169,18 @@
         }
     }
 
-    void onInstancesAck(PeerConnection router, long revision) {
+    public void onInstancesAck(PeerConnection router, long revision) {
         instances.onAcknowledged(router, revision);
         finishWaits();
     }
 
     /** Done when all routers that are connected hold the version, or the time is over. */
-    CompletableFuture<Void> awaitConfiguration(long version, long limitNanos) {
+    public CompletableFuture<Void> awaitConfiguration(long version, long limitNanos) {
         return await(configurations, version, limitNanos);
     }
 
     /** Done when all routers that are connected hold the revision of the registry, or the time is over. */
-    CompletableFuture<Void> awaitInstances(long revision, long limitNanos) {
+    public CompletableFuture<Void> awaitInstances(long revision, long limitNanos) {
         return await(instances, revision, limitNanos);
     }
 
--- a/node/src/main/java/burlarch/node/error/ControlException.java
+++ b/controller/src/main/java/burlarch/controller/error/ControlException.java
@@ -1,4 +1,4 @@
-package burlarch.node.error;
+package burlarch.controller.error;
 
 import java.util.List;
 
--- a/node/src/main/java/burlarch/node/error/ErrorKind.java
+++ b/controller/src/main/java/burlarch/controller/error/ErrorKind.java
@@ -1,4 +1,4 @@
-package burlarch.node.error;
+package burlarch.controller.error;
 
 /**
  * Every way in which a call to the system's own interfaces may fail, and how that is told over HTTP. The
--- a/node/src/main/java/burlarch/node/error/Problem.java
+++ b/controller/src/main/java/burlarch/controller/error/Problem.java
@@ -1,4 +1,4 @@
-package burlarch.node.error;
+package burlarch.controller.error;
 
 /**
  * One thing that is wrong with a call's content.
--- a/controller/src/main/java/burlarch/controller/InstanceReplicator.java
+++ b/controller/src/main/java/burlarch/controller/instances/InstanceReplicator.java
@@ -1,5 +1,8 @@
-package burlarch.controller;
+package burlarch.controller.instances;
 
+import burlarch.controller.distribution.RouterPublisher;
+import burlarch.controller.peers.ControllerPeers;
+import burlarch.controller.register.QuorumContactMonitor;
 import burlarch.coordination.registry.Instance;
 import burlarch.coordination.registry.InstanceRegistry;
 import burlarch.transport.EventLoop;
@@ -15,7 +18,7 @@
  * whoever is reached, but nothing is lost to silence: what isn't heard here may be heard elsewhere. Lives on
  * the loop.
  */
-final class InstanceReplicator {
+public final class InstanceReplicator {
     private static final long BATCH_DELAY_NANOS = 250_000_000;
     private static final long EXPIRY_CHECK_PERIOD_NANOS = 500_000_000;
     /** Instances in one message to a peer. */
@@ -29,7 +32,7 @@
     private List<Instance> heartbeats = new ArrayList<>();
     private boolean batchScheduled;
 
-    InstanceReplicator(
+    public InstanceReplicator(
             EventLoop loop,
             InstanceRegistry registry,
             ControllerPeers peers,
@@ -48,7 +51,7 @@
      *
      * @return whether it is known now, be it by an older or a newer announcement; else there was no room
      */
-    boolean announce(Instance instance) {
+    public boolean announce(Instance instance) {
         InstanceRegistry.AnnouncementResult outcome = registry.announce(instance, loop.nanoTime());
         switch (outcome) {
             case CHANGED -> {
@@ -79,20 +82,20 @@
     }
 
     /** An instance ends and says so. */
-    void onLeft(String id) {
+    public void onLeft(String id) {
         Instance left = registry.leave(id, loop.nanoTime());
         peers.sendAll(new NodeMessage.InstanceAnnouncements(List.of(left)));
         publisher.sendInstances();
     }
 
     /** What another controller took. */
-    void onPeerAnnounced(Collection<Instance> instances) {
+    public void onPeerAnnounced(Collection<Instance> instances) {
         registry.merge(instances, loop.nanoTime());
         publisher.sendInstances();
     }
 
     /** A controller is out of touch: its instances need time to turn to another. */
-    void onPeerLost() {
+    public void onPeerLost() {
         registry.restartGrace(loop.nanoTime());
     }
 
@@ -100,7 +103,7 @@
      * A connection to or from a controller is up: it gets what it may have missed. Either of the two that
      * lead between controllers may be the first.
      */
-    void sendSnapshot(PeerConnection controller) {
+    public void sendSnapshot(PeerConnection controller) {
         List<Instance> known = registry.selfReported();
         for (int from = 0; from < known.size(); from += MAX_INSTANCES_PER_MESSAGE) {
             int to = Math.min(known.size(), from + MAX_INSTANCES_PER_MESSAGE);
@@ -114,7 +117,7 @@
     }
 
     /** Takes note of who was silent for too long, also of this process's own standstill. */
-    void expireSilent() {
+    public void expireSilent() {
         long now = loop.nanoTime();
         if (!quorum.hasContact()) {
             registry.restartGrace(now);
@@ -124,7 +127,7 @@
     }
 
     /** The registry's revision. */
-    long revision() {
+    public long revision() {
         return registry.revision();
     }
 }
--- a/controller/src/main/java/burlarch/controller/LeaseHolderMonitor.java
+++ b/controller/src/main/java/burlarch/controller/ownership/LeaseHolderMonitor.java
@@ -1,5 +1,8 @@
-package burlarch.controller;
+package burlarch.controller.ownership;
 
+import burlarch.controller.peers.ControllerMembershipView;
+import burlarch.controller.peers.ControllerPeers;
+import burlarch.controller.peers.ProcessIncarnations;
 import burlarch.coordination.membership.MemberState;
 import java.util.ArrayList;
 import java.util.List;
@@ -9,7 +12,7 @@
  * process can't reach it either. That routers still vouch for an owner counts for nothing: cut off from the
  * other controllers it has no quorum and can't act. Lives on the loop.
  */
-final class LeaseHolderMonitor {
+public final class LeaseHolderMonitor {
     /**
      * A controller that is out of reach for less may only be slow: its duties stay with it. One that was
      * restarted loses them this long after it is back, when those that start together have all met.
@@ -20,19 +23,19 @@
     private final ControllerMembershipView membershipView;
     private final String ownAddress;
 
-    LeaseHolderMonitor(ControllerPeers peers, ControllerMembershipView controllers, String ownAddress) {
+    public LeaseHolderMonitor(ControllerPeers peers, ControllerMembershipView controllers, String ownAddress) {
         this.peers = peers;
         this.membershipView = controllers;
         this.ownAddress = ownAddress;
     }
 
     /** Name of the process as the holder of a duty. */
-    static String holderName(String processName, String address) {
+    public static String holderName(String processName, String address) {
         return processName + "@" + address;
     }
 
     /** Whether the other process that is known by this holder's name lives. */
-    boolean isAlive(String holder, long now) {
+    public boolean isAlive(String holder, long now) {
         int at = holder.lastIndexOf('@');
         String address = holder.substring(at + 1);
         if (address.equals(ownAddress)) {
@@ -51,12 +54,12 @@
     }
 
     /** Whether all controllers that are known can be reached. */
-    boolean allControllersConnected() {
+    public boolean allControllersConnected() {
         return peers.allConnected();
     }
 
     /** Addresses of those that can take a duty, this process included. */
-    List<String> candidates() {
+    public List<String> candidates() {
         List<String> live = new ArrayList<>(peers.connectedAddresses());
         live.removeIf(membershipView::hasLeft);
         live.add(ownAddress);
--- a/controller/src/main/java/burlarch/controller/LeaseManager.java
+++ b/controller/src/main/java/burlarch/controller/ownership/LeaseManager.java
@@ -1,5 +1,7 @@
-package burlarch.controller;
+package burlarch.controller.ownership;
 
+import burlarch.controller.register.QuorumContactMonitor;
+import burlarch.controller.register.RegisterClient;
 import burlarch.controller.state.Lease;
 import burlarch.controller.state.StateChanges;
 import burlarch.controller.state.SystemState;
@@ -16,7 +18,7 @@
  * ahead of need, so that the former owner's lease is over by then; while there is work it has the register
  * confirm it. Lives on the loop.
  */
-final class LeaseManager {
+public final class LeaseManager {
     private static final long CHECK_PERIOD_NANOS = 200_000_000;
     /**
      * For so long after its start, or after it was cut off, a controller may not yet be connected to others
@@ -25,7 +27,7 @@
     private static final long DISCOVERY_NANOS = 1_500_000_000;
 
     /** Told when the duty begins and ends here. */
-    interface SingletonRole {
+    public interface SingletonRole {
         /** @param token higher than any former owner's */
         void onAcquired(long token);
 
@@ -50,7 +52,7 @@
     private long ownerToken = -1;
 
     /** @param holderName unique for this start of this process, ending in {@code @} and its address */
-    LeaseManager(
+    public LeaseManager(
             EventLoop loop,
             RegisterClient register,
             LeaseHolderMonitor owners,
@@ -75,17 +77,17 @@
     }
 
     /** Name under which orders go out. */
-    String holderName() {
+    public String holderName() {
         return holderName;
     }
 
     /** Whether an order may be sent now; to be asked before each one. */
-    boolean mayAct() {
+    public boolean mayAct() {
         return lease.mayAct(loop.nanoTime());
     }
 
     /** An engine has seen a higher token. */
-    void onFenced() {
+    public void onFenced() {
         if (lease.state() == LeaseState.HOLDING || lease.state() == LeaseState.WAITING_OUT) {
             lease.release();
             updateRole();
@@ -93,7 +95,7 @@
     }
 
     /** Looks at once whether there is work, instead of at the next turn. */
-    void wake() {
+    public void wake() {
         loop.execute(this::evaluate);
     }
 
--- a/controller/src/main/java/burlarch/controller/ControllerMembershipView.java
+++ b/controller/src/main/java/burlarch/controller/peers/ControllerMembershipView.java
@@ -1,4 +1,4 @@
-package burlarch.controller;
+package burlarch.controller.peers;
 
 import burlarch.coordination.membership.MemberChange;
 import burlarch.coordination.membership.MemberInfo;
@@ -9,7 +9,7 @@
 import java.util.Map;
 
 /** What membership believes of the other controllers, by their addresses. Lives on the loop. */
-final class ControllerMembershipView {
+public final class ControllerMembershipView {
     /** One that is gone gives way to a further one, else the one whose news is oldest. */
     private static final int MAX_CONTROLLERS = 64;
 
@@ -17,7 +17,7 @@
 
     private final Map<String, KnownProcess> byAddress = new LinkedHashMap<>();
 
-    void onChanges(List<MemberChange> changes) {
+    public void onChanges(List<MemberChange> changes) {
         for (MemberChange change : changes) {
             if (change.member().role().equals(NodeRoles.CONTROLLER)) {
                 update(change.member(), change.after());
@@ -50,13 +50,13 @@
     /**
      * What is believed of the process at the address, or null where nothing or another one is known there.
      */
-    MemberState stateOf(String address, String incarnation) {
+    public MemberState stateOf(String address, String incarnation) {
         KnownProcess belief = byAddress.get(address);
         return belief != null && ProcessIncarnations.toText(belief.processId).equals(incarnation) ? belief.state : null;
     }
 
     /** Whether the last process that was heard of at the address said that it goes. */
-    boolean hasLeft(String address) {
+    public boolean hasLeft(String address) {
         KnownProcess belief = byAddress.get(address);
         return belief != null && belief.state == MemberState.LEFT;
     }
--- a/controller/src/main/java/burlarch/controller/ControllerPeers.java
+++ b/controller/src/main/java/burlarch/controller/peers/ControllerPeers.java
@@ -1,4 +1,4 @@
-package burlarch.controller;
+package burlarch.controller.peers;
 
 import burlarch.coordination.register.AcceptorSetPlan.Candidate;
 import burlarch.coordination.register.Member;
@@ -18,7 +18,7 @@
  * The other controllers: known by the seeds and by what controllers tell of one another, each with the
  * connection that this process asked for. Lives on the loop.
  */
-final class ControllerPeers {
+public final class ControllerPeers {
     /** Most controllers that are known; the one that is longest out of reach gives way to a further one. */
     static final int MAX_PEERS = 32;
     /** Others are told of a controller that is out of reach for so long. */
@@ -40,14 +40,14 @@
     /** The acceptors: never forgotten. */
     private Set<String> acceptorAddresses = Set.of();
 
-    ControllerPeers(EventLoop loop, PeerConnections transport, String ownAddress) {
+    public ControllerPeers(EventLoop loop, PeerConnections transport, String ownAddress) {
         this.loop = loop;
         this.transport = transport;
         this.ownAddress = ownAddress;
     }
 
     /** Connects to those that were not known. */
-    void addAddresses(Collection<String> addresses) {
+    public void addAddresses(Collection<String> addresses) {
         for (String address : addresses) {
             if (!address.equals(ownAddress) && !peers.containsKey(address) && makeRoom()) {
                 Peer peer = new Peer();
@@ -59,7 +59,7 @@
     }
 
     /** Learns where the acceptors are, and forgets none of them until it is told of others. */
-    void retainAcceptors(Collection<String> acceptors) {
+    public void retainAcceptors(Collection<String> acceptors) {
         acceptorAddresses = Set.copyOf(acceptors);
         addAddresses(acceptors);
     }
@@ -85,7 +85,7 @@
     }
 
     /** A connection to or from a controller is up. */
-    void onUp(PeerConnection connection) {
+    public void onUp(PeerConnection connection) {
         NodeMessage.Hello hello = connection.peerHello();
         addAddresses(List.of(hello.address()));
         Peer peer = peers.get(hello.address());
@@ -99,7 +99,7 @@
     }
 
     /** A connection to or from a controller is gone. */
-    void onDown(PeerConnection connection) {
+    public void onDown(PeerConnection connection) {
         Peer peer = peers.get(connection.peerHello().address());
         if (peer != null && peer.connection == connection) {
             peer.connection = null;
@@ -108,7 +108,7 @@
     }
 
     /** Sends to one controller; dropped where it can't be reached. */
-    void send(String address, NodeMessage message) {
+    public void send(String address, NodeMessage message) {
         Peer peer = peers.get(address);
         if (peer != null && peer.connection != null) {
             peer.connection.send(message);
@@ -116,7 +116,7 @@
     }
 
     /** Sends to all controllers that can be reached. */
-    void sendAll(NodeMessage message) {
+    public void sendAll(NodeMessage message) {
         byte[] frame = transport.codec().encode(message);
         for (Peer peer : peers.values()) {
             if (peer.connection != null) {
@@ -126,30 +126,30 @@
     }
 
     /** Whether that controller can be reached. */
-    boolean isConnected(String address) {
+    public boolean isConnected(String address) {
         Peer peer = peers.get(address);
         return address.equals(ownAddress) || peer != null && peer.connection != null;
     }
 
     /** Of the process that was last connected with there; empty where there was none. */
-    String incarnationAt(String address) {
+    public String incarnationAt(String address) {
         Peer peer = peers.get(address);
         return peer == null ? "" : peer.incarnation;
     }
 
     /** Whether all controllers that are known can be reached. */
-    boolean allConnected() {
+    public boolean allConnected() {
         return connectedAddresses().size() == peers.size();
     }
 
     /** Since when that controller is up or down; 0 where it was never heard of. */
-    long connectivityChangedAtNanos(String address) {
+    public long connectivityChangedAtNanos(String address) {
         Peer peer = peers.get(address);
         return peer == null ? 0 : peer.changedAtNanos;
     }
 
     /** Addresses of the controllers that can be reached, in order; without this one. */
-    List<String> connectedAddresses() {
+    public List<String> connectedAddresses() {
         List<String> up = new ArrayList<>();
         peers.forEach((address, peer) -> {
             if (peer.connection != null) {
@@ -163,7 +163,7 @@
      * Addresses that others are told of: this one, the acceptors, and those that were connected lately. Not
      * what was only heard: else an address that is gone would be passed around for ever.
      */
-    List<String> advertisedAddresses() {
+    public List<String> advertisedAddresses() {
         List<String> told = new ArrayList<>();
         long now = loop.nanoTime();
         peers.forEach((address, peer) -> {
@@ -177,7 +177,7 @@
     }
 
     /** The acceptors of all controllers that were heard of, for the plan of the acceptor set. */
-    List<Candidate> candidates() {
+    public List<Candidate> candidates() {
         List<Candidate> candidates = new ArrayList<>();
         peers.forEach((address, peer) -> {
             if (!peer.storageId.isEmpty() || peer.connection == null) {
--- a/controller/src/main/java/burlarch/controller/ProcessIncarnations.java
+++ b/controller/src/main/java/burlarch/controller/peers/ProcessIncarnations.java
@@ -1,28 +1,28 @@
-package burlarch.controller;
+package burlarch.controller.peers;
 
 import java.security.SecureRandom;
 
 /** Numbers that tell the starts of processes apart, and names that hold them. */
-final class ProcessIncarnations {
+public final class ProcessIncarnations {
     private ProcessIncarnations() {}
 
     /** A new one; never 0. */
-    static long generate() {
+    public static long generate() {
         long drawn = new SecureRandom().nextLong();
         return drawn == 0 ? 1 : drawn;
     }
 
-    static String toText(long incarnation) {
+    public static String toText(long incarnation) {
         return Long.toHexString(incarnation);
     }
 
     /** Name of one start of a process, unique in the fleet. */
-    static String processName(String nodeName, String incarnation) {
+    public static String processName(String nodeName, String incarnation) {
         return nodeName + "-" + incarnation;
     }
 
     /** The incarnation in a name that {@link #processName} made. */
-    static String ofProcessName(String name) {
+    public static String ofProcessName(String name) {
         return name.substring(name.lastIndexOf('-') + 1);
     }
 }
--- a/controller/src/main/java/burlarch/controller/AcceptorSetReconciler.java
+++ b/controller/src/main/java/burlarch/controller/register/AcceptorSetReconciler.java
@@ -1,5 +1,6 @@
-package burlarch.controller;
+package burlarch.controller.register;
 
+import burlarch.controller.peers.ControllerPeers;
 import burlarch.coordination.register.AcceptorReach;
 import burlarch.coordination.register.AcceptorSetChange;
 import burlarch.coordination.register.AcceptorSetPlan;
@@ -17,7 +18,7 @@
  * the others wait longer the later they stand, so that they rarely get into each other's way. Lives on the
  * loop.
  */
-final class AcceptorSetReconciler {
+public final class AcceptorSetReconciler {
     private static final long CHECK_PERIOD_NANOS = 250_000_000;
     private static final long REMOVE_AFTER_NANOS = 2_000_000_000;
     private static final int CHECKS_PER_RANK = 2;
@@ -39,7 +40,7 @@
     private boolean proposing;
 
     /** @param lossesBorne how many acceptors may be lost at once */
-    AcceptorSetReconciler(
+    public AcceptorSetReconciler(
             EventLoop loop,
             CommittedState decided,
             RegisterClient register,
--- a/controller/src/main/java/burlarch/controller/CommittedState.java
+++ b/controller/src/main/java/burlarch/controller/register/CommittedState.java
@@ -1,4 +1,4 @@
-package burlarch.controller;
+package burlarch.controller.register;
 
 import burlarch.controller.state.SystemState;
 import burlarch.controller.state.SystemStateCodec;
@@ -15,9 +15,9 @@
  * The newest value that is known to be chosen, and whom to ask for newer ones. Never goes back. Lives on the
  * loop.
  */
-final class CommittedState {
+public final class CommittedState {
     /** Told of each newer value. */
-    interface Listener {
+    public interface Listener {
         void onCommitted(SystemState state, boolean ownProposal);
     }
 
@@ -28,11 +28,11 @@
     private Belief registerView;
 
     /** @param stored what this process's disk tells of the register: holds until a newer value is known */
-    CommittedState(Belief stored) {
+    public CommittedState(Belief stored) {
         registerView = stored;
     }
 
-    void addListener(Listener listener) {
+    public void addListener(Listener listener) {
         listeners.add(listener);
     }
 
@@ -42,7 +42,7 @@
      * @param ownProposal whether a proposal of this process chose it
      * @return whether it was newer
      */
-    boolean advance(Ballot chosenBallot, RegisterValue chosen, boolean ownProposal) {
+    public boolean advance(Ballot chosenBallot, RegisterValue chosen, boolean ownProposal) {
         if (chosen == null || chosenBallot.compareTo(proposalNumber) <= 0) {
             return false;
         }
@@ -59,26 +59,26 @@
         return true;
     }
 
-    Ballot proposalNumber() {
+    public Ballot proposalNumber() {
         return proposalNumber;
     }
 
     /** Null before anything was chosen. */
-    RegisterValue value() {
+    public RegisterValue value() {
         return value;
     }
 
-    SystemState state() {
+    public SystemState state() {
         return state;
     }
 
     /** What a proposal begins with. */
-    Belief registerView() {
+    public Belief registerView() {
         return registerView;
     }
 
     /** The acceptors as far as is known here: until a value is known as chosen, those on the disk. */
-    List<Member> members() {
+    public List<Member> members() {
         return registerView.members();
     }
 }
--- a/controller/src/main/java/burlarch/controller/LocalAcceptor.java
+++ b/controller/src/main/java/burlarch/controller/register/LocalAcceptor.java
@@ -1,4 +1,4 @@
-package burlarch.controller;
+package burlarch.controller.register;
 
 import burlarch.coordination.register.Acceptor;
 import burlarch.coordination.register.AcceptorState;
@@ -18,7 +18,7 @@
  * This process's acceptor on the disk's own thread: a disk that hangs makes the acceptor silent and holds
  * nothing else up. A reply leaves only after its state is durable; one whose write fails is dropped.
  */
-final class LocalAcceptor {
+public final class LocalAcceptor {
     private final AcceptorStore store;
     private final Acceptor acceptor;
     private final Executor disk;
@@ -30,7 +30,7 @@
     /**
      * @param disk runs one task after the other; it rejects those beyond its bound, as proposers send again
      */
-    LocalAcceptor(AcceptorStore store, Executor disk) {
+    public LocalAcceptor(AcceptorStore store, Executor disk) {
         this.store = store;
         this.disk = disk;
         durableState = store.state();
@@ -41,13 +41,13 @@
      * The value that was accepted here at that ballot; null where the newest one has another. From any
      * thread. A ballot has one value only, so this is the chosen one where that ballot is known as chosen.
      */
-    RegisterValue acceptedAt(Ballot ballot) {
+    public RegisterValue acceptedAt(Ballot ballot) {
         AcceptorState state = durableState;
         return state.accepted().equals(ballot) ? state.value() : null;
     }
 
     /** Handles a message from any thread; the reply comes on the disk's thread, or never. */
-    void onRequest(RegisterMessage message, Consumer<RegisterMessage> reply) {
+    public void onRequest(RegisterMessage message, Consumer<RegisterMessage> reply) {
         try {
             disk.execute(() -> process(message, reply));
         } catch (RejectedExecutionException full) {
@@ -56,7 +56,7 @@
     }
 
     /** Lets the disk keep the acceptors of a chosen value; where it can't now, a later value tries again. */
-    void storeAcceptorSet(Belief chosen) {
+    public void storeAcceptorSet(Belief chosen) {
         try {
             disk.execute(() -> saveAcceptorSet(chosen));
         } catch (RejectedExecutionException full) {
--- a/controller/src/main/java/burlarch/controller/ProposalExecutor.java
+++ b/controller/src/main/java/burlarch/controller/register/ProposalExecutor.java
@@ -1,5 +1,6 @@
-package burlarch.controller;
+package burlarch.controller.register;
 
+import burlarch.controller.peers.ControllerPeers;
 import burlarch.coordination.register.Ballot;
 import burlarch.coordination.register.Belief;
 import burlarch.coordination.register.Output;
@@ -22,7 +23,7 @@
  * Runs proposals one after the other, so that those of one process don't get into each other's way, and lets
  * the own acceptor answer those of others. Lives on the loop.
  */
-final class ProposalExecutor implements Proposer {
+public final class ProposalExecutor implements Proposer {
     /** Proposals that wait for their turn; a further one ends at once as not started. */
     private static final int MAX_QUEUED = 64;
 
@@ -46,7 +47,7 @@
      * @param proposerName unique for this start of this process
      * @param belief what is known of the register here
      */
-    ProposalExecutor(
+    public ProposalExecutor(
             EventLoop loop,
             ControllerPeers peers,
             LocalAcceptor acceptor,
@@ -76,12 +77,12 @@
     }
 
     /** The value that the own acceptor holds of that ballot; null where it holds another. */
-    RegisterValue acceptedAt(Ballot ballot) {
+    public RegisterValue acceptedAt(Ballot ballot) {
         return acceptor.acceptedAt(ballot);
     }
 
     /** A message of the register from another controller. */
-    void onMessage(PeerConnection from, RegisterMessage message) {
+    public void onMessage(PeerConnection from, RegisterMessage message) {
         if (message instanceof RegisterMessage.Prepare || message instanceof RegisterMessage.Accept) {
             acceptor.onRequest(message, reply -> from.send(new NodeMessage.RegisterProtocol(reply)));
         } else {
@@ -90,7 +91,7 @@
     }
 
     /** Another controller is connected: what was sent to it before may be lost. */
-    void onPeerUp() {
+    public void onPeerUp() {
         if (proposal != null) {
             perform(proposal, proposal.onReachable(loop.nanoTime()));
         }
--- a/controller/src/main/java/burlarch/controller/Proposer.java
+++ b/controller/src/main/java/burlarch/controller/register/Proposer.java
@@ -1,4 +1,4 @@
-package burlarch.controller;
+package burlarch.controller.register;
 
 import burlarch.coordination.register.ProposalResult;
 import burlarch.coordination.register.RegisterChange;
--- a/controller/src/main/java/burlarch/controller/QuorumContactMonitor.java
+++ b/controller/src/main/java/burlarch/controller/register/QuorumContactMonitor.java
@@ -1,4 +1,4 @@
-package burlarch.controller;
+package burlarch.controller.register;
 
 import burlarch.coordination.ownership.QuorumContact;
 import burlarch.coordination.register.AcceptorSet;
@@ -7,7 +7,7 @@
 import org.tinylog.Logger;
 
 /** Whether this controller stands with a quorum, by what it hears of the others. Lives on the loop. */
-final class QuorumContactMonitor {
+public final class QuorumContactMonitor {
     /** Four statuses of a peer. */
     private static final long CONTACT_TIMEOUT_NANOS = 1_200_000_000;
 
@@ -18,7 +18,7 @@
     private long changedAtNanos;
 
     /** @param ownStorage storage identity of this process's acceptor */
-    QuorumContactMonitor(EventLoop loop, CommittedState decided, String ownStorage) {
+    public QuorumContactMonitor(EventLoop loop, CommittedState decided, String ownStorage) {
         this.loop = loop;
         this.committed = decided;
         contact = new QuorumContact(ownStorage, CONTACT_TIMEOUT_NANOS);
@@ -26,17 +26,17 @@
     }
 
     /** Another controller was heard. */
-    void onHeard(PeerConnection controller) {
+    public void onHeard(PeerConnection controller) {
         contact.onHeard(controller.peerHello().storage(), loop.nanoTime());
     }
 
     /** A connection to or from another controller is gone. */
-    void onDown(PeerConnection controller) {
+    public void onDown(PeerConnection controller) {
         contact.onLost(controller.peerHello().storage());
     }
 
     /** Whether a quorum of the acceptors that are known here is in contact now. */
-    boolean hasContact() {
+    public boolean hasContact() {
         boolean holds = contact.holds(AcceptorSet.of(committed.members()), loop.nanoTime());
         if (holds != inContact) {
             inContact = holds;
@@ -47,7 +47,7 @@
     }
 
     /** Whether there is contact and has been for that time, as far as {@link #hasContact} was asked in it. */
-    boolean hasContactFor(long nanos) {
+    public boolean hasContactFor(long nanos) {
         return hasContact() && loop.nanoTime() - changedAtNanos >= nanos;
     }
 }
--- a/controller/src/main/java/burlarch/controller/RegisterClient.java
+++ b/controller/src/main/java/burlarch/controller/register/RegisterClient.java
@@ -1,5 +1,8 @@
-package burlarch.controller;
+package burlarch.controller.register;
 
+import burlarch.controller.error.ControlException;
+import burlarch.controller.error.ErrorKind;
+import burlarch.controller.peers.ControllerPeers;
 import burlarch.controller.state.ChangeResult;
 import burlarch.controller.state.StateChangeProposal;
 import burlarch.controller.state.SystemState;
@@ -9,8 +12,6 @@
 import burlarch.coordination.register.Member;
 import burlarch.coordination.register.ProposalResult;
 import burlarch.coordination.register.RegisterValue;
-import burlarch.node.error.ControlException;
-import burlarch.node.error.ErrorKind;
 import burlarch.transport.NodeMessage;
 import java.util.List;
 import java.util.concurrent.CompletableFuture;
@@ -20,14 +21,14 @@
  * The register as one that holds a {@link SystemState}: what a proposal chose is adopted and told to the
  * other controllers before anyone hears of its end. Lives on the loop.
  */
-final class RegisterClient {
+public final class RegisterClient {
     private static final long PROPOSAL_TIMEOUT_NANOS = 850_000_000;
 
     private final Proposer proposer;
     private final CommittedState committed;
     private final ControllerPeers peers;
 
-    RegisterClient(Proposer driver, CommittedState decided, ControllerPeers peers) {
+    public RegisterClient(Proposer driver, CommittedState decided, ControllerPeers peers) {
         this.proposer = driver;
         this.committed = decided;
         this.peers = peers;
@@ -39,7 +40,7 @@
      * @return the state that holds the change, also where it held it before; fails with a {@link
      * ControlException}
      */
-    CompletableFuture<SystemState> change(Function<SystemState, ChangeResult> change) {
+    public CompletableFuture<SystemState> change(Function<SystemState, ChangeResult> change) {
         StateChangeProposal proposal = new StateChangeProposal(change);
         return proposer.propose(proposal, PROPOSAL_TIMEOUT_NANOS).thenApply(result -> {
             learnChosen(result);
@@ -48,13 +49,13 @@
     }
 
     /** The newest state, as a quorum has it. */
-    CompletableFuture<SystemState> read() {
+    public CompletableFuture<SystemState> read() {
         return proposer.propose(current -> Decision.keep(), PROPOSAL_TIMEOUT_NANOS)
                 .thenApply(this::stateOf);
     }
 
     /** Writes an empty state where the register holds none. */
-    CompletableFuture<SystemState> writeInitialState() {
+    public CompletableFuture<SystemState> writeInitialState() {
         return proposer.propose(
                         current -> current != null
                                 ? Decision.keep()
@@ -68,13 +69,13 @@
      * Writes the state again, so that no write that was left unfinished before can come to light any more, a
      * changing set of acceptors among them.
      */
-    CompletableFuture<SystemState> seal() {
+    public CompletableFuture<SystemState> seal() {
         return proposer.propose(current -> Decision.seal(), PROPOSAL_TIMEOUT_NANOS)
                 .thenApply(this::stateOf);
     }
 
     /** Changes the acceptors; the state stays. */
-    CompletableFuture<SystemState> changeMembers(List<Member> from, List<Member> to) {
+    public CompletableFuture<SystemState> changeMembers(List<Member> from, List<Member> to) {
         return proposer.propose(
                         current -> {
                             boolean asExpected =
@@ -104,12 +105,12 @@
     }
 
     /** The newest state that is known here without asking. */
-    SystemState committedState() {
+    public SystemState committedState() {
         return committed.state();
     }
 
     /** The acceptors that have a vote, as far as is known here. */
-    AcceptorSet acceptors() {
+    public AcceptorSet acceptors() {
         return AcceptorSet.of(committed.members());
     }
 }
--- a/controller/src/main/java/burlarch/controller/RegisterStorage.java
+++ b/controller/src/main/java/burlarch/controller/register/RegisterStorage.java
@@ -1,4 +1,4 @@
-package burlarch.controller;
+package burlarch.controller.register;
 
 import static java.nio.charset.StandardCharsets.UTF_8;
 
--- a/controller/src/main/java/burlarch/controller/RolloutCoordinator.java
+++ b/controller/src/main/java/burlarch/controller/rollout/RolloutCoordinator.java
@@ -1,5 +1,7 @@
-package burlarch.controller;
+package burlarch.controller.rollout;
 
+import burlarch.controller.distribution.RouterPublisher;
+import burlarch.controller.ownership.LeaseManager;
 import burlarch.controller.state.SystemState;
 import burlarch.coordination.registry.Instance;
 import burlarch.coordination.registry.InstanceRegistry;
@@ -15,7 +17,7 @@
 import org.tinylog.Logger;
 
 /** Brings engines to the named weights while this controller owns the duty. Lives on the loop. */
-final class RolloutCoordinator implements LeaseManager.SingletonRole {
+public final class RolloutCoordinator implements LeaseManager.SingletonRole {
     private static final long PERIOD_NANOS = 300_000_000;
 
     private final EventLoop loop;
@@ -26,7 +28,7 @@
     private LeaseManager ownership;
     private EventLoop.Timer timer;
 
-    RolloutCoordinator(
+    public RolloutCoordinator(
             EventLoop loop,
             InstanceRegistry registry,
             RouterPublisher publisher,
@@ -40,18 +42,18 @@
     }
 
     /** To be called once. */
-    void start(LeaseManager keeper) {
+    public void start(LeaseManager keeper) {
         ownership = keeper;
         loop.schedule(PERIOD_NANOS, this::updateInstances);
     }
 
     /** Whether some engine has yet to get newer weights. */
-    boolean hasWork() {
+    public boolean hasWork() {
         return !rollout.isComplete();
     }
 
     /** A value was chosen. */
-    void onCommitted(SystemState state) {
+    public void onCommitted(SystemState state) {
         perform(rollout.onTargets(state.weights(), loop.nanoTime()));
         if (hasWork()) {
             ownership.wake();
--- a/controller/src/main/java/burlarch/controller/state/ChangeResult.java
+++ b/controller/src/main/java/burlarch/controller/state/ChangeResult.java
@@ -1,8 +1,8 @@
 package burlarch.controller.state;
 
-import burlarch.node.error.ControlException;
-import burlarch.node.error.ErrorKind;
-import burlarch.node.error.Problem;
+import burlarch.controller.error.ControlException;
+import burlarch.controller.error.ErrorKind;
+import burlarch.controller.error.Problem;
 import java.util.List;
 
 /** What a change makes of a state. */
--- a/controller/src/main/java/burlarch/controller/state/StateChangeProposal.java
+++ b/controller/src/main/java/burlarch/controller/state/StateChangeProposal.java
@@ -1,5 +1,7 @@
 package burlarch.controller.state;
 
+import burlarch.controller.error.ControlException;
+import burlarch.controller.error.ErrorKind;
 import burlarch.controller.state.ChangeResult.Changed;
 import burlarch.controller.state.ChangeResult.Unchanged;
 import burlarch.controller.state.ChangeResult.UnchangedReason;
@@ -8,8 +10,6 @@
 import burlarch.coordination.register.ProposalResult;
 import burlarch.coordination.register.RegisterChange;
 import burlarch.coordination.register.RegisterValue;
-import burlarch.node.error.ControlException;
-import burlarch.node.error.ErrorKind;
 import java.util.List;
 import java.util.function.Function;
 
--- a/controller/src/main/java/burlarch/controller/state/StateChanges.java
+++ b/controller/src/main/java/burlarch/controller/state/StateChanges.java
@@ -3,10 +3,10 @@
 import burlarch.configuration.ConfigurationDocument;
 import burlarch.configuration.ConfigurationPatch;
 import burlarch.configuration.InvalidConfiguration;
+import burlarch.controller.error.Problem;
 import burlarch.controller.state.ChangeResult.Changed;
 import burlarch.controller.state.ChangeResult.Unchanged;
 import burlarch.controller.state.ChangeResult.UnchangedReason;
-import burlarch.node.error.Problem;
 import java.util.List;
 
 /**
--- a/controller/src/test/java/burlarch/controller/api/ControlServerTest.java
+++ b/controller/src/test/java/burlarch/controller/api/ControlServerTest.java
@@ -3,10 +3,10 @@
 import static org.assertj.core.api.Assertions.assertThat;
 import static org.assertj.core.api.Assertions.assertThatThrownBy;
 
+import burlarch.controller.error.ControlException;
+import burlarch.controller.error.ErrorKind;
 import burlarch.coordination.registry.Instance;
 import burlarch.coordination.registry.InstanceState;
-import burlarch.node.error.ControlException;
-import burlarch.node.error.ErrorKind;
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.ObjectMapper;
 import java.io.IOException;
--- a/controller/src/test/java/burlarch/controller/OperatorServiceTest.java
+++ b/controller/src/test/java/burlarch/controller/api/OperatorServiceTest.java
@@ -1,7 +1,15 @@
-package burlarch.controller;
+package burlarch.controller.api;
 
 import static org.assertj.core.api.Assertions.assertThat;
 
+import burlarch.controller.distribution.RouterPublisher;
+import burlarch.controller.error.ControlException;
+import burlarch.controller.error.ErrorKind;
+import burlarch.controller.instances.InstanceReplicator;
+import burlarch.controller.peers.ControllerPeers;
+import burlarch.controller.register.CommittedState;
+import burlarch.controller.register.QuorumContactMonitor;
+import burlarch.controller.register.RegisterClient;
 import burlarch.coordination.register.Belief;
 import burlarch.coordination.register.Member;
 import burlarch.coordination.register.ProposalResult;
@@ -9,9 +17,8 @@
 import burlarch.coordination.registry.InstanceRegistry;
 import burlarch.coordination.registry.InstanceState;
 import burlarch.coordination.registry.RegistrySettings;
-import burlarch.node.error.ControlException;
-import burlarch.node.error.ErrorKind;
 import burlarch.testing.RecordingLinks;
+import burlarch.testing.VirtualLoop;
 import java.util.List;
 import java.util.concurrent.CompletableFuture;
 import org.junit.jupiter.api.Test;
--- a/controller/src/test/java/burlarch/controller/ConfigurationHistoryTest.java
+++ b/controller/src/test/java/burlarch/controller/distribution/ConfigurationHistoryTest.java
@@ -1,4 +1,4 @@
-package burlarch.controller;
+package burlarch.controller.distribution;
 
 import static org.assertj.core.api.Assertions.assertThat;
 
--- a/controller/src/test/java/burlarch/controller/PrefixCacheEventForwarderTest.java
+++ b/controller/src/test/java/burlarch/controller/distribution/PrefixCacheEventForwarderTest.java
@@ -1,8 +1,9 @@
-package burlarch.controller;
+package burlarch.controller.distribution;
 
 import static org.assertj.core.api.Assertions.assertThat;
 
 import burlarch.node.NodeRoles;
+import burlarch.testing.VirtualLoop;
 import burlarch.transport.FrameCodec;
 import burlarch.transport.FrameException;
 import burlarch.transport.NodeMessage;
--- a/controller/src/test/java/burlarch/controller/ControllerMembershipViewTest.java
+++ b/controller/src/test/java/burlarch/controller/peers/ControllerMembershipViewTest.java
@@ -1,4 +1,4 @@
-package burlarch.controller;
+package burlarch.controller.peers;
 
 import static org.assertj.core.api.Assertions.assertThat;
 
--- a/controller/src/test/java/burlarch/controller/ControllerPeersTest.java
+++ b/controller/src/test/java/burlarch/controller/peers/ControllerPeersTest.java
@@ -1,9 +1,10 @@
-package burlarch.controller;
+package burlarch.controller.peers;
 
 import static org.assertj.core.api.Assertions.assertThat;
 
 import burlarch.testing.RecordingLink;
 import burlarch.testing.RecordingLinks;
+import burlarch.testing.VirtualLoop;
 import burlarch.transport.PeerConnection;
 import java.util.List;
 import org.junit.jupiter.api.AfterEach;
--- a/controller/src/test/java/burlarch/controller/VirtualLoop.java
+++ b/node-testing/src/main/java/burlarch/testing/VirtualLoop.java
@@ -1,11 +1,11 @@
-package burlarch.controller;
+package burlarch.testing;
 
 import burlarch.transport.EventLoop;
 import java.util.ArrayList;
 import java.util.List;
 
 /** A loop whose time passes when a test says so. */
-final class VirtualLoop implements EventLoop {
+public final class VirtualLoop implements EventLoop {
     private record Planned(long due, Runnable task) {}
 
     private final List<Planned> planned = new ArrayList<>();
@@ -29,12 +29,12 @@
     }
 
     /** Tasks that wait for their time. */
-    int plannedTasks() {
+    public int plannedTasks() {
         return planned.size();
     }
 
     /** Lets time pass and runs what is due by then, but not what that plans. */
-    void pass(long nanos) {
+    public void pass(long nanos) {
         now += nanos;
         List<Planned> due = new ArrayList<>(planned);
         due.removeIf(one -> one.due() > now);
--- a/simulation/src/main/java/burlarch/simulation/coordination/ControlCalls.java
+++ b/simulation/src/main/java/burlarch/simulation/coordination/ControlCalls.java
@@ -1,8 +1,8 @@
 package burlarch.simulation.coordination;
 
 import burlarch.controller.api.ControlService;
-import burlarch.node.error.ControlException;
-import burlarch.node.error.ErrorKind;
+import burlarch.controller.error.ControlException;
+import burlarch.controller.error.ErrorKind;
 import burlarch.simulation.NodeContext;
 import burlarch.simulation.Simulation;
 import burlarch.simulation.coordination.Calls.ControlAnswer;
--- a/simulation/src/main/java/burlarch/simulation/coordination/ControllerNode.java
+++ b/simulation/src/main/java/burlarch/simulation/coordination/ControllerNode.java
@@ -2,7 +2,7 @@
 
 import burlarch.controller.ControllerRuntime;
 import burlarch.controller.ControllerSettings;
-import burlarch.controller.RegisterStorage;
+import burlarch.controller.register.RegisterStorage;
 import burlarch.controller.api.ControlService;
 import burlarch.coordination.register.Ballot;
 import burlarch.node.NodeRoles;
--- a/simulation/src/test/java/burlarch/simulation/coordination/PlantedRegisterFaults.java
+++ b/simulation/src/test/java/burlarch/simulation/coordination/PlantedRegisterFaults.java
@@ -1,7 +1,7 @@
 package burlarch.simulation.coordination;
 
 import burlarch.controller.ControllerRuntime;
-import burlarch.controller.Proposer;
+import burlarch.controller.register.Proposer;
 import burlarch.controller.state.AppliedChanges;
 import burlarch.controller.state.SystemState;
 import burlarch.controller.state.SystemStateCodec;
--- a/simulation/src/test/java/burlarch/simulation/coordination/SealingTest.java
+++ b/simulation/src/test/java/burlarch/simulation/coordination/SealingTest.java
@@ -3,7 +3,7 @@
 import static org.assertj.core.api.Assertions.assertThat;
 
 import burlarch.controller.ControllerRuntime;
-import burlarch.controller.Proposer;
+import burlarch.controller.register.Proposer;
 import burlarch.coordination.register.Decision;
 import burlarch.coordination.register.ProposalResult;
 import burlarch.coordination.register.RegisterChange;
--- a/simulation/src/test/java/burlarch/simulation/operators/ControllerModel.java
+++ b/simulation/src/test/java/burlarch/simulation/operators/ControllerModel.java
@@ -13,7 +13,7 @@
 import burlarch.coordination.register.ProposalResult;
 import burlarch.coordination.register.RegisterChange;
 import burlarch.coordination.register.RegisterMessage;
-import burlarch.node.error.ControlException;
+import burlarch.controller.error.ControlException;
 import burlarch.simulation.NodeContext;
 import burlarch.simulation.SimulatedNode;
 import burlarch.simulation.Simulation;
