--- a/coordination/src/main/java/burlarch/coordination/membership/AntiEntropy.java
+++ b/coordination/src/main/java/burlarch/coordination/membership/AntiEntropy.java
@@ -1,26 +1,29 @@
 package burlarch.coordination.membership;
 
-/** Whole tables, asked for at the start and where another's differs though no news is under way. */
+/**
+ * Anti-entropy: requests another member's whole table at the start, and where digests differ although no gossip is under
+ * way. Requests that bring nothing new back off; responses are bounded per period.
+ */
 final class AntiEntropy {
     private static final int MAX_BACKOFF_FACTOR = 16;
     private static final int STARTUP_PERIODS = 8;
     private static final int MAX_RESPONSES_PER_PERIOD = 16;
 
     private final SwimSettings settings;
-    private final MembershipView beliefs;
-    private final OutgoingDatagrams outbound;
+    private final MembershipView view;
+    private final OutgoingDatagrams outgoing;
     private final long startedAtNanos;
     private long nextRequestAtNanos;
     private long digestAtRequest;
     private int backoffFactor = 1;
     private int responsesInPeriod;
 
-    AntiEntropy(SwimSettings settings, MembershipView beliefs, OutgoingDatagrams outbound, long now) {
+    AntiEntropy(SwimSettings settings, MembershipView view, OutgoingDatagrams outgoing, long nowNanos) {
         this.settings = settings;
-        this.beliefs = beliefs;
-        this.outbound = outbound;
-        startedAtNanos = now;
-        nextRequestAtNanos = now;
+        this.view = view;
+        this.outgoing = outgoing;
+        startedAtNanos = nowNanos;
+        nextRequestAtNanos = nowNanos;
     }
 
     /** Called once a period. */
@@ -28,49 +31,53 @@
         responsesInPeriod = 0;
     }
 
-    /** Asks for the other's table unless another was asked just before. */
-    void requestSync(String to, long now) {
-        if (now - nextRequestAtNanos < 0) {
+    /** Requests the other's table unless a request is too recent. */
+    void requestSync(String to, long nowNanos) {
+        if (nowNanos - nextRequestAtNanos < 0) {
             return;
         }
-        boolean inVain = digestAtRequest == beliefs.table().digest();
-        backoffFactor = inVain ? Math.min(MAX_BACKOFF_FACTOR, backoffFactor * 2) : 1;
-        digestAtRequest = beliefs.table().digest();
-        nextRequestAtNanos =
-                now + (isUrgent(now) ? settings.probePeriodNanos() : settings.minSyncIntervalNanos() * backoffFactor);
-        outbound.syncRequest(to);
+        boolean lastChangedNothing = digestAtRequest == view.table().digest();
+        backoffFactor = lastChangedNothing ? Math.min(MAX_BACKOFF_FACTOR, backoffFactor * 2) : 1;
+        digestAtRequest = view.table().digest();
+        nextRequestAtNanos = nowNanos + intervalNanos(nowNanos);
+        outgoing.syncRequest(to);
     }
 
-    /** Asks for the other's table if it differs from the own one and news won't soon mend that. */
-    void compareDigest(String from, SwimMessage.Header header, long now) {
-        if (header.digest() != beliefs.table().digest() && (beliefs.isQuiet(now) || isUrgent(now))) {
-            requestSync(from, now);
+    /** Requests the sender's table if its digest differs and gossip won't soon make the tables equal. */
+    void compareDigest(String from, SwimMessage.Header header, long nowNanos) {
+        boolean differs = header.digest() != view.table().digest();
+        if (differs && (view.isQuiet(nowNanos) || isUrgent(nowNanos))) {
+            requestSync(from, nowNanos);
         }
     }
 
-    /** Sends the whole table, at a bounded rate: who gets none asks again. */
+    /** Sends the whole table unless too many got it in this period; a requester that gets none asks again. */
     void onRequest(String from) {
         if (responsesInPeriod < MAX_RESPONSES_PER_PERIOD) {
             responsesInPeriod++;
-            outbound.syncPages(from);
+            outgoing.syncPages(from);
         }
     }
 
-    /** Takes up a page or the claim that comes with a request; the first claim is the sender's own. */
-    void onUpdates(SwimMessage message, long now) {
+    /** Applies a page, or the update of a request. The first update is the sender's own and counts as gossip. */
+    void onUpdates(SwimMessage message, long nowNanos) {
         boolean first = true;
-        for (MemberUpdate claim : message.updates()) {
+        for (MemberUpdate update : message.updates()) {
             if (first) {
-                beliefs.onGossip(claim, now);
+                view.onGossip(update, nowNanos);
                 first = false;
             } else {
-                beliefs.onSyncedEntry(claim, now);
+                view.onSyncedEntry(update, nowNanos);
             }
         }
     }
 
-    /** When news alone would take long: at the own start, or where much changed at once. */
-    private boolean isUrgent(long now) {
-        return beliefs.isGossipBacklogged() || now - startedAtNanos < STARTUP_PERIODS * settings.probePeriodNanos();
+    private long intervalNanos(long nowNanos) {
+        return isUrgent(nowNanos) ? settings.probePeriodNanos() : settings.minSyncIntervalNanos() * backoffFactor;
+    }
+
+    /** Whether gossip alone would take long: at the own start, or where much changed at once. */
+    private boolean isUrgent(long nowNanos) {
+        return view.isGossipBacklogged() || nowNanos - startedAtNanos < STARTUP_PERIODS * settings.probePeriodNanos();
     }
 }
--- a/coordination/src/main/java/burlarch/coordination/membership/FailureDetector.java
+++ b/coordination/src/main/java/burlarch/coordination/membership/FailureDetector.java
@@ -2,42 +2,34 @@
 
 import java.util.Random;
 
-/** The probe under way, direct and then through helpers, and the probes made for others. */
+/**
+ * SWIM's failure detector: one own {@link Probe} at a time, direct and then through other members, and the probes made on
+ * behalf of others. It reports suspicions and deaths to the {@link MembershipView}.
+ */
 final class FailureDetector {
     /** A probe ends before the next one is due, also when that one comes a little early. */
     private static final double PROBE_PERIOD_FRACTION = 0.9;
 
-    /** A helper gives up sooner than the one who asked, so that its word comes in time. */
+    /** A member that probes for another gives up sooner than the requester, so that its nack comes in time. */
     private static final double INDIRECT_PROBE_FRACTION = 0.75;
 
     private final SwimSettings settings;
-    private final MembershipView beliefs;
-    private final OutgoingDatagrams outbound;
+    private final MembershipView view;
+    private final OutgoingDatagrams outgoing;
     private final LocalHealth health;
     private final ProbeTargetSelector targets;
     private final IndirectProbes indirectProbes = new IndirectProbes();
     private int sequence;
-
-    private MemberRecord target;
-    private long targetProcessId;
-    private int probeSequence;
-    private long directDeadlineNanos;
-    private long probeDeadlineNanos;
-    private boolean direct;
-    private int indirectRequests;
-    private int nacksReceived;
+    /** The latest own probe; null before the first one. */
+    private Probe probe;
 
     FailureDetector(
-            SwimSettings settings,
-            MembershipView beliefs,
-            OutgoingDatagrams outbound,
-            LocalHealth health,
-            Random random) {
+            SwimSettings settings, MembershipView view, OutgoingDatagrams outgoing, LocalHealth health, Random random) {
         this.settings = settings;
-        this.beliefs = beliefs;
-        this.outbound = outbound;
+        this.view = view;
+        this.outgoing = outgoing;
         this.health = health;
-        targets = new ProbeTargetSelector(beliefs.table(), random);
+        targets = new ProbeTargetSelector(view.table(), random);
         sequence = random.nextInt();
     }
 
@@ -45,110 +37,121 @@
         return targets;
     }
 
-    /** A sequence that no other ping of this process has for long. */
+    /** A sequence that no other recent ping of this process has. */
     int nextSequence() {
         return ++sequence;
     }
 
-    /** Begins a probe unless one is under way. */
-    void beginProbe(long now) {
-        if (target != null) {
+    /** Begins a probe of the next target unless one is in progress. */
+    void beginProbe(long nowNanos) {
+        if (isProbing()) {
             return;
         }
-        target = targets.next();
+        MemberRecord target = targets.next();
         if (target == null) {
             return;
         }
-        targetProcessId = target.info().processId();
-        probeSequence = nextSequence();
-        directDeadlineNanos = now + settings.probeTimeoutNanos() * health.multiplier();
-        probeDeadlineNanos = now + (long) (settings.probePeriodNanos() * PROBE_PERIOD_FRACTION) * health.multiplier();
-        direct = true;
-        indirectRequests = 0;
-        nacksReceived = 0;
-        outbound.ping(target.info().address(), probeSequence, targetProcessId, updateToRefute(target));
+        long directNanos = settings.probeTimeoutNanos() * health.multiplier();
+        long probeNanos = (long) (settings.probePeriodNanos() * PROBE_PERIOD_FRACTION) * health.multiplier();
+        probe = new Probe(target, nextSequence(), nowNanos + directNanos, nowNanos + probeNanos);
+        outgoing.ping(target.info().address(), probe.sequence, probe.targetProcessId, updateToRefute(target));
     }
 
     /** Does what is due. */
-    void onTimer(long now) {
-        for (IndirectProbes.IndirectProbe late = indirectProbes.pollOverdue(now);
-                late != null;
-                late = indirectProbes.pollOverdue(now)) {
-            outbound.nack(late.requester(), late.requesterSequence());
-        }
-        if (target != null && direct && now - directDeadlineNanos >= 0) {
+    void onTimer(long nowNanos) {
+        sendDueNacks(nowNanos);
+        if (isProbing() && probe.isDirectOverdue(nowNanos)) {
             requestIndirectProbes();
         }
-        if (target != null && now - probeDeadlineNanos >= 0) {
-            onProbeFailed(now);
+        if (isProbing() && probe.isOverdue(nowNanos)) {
+            onProbeFailed(nowNanos);
         }
     }
 
-    /** How long until something is due, at most {@code atMost}. */
-    long nanosUntilDue(long now, long atMost) {
-        long least = indirectProbes.nanosUntilOverdue(now, atMost);
-        return target == null ? least : Math.min(least, (direct ? directDeadlineNanos : probeDeadlineNanos) - now);
+    /** Nanoseconds until something is due, at most {@code atMostNanos}. */
+    long nanosUntilDue(long nowNanos, long atMostNanos) {
+        long least = indirectProbes.nanosUntilOverdue(nowNanos, atMostNanos);
+        return isProbing() ? Math.min(least, probe.nanosUntilDue(nowNanos)) : least;
     }
 
-    void onAck(SwimMessage.Ack ack, long now) {
-        IndirectProbes.IndirectProbe relay = indirectProbes.removeBySequence(ack.sequence());
-        if (relay != null) {
-            outbound.ack(relay.requester(), relay.requesterSequence(), ack.subjectProcessId(), null);
+    /** An ack came: for a probe made for another member it is passed on, else it may end the own probe. */
+    void onAck(SwimMessage.Ack ack, long nowNanos) {
+        IndirectProbes.IndirectProbe forOther = indirectProbes.removeBySequence(ack.sequence());
+        if (forOther != null) {
+            outgoing.ack(forOther.requester(), forOther.requesterSequence(), ack.subjectProcessId(), null);
             return;
         }
-        if (target == null || ack.sequence() != probeSequence) {
+        if (!isProbing() || ack.sequence() != probe.sequence) {
             return;
         }
-        if (ack.subjectProcessId() == targetProcessId) {
+        if (ack.subjectProcessId() == probe.targetProcessId) {
             health.improve();
-        } else if (target.info().processId() == targetProcessId) {
-            beliefs.declareDead(target, now);
+        } else if (probe.isOfPresentProcess()) {
+            view.declareDead(probe.target, nowNanos);
         }
-        target = null;
+        probe.end();
     }
 
+    /** A member that was asked to probe the target got no ack from it, but reaches this member. */
     void onNack(SwimMessage.Nack nack) {
-        if (target != null && nack.sequence() == probeSequence) {
-            nacksReceived++;
+        if (isProbing() && nack.sequence() == probe.sequence) {
+            probe.onNack();
         }
     }
 
-    void onPingRequest(String from, SwimMessage.PingRequest request, long now) {
-        int own = nextSequence();
-        long deadline = now + (long) (settings.probeTimeoutNanos() * INDIRECT_PROBE_FRACTION);
-        indirectProbes.add(new IndirectProbes.IndirectProbe(own, from, request.sequence(), deadline));
-        MemberRecord row = beliefs.table().findByProcess(request.targetProcessId());
-        outbound.ping(request.address(), own, request.targetProcessId(), row == null ? null : updateToRefute(row));
+    /** Another member asks for a probe of the target. */
+    void onPingRequest(String from, SwimMessage.PingRequest request, long nowNanos) {
+        int ownSequence = nextSequence();
+        long deadline = nowNanos + (long) (settings.probeTimeoutNanos() * INDIRECT_PROBE_FRACTION);
+        indirectProbes.add(new IndirectProbes.IndirectProbe(ownSequence, from, request.sequence(), deadline));
+        MemberRecord target = view.table().findByProcess(request.targetProcessId());
+        MemberUpdate first = target == null ? null : updateToRefute(target);
+        outgoing.ping(request.address(), ownSequence, request.targetProcessId(), first);
     }
 
-    /** Ends all probes without a verdict, as after a pause of this process. */
+    /** Ends all probes without a result, as after a pause of this process. */
     void abandonProbes() {
-        target = null;
+        if (isProbing()) {
+            probe.end();
+        }
         indirectProbes.clear();
     }
 
-    /** What a member must be told of itself so that it can object; null where it is held alive. */
-    static MemberUpdate updateToRefute(MemberRecord row) {
-        return row.state() == MemberState.ALIVE ? null : row.update;
+    /** The update that the member must get to be able to refute it; null where it is ALIVE here. */
+    static MemberUpdate updateToRefute(MemberRecord record) {
+        return record.state() == MemberState.ALIVE ? null : record.update;
+    }
+
+    private boolean isProbing() {
+        return probe != null && !probe.hasEnded();
+    }
+
+    private void sendDueNacks(long nowNanos) {
+        IndirectProbes.IndirectProbe overdue = indirectProbes.pollOverdue(nowNanos);
+        while (overdue != null) {
+            outgoing.nack(overdue.requester(), overdue.requesterSequence());
+            overdue = indirectProbes.pollOverdue(nowNanos);
+        }
     }
 
     private void requestIndirectProbes() {
-        direct = false;
-        for (MemberRecord helper : targets.randomAlive(settings.indirectProbeCount(), target)) {
-            outbound.pingRequest(helper.info().address(), probeSequence, target.info());
-            indirectRequests++;
+        int requested = 0;
+        for (MemberRecord member : targets.randomAliveExcept(probe.target, settings.indirectProbeCount())) {
+            outgoing.pingRequest(member.info().address(), probe.sequence, probe.target.info());
+            requested++;
         }
+        probe.onIndirectRequested(requested);
     }
 
-    private void onProbeFailed(long now) {
-        MemberRecord silent = target;
-        target = null;
-        if (indirectRequests > 0 && nacksReceived == 0) {
+    private void onProbeFailed(long nowNanos) {
+        probe.end();
+        if (probe.gotNoIndirectResponse()) {
             health.worsen();
         }
-        if (silent.state() == MemberState.ALIVE && silent.info().processId() == targetProcessId) {
-            beliefs.suspect(silent, now);
-            outbound.ping(silent.info().address(), nextSequence(), targetProcessId, silent.update);
+        MemberRecord target = probe.target;
+        if (target.state() == MemberState.ALIVE && probe.isOfPresentProcess()) {
+            view.suspect(target, nowNanos);
+            outgoing.ping(target.info().address(), nextSequence(), probe.targetProcessId, target.update);
         }
     }
 }
--- a/coordination/src/main/java/burlarch/coordination/membership/GossipQueue.java
+++ b/coordination/src/main/java/burlarch/coordination/membership/GossipQueue.java
@@ -5,8 +5,9 @@
 import java.util.List;
 
 /**
- * News that still has to go out. Troubles and objections to them go before mere arrivals, or a start of many
- * would drown them; then what went out least often. Bounded by the member table.
+ * Updates that are still to be sent as gossip. Failures and refutations go before arrivals, which would crowd them out
+ * when many members start at once; then goes what was sent least often. Bounded by the member table, as each record
+ * stands in it once.
  */
 final class GossipQueue {
     private static final Comparator<MemberRecord> URGENT_THEN_LEAST_SENT = (one, other) -> {
@@ -16,18 +17,19 @@
 
     private final List<MemberRecord> pending = new ArrayList<>();
 
-    /** Sends the row's claim {@code transmissions} times from now on. */
-    void add(MemberRecord row, int transmissions) {
-        if (row.transmissionsLeft <= 0) {
-            pending.add(row);
+    /** Sends the record's update {@code transmissions} times from now on. */
+    void add(MemberRecord record, int transmissions) {
+        if (record.transmissionsLeft <= 0) {
+            pending.add(record);
         }
-        row.transmissionsLeft = transmissions;
+        record.transmissionsLeft = transmissions;
     }
 
-    void remove(MemberRecord row) {
-        if (row.transmissionsLeft > 0) {
-            row.transmissionsLeft = 0;
-            pending.remove(row);
+    /** Sends the record's update no more. */
+    void remove(MemberRecord record) {
+        if (record.transmissionsLeft > 0) {
+            record.transmissionsLeft = 0;
+            pending.remove(record);
         }
     }
 
@@ -39,24 +41,27 @@
         return pending.size();
     }
 
-    /** Adds the most pressing claims that fit into {@code room} bytes, and counts them as sent. */
-    void takeUpdates(int room, List<MemberUpdate> claims) {
+    /**
+     * Adds the most urgent updates that fit into {@code maxBytes} to {@code updates}, and counts them as sent. One that
+     * is in the list already is counted, not added again.
+     */
+    void takeUpdates(int maxBytes, List<MemberUpdate> updates) {
         if (pending.isEmpty()) {
             return;
         }
         pending.sort(URGENT_THEN_LEAST_SENT);
-        int left = room;
-        for (MemberRecord row : pending) {
-            int size = SwimCodec.sizeOf(row.update);
-            if (size > left) {
+        int bytesLeft = maxBytes;
+        for (MemberRecord record : pending) {
+            int size = SwimCodec.sizeOf(record.update);
+            if (size > bytesLeft) {
                 break;
             }
-            left -= size;
-            if (!claims.contains(row.update)) {
-                claims.add(row.update);
+            bytesLeft -= size;
+            if (!updates.contains(record.update)) {
+                updates.add(record.update);
             }
-            row.transmissionsLeft--;
+            record.transmissionsLeft--;
         }
-        pending.removeIf(row -> row.transmissionsLeft <= 0);
+        pending.removeIf(record -> record.transmissionsLeft <= 0);
     }
 }
--- a/coordination/src/main/java/burlarch/coordination/membership/IndirectProbes.java
+++ b/coordination/src/main/java/burlarch/coordination/membership/IndirectProbes.java
@@ -4,51 +4,58 @@
 import java.util.Deque;
 import java.util.Iterator;
 
-/** Probes that this member makes for others. Bounded: the oldest gives way. */
+/**
+ * Probes that this member makes on behalf of others. At most {@value #MAX_PENDING} are pending; beyond that the oldest
+ * is dropped, and its requester gets neither ack nor nack.
+ */
 final class IndirectProbes {
-    private static final int MAX_OPEN = 64;
+    private static final int MAX_PENDING = 64;
 
     /**
+     * A probe made for another member.
+     *
      * @param sequence of the own ping
-     * @param requester address of the one who asked, and its sequence
-     * @param deadlineNanos when it is told that no answer came
+     * @param requester address of the member that requested it
+     * @param requesterSequence the requester's sequence, which goes into the ack or nack
+     * @param deadlineNanos when the requester gets a nack
      */
     record IndirectProbe(int sequence, String requester, int requesterSequence, long deadlineNanos) {}
 
-    private final Deque<IndirectProbe> open = new ArrayDeque<>();
+    private final Deque<IndirectProbe> pending = new ArrayDeque<>();
 
-    void add(IndirectProbe relay) {
-        if (open.size() >= MAX_OPEN) {
-            open.removeFirst();
+    void add(IndirectProbe probe) {
+        if (pending.size() >= MAX_PENDING) {
+            pending.removeFirst();
         }
-        open.addLast(relay);
+        pending.addLast(probe);
     }
 
-    /** Removes and returns the relay with this own sequence, or null. */
+    /** Removes and returns the probe with this own sequence, or returns null. */
     IndirectProbe removeBySequence(int sequence) {
-        Iterator<IndirectProbe> relays = open.iterator();
-        while (relays.hasNext()) {
-            IndirectProbe relay = relays.next();
-            if (relay.sequence() == sequence) {
-                relays.remove();
-                return relay;
+        Iterator<IndirectProbe> probes = pending.iterator();
+        while (probes.hasNext()) {
+            IndirectProbe probe = probes.next();
+            if (probe.sequence() == sequence) {
+                probes.remove();
+                return probe;
             }
         }
         return null;
     }
 
-    /** Removes and returns a relay that got no answer in time, or null. All wait equally long. */
-    IndirectProbe pollOverdue(long now) {
-        IndirectProbe oldest = open.peekFirst();
-        return oldest != null && now - oldest.deadlineNanos() >= 0 ? open.removeFirst() : null;
+    /** Removes and returns a probe whose deadline has passed, or returns null. All wait equally long. */
+    IndirectProbe pollOverdue(long nowNanos) {
+        IndirectProbe oldest = pending.peekFirst();
+        return oldest != null && nowNanos - oldest.deadlineNanos() >= 0 ? pending.removeFirst() : null;
     }
 
-    long nanosUntilOverdue(long now, long atMost) {
-        IndirectProbe oldest = open.peekFirst();
-        return oldest == null ? atMost : Math.min(atMost, oldest.deadlineNanos() - now);
+    /** Nanoseconds until {@link #pollOverdue} has one, at most {@code atMostNanos}. */
+    long nanosUntilOverdue(long nowNanos, long atMostNanos) {
+        IndirectProbe oldest = pending.peekFirst();
+        return oldest == null ? atMostNanos : Math.min(atMostNanos, oldest.deadlineNanos() - nowNanos);
     }
 
     void clear() {
-        open.clear();
+        pending.clear();
     }
 }
--- a/coordination/src/main/java/burlarch/coordination/membership/Ipv4Address.java
+++ b/coordination/src/main/java/burlarch/coordination/membership/Ipv4Address.java
@@ -1,8 +1,8 @@
 package burlarch.coordination.membership;
 
-/** IP:PORT as six bytes in a long: four of the address, two of the port. */
+/** Packs IP:PORT into the low six bytes of a long: four of the address, then two of the port. */
 final class Ipv4Address {
-    private static final int PARTS = 4;
+    private static final int OCTETS = 4;
     private static final int MAX_BYTE = 0xFF;
     private static final int MAX_PORT = 0xFFFF;
     private static final int PORT_BITS = 16;
@@ -10,7 +10,7 @@
 
     private Ipv4Address() {}
 
-    /** Throws IllegalArgumentException where the text isn't an IPv4 address with a port above 0. */
+    /** @throws IllegalArgumentException if the text isn't an IPv4 address with a port above 0 */
     static long pack(String address) {
         int colon = address.indexOf(':');
         if (colon < 0) {
@@ -18,8 +18,8 @@
         }
         long packed = 0;
         int from = 0;
-        for (int part = 0; part < PARTS; part++) {
-            int end = part < PARTS - 1 ? address.indexOf('.', from) : colon;
+        for (int octet = 0; octet < OCTETS; octet++) {
+            int end = octet < OCTETS - 1 ? address.indexOf('.', from) : colon;
             packed = packed << Byte.SIZE | number(address, from, end, MAX_BYTE);
             from = end + 1;
         }
@@ -30,10 +30,11 @@
         return packed << PORT_BITS | port;
     }
 
+    /** The text of a packed address. */
     static String unpack(long packed) {
         StringBuilder text = new StringBuilder("255.255.255.255:65535".length());
-        for (int part = PARTS - 1; part >= 0; part--) {
-            text.append(packed >>> PORT_BITS + part * Byte.SIZE & MAX_BYTE).append(part > 0 ? '.' : ':');
+        for (int octet = OCTETS - 1; octet >= 0; octet--) {
+            text.append(packed >>> PORT_BITS + octet * Byte.SIZE & MAX_BYTE).append(octet > 0 ? '.' : ':');
         }
         return text.append(packed & MAX_PORT).toString();
     }
--- a/coordination/src/main/java/burlarch/coordination/membership/MemberChange.java
+++ b/coordination/src/main/java/burlarch/coordination/membership/MemberChange.java
@@ -1,19 +1,27 @@
 package burlarch.coordination.membership;
 
+import java.util.Optional;
+
 /**
- * A change of what is believed of another member. A process that takes the place of a former one of its name
- * makes two: the former one's end, then its own beginning.
+ * A change of another member's state in the local view. A process that replaces a former one of its name makes two
+ * changes: the former process becomes DEAD, then the new one becomes known.
  *
- * @param before null where the member was not known
+ * @param member the process whose state changed
+ * @param before its state before, empty if the process was not known
+ * @param after its state from now on
  */
-public record MemberChange(MemberInfo member, MemberState before, MemberState after) {
-    /** Whether the member joins the live ones with this. */
+public record MemberChange(MemberInfo member, Optional<MemberState> before, MemberState after) {
+    /** Whether the process joins the live members with this change. */
     public boolean appeared() {
-        return after.isLive() && (before == null || !before.isLive());
+        return after.isLive() && !wasLive();
     }
 
-    /** Whether the member ceases to be a live one with this. */
+    /** Whether the process ceases to be a live member with this change. */
     public boolean disappeared() {
-        return !after.isLive() && before != null && before.isLive();
+        return !after.isLive() && wasLive();
+    }
+
+    private boolean wasLive() {
+        return before.isPresent() && before.get().isLive();
     }
 }
--- a/coordination/src/main/java/burlarch/coordination/membership/MemberRecord.java
+++ b/coordination/src/main/java/burlarch/coordination/membership/MemberRecord.java
@@ -1,17 +1,21 @@
 package burlarch.coordination.membership;
 
-/** One row of {@link MemberTable}. */
+/**
+ * One entry of a {@link MemberTable}, or the own one of a {@link MembershipView}. Mutable: the table changes update and
+ * times, {@link GossipQueue} the count of transmissions.
+ */
 final class MemberRecord {
+    /** The newest update that is known. */
     MemberUpdate update;
-    /** While suspected: since when. */
+    /** When the member became SUSPECT; valid in that state only. */
     long suspectedAtNanos;
-    /** When it died or left. */
+    /** When the member became DEAD or LEFT; valid in those states only. */
     long endedAtNanos;
-    /** How often the claim still goes out. */
+    /** How often the update is still to be sent as gossip. */
     int transmissionsLeft;
 
-    MemberRecord(MemberUpdate claim) {
-        this.update = claim;
+    MemberRecord(MemberUpdate update) {
+        this.update = update;
     }
 
     MemberInfo info() {
@@ -22,12 +26,12 @@
         return update.state();
     }
 
-    /** Whether its news is on trouble or an objection, rather than on an arrival. */
-    boolean isUrgent() {
-        return update.state() != MemberState.ALIVE || update.incarnation() > 0;
-    }
-
     String name() {
         return update.info().name();
     }
+
+    /** Whether the update reports a failure or a refutation; a mere arrival is less urgent. */
+    boolean isUrgent() {
+        return update.state() != MemberState.ALIVE || update.incarnation() > 0;
+    }
 }
--- a/coordination/src/main/java/burlarch/coordination/membership/MemberState.java
+++ b/coordination/src/main/java/burlarch/coordination/membership/MemberState.java
@@ -1,19 +1,37 @@
 package burlarch.coordination.membership;
 
 /**
- * What is believed of a member; the order is the one in which claims of one incarnation outweigh each other.
+ * The state of a member in the local view of another one.
+ *
+ * <p>Of two updates of one process with one incarnation the one of the later constant overrides the other, so the
+ * declaration order is part of the protocol.
+ *
+ * <p>{@link MemberTable#apply} makes every transition. "Higher incarnation" is a refutation by the member itself.
+ *
+ * <pre>
+ * from              event                                                   to
+ * (unknown)         update ALIVE or SUSPECT                                 ALIVE or SUSPECT
+ * ALIVE             own probe failed, or update SUSPECT                     SUSPECT
+ * SUSPECT           update ALIVE of a higher incarnation                    ALIVE
+ * SUSPECT           suspicion time-out, or update DEAD                      DEAD
+ * ALIVE             update DEAD, or another process answers at its address  DEAD
+ * any but LEFT      update LEFT                                             LEFT
+ * DEAD, LEFT        update ALIVE of a higher incarnation                    ALIVE
+ * any               update ALIVE of another process that overrides          ALIVE (of that process)
+ * DEAD, LEFT        retention time over, or room needed                     (unknown)
+ * </pre>
  */
 public enum MemberState {
-    /** Answers, or was vouched for. */
+    /** It answers probes, or another member said that it lives. */
     ALIVE,
-    /** Did not answer; still treated as alive until its time to object has passed. */
+    /** It did not answer a probe. It counts as live until the suspicion time-out, within which it may refute. */
     SUSPECT,
-    /** Did not object in time, or its process was replaced. */
+    /** It did not refute within the suspicion time-out, or another process has taken its place. */
     DEAD,
-    /** Said that it goes. */
+    /** It announced a graceful shutdown. */
     LEFT;
 
-    /** Whether the member counts among the present ones. */
+    /** Whether the member counts among the live ones. */
     public boolean isLive() {
         return this == ALIVE || this == SUSPECT;
     }
--- a/coordination/src/main/java/burlarch/coordination/membership/MemberTable.java
+++ b/coordination/src/main/java/burlarch/coordination/membership/MemberTable.java
@@ -6,8 +6,23 @@
 import java.util.Iterator;
 import java.util.List;
 import java.util.Map;
-
-/** All other members that are known, and the only place where their state changes. */
+import java.util.Optional;
+
+/**
+ * All other members that are known. {@link #apply} is the one function that changes a member's state; the transitions
+ * are in the table of {@link MemberState}.
+ *
+ * <p>Invariants:
+ *
+ * <ul>
+ *   <li><em>Table bound</em>: at most {@code maxMembers} entries. An ended member gives way to a new one; where none has
+ *       ended the new one is rejected and counted.
+ *   <li><em>Index consistency</em>: the indexes by process id, of suspects and of ended members hold exactly the entries
+ *       whose update says so.
+ *   <li><em>Digest</em>: {@link #digest} depends only on the set of live process ids, the own one included, so it is
+ *       equal at two members that know the same live processes.
+ * </ul>
+ */
 final class MemberTable {
     private final int maxMembers;
     private final Map<String, MemberRecord> byName = new HashMap<>();
@@ -17,113 +32,117 @@
     private long digest;
     private long rejected;
 
-    MemberTable(int maxMembers, long ownProcess) {
+    MemberTable(int maxMembers, long ownProcessId) {
         this.maxMembers = maxMembers;
-        digest = mix(ownProcess);
+        digest = mix(ownProcessId);
     }
 
     /**
-     * The one function for every change of state: takes the claim if it supersedes what is known.
+     * Applies the update if it overrides what is known.
      *
-     * @return the row if it changed, else null
+     * @param changes receives the changes of state that this leads to
+     * @return the entry if it changed, else null
      */
-    MemberRecord apply(MemberUpdate claim, long now, List<MemberChange> changes) {
-        MemberRecord known = byName.get(claim.info().name());
+    MemberRecord apply(MemberUpdate update, long nowNanos, List<MemberChange> changes) {
+        MemberRecord known = byName.get(update.info().name());
         if (known == null) {
-            return claim.state().isLive() ? add(claim, now, changes) : null;
+            return update.state().isLive() ? add(update, nowNanos, changes) : null;
         }
-        if (!claim.overrides(known.update)) {
+        if (!update.overrides(known.update)) {
             return null;
         }
-        MemberState before = known.state();
-        if (!claim.isOfSameProcess(known.update)) {
-            if (before.isLive()) {
+        Optional<MemberState> before = Optional.of(known.state());
+        if (!update.isOfSameProcess(known.update)) {
+            if (known.state().isLive()) {
                 changes.add(new MemberChange(known.info(), before, MemberState.DEAD));
             }
-            before = null;
+            before = Optional.empty();
         }
         removeFromIndexes(known);
-        known.update = claim;
-        addToIndexes(known, now);
-        if (before != claim.state()) {
-            changes.add(new MemberChange(claim.info(), before, claim.state()));
+        known.update = update;
+        addToIndexes(known, nowNanos);
+        if (before.isEmpty() || before.get() != update.state()) {
+            changes.add(new MemberChange(update.info(), before, update.state()));
         }
         return known;
     }
 
-    /** Gives every suspected member its whole time to object again. */
-    void restartSuspicions(long now) {
+    /** Gives every suspect the whole suspicion time-out again. */
+    void restartSuspicions(long nowNanos) {
         for (MemberRecord suspect : suspects) {
-            suspect.suspectedAtNanos = now;
+            suspect.suspectedAtNanos = nowNanos;
         }
     }
 
-    /** A member that has been suspected for this long, or null. */
-    MemberRecord findOverdueSuspect(long suspicion, long now) {
+    /** A member that has been suspected for the time-out, or null. */
+    MemberRecord findOverdueSuspect(long timeoutNanos, long nowNanos) {
         for (MemberRecord suspect : suspects) {
-            if (now - suspect.suspectedAtNanos >= suspicion) {
+            if (nowNanos - suspect.suspectedAtNanos >= timeoutNanos) {
                 return suspect;
             }
         }
         return null;
     }
 
-    /** How long until {@link #findOverdueSuspect} may have one, at most {@code atMost}. */
-    long nanosUntilOverdue(long suspicion, long now, long atMost) {
-        long least = atMost;
+    /** Nanoseconds until {@link #findOverdueSuspect} may find one, at most {@code atMostNanos}. */
+    long nanosUntilOverdue(long timeoutNanos, long nowNanos, long atMostNanos) {
+        long least = atMostNanos;
         for (MemberRecord suspect : suspects) {
-            least = Math.min(least, suspect.suspectedAtNanos + suspicion - now);
+            least = Math.min(least, suspect.suspectedAtNanos + timeoutNanos - nowNanos);
         }
         return least;
     }
 
-    /** Removes and returns a row that ended longer ago than {@code age}, or null. */
-    MemberRecord removeOneEnded(long age, long now) {
-        Iterator<MemberRecord> rows = ended.iterator();
-        while (rows.hasNext()) {
-            MemberRecord row = rows.next();
-            if (now - row.endedAtNanos >= age) {
-                rows.remove();
-                remove(row);
-                return row;
+    /** Removes and returns one member that ended at least {@code ageNanos} ago, or returns null. */
+    MemberRecord removeOneEnded(long ageNanos, long nowNanos) {
+        Iterator<MemberRecord> records = ended.iterator();
+        while (records.hasNext()) {
+            MemberRecord record = records.next();
+            if (nowNanos - record.endedAtNanos >= ageNanos) {
+                records.remove();
+                remove(record);
+                return record;
             }
         }
         return null;
     }
 
+    /** The member of that name, or null. */
     MemberRecord findByName(String name) {
         return byName.get(name);
     }
 
-    MemberRecord findByProcess(long process) {
-        return byProcess.get(process);
+    /** The member whose present process has that id, or null. */
+    MemberRecord findByProcess(long processId) {
+        return byProcess.get(processId);
     }
 
+    /** All members, the ended ones included. */
     Collection<MemberRecord> records() {
         return byName.values();
     }
 
-    /** Those that died or left and aren't forgotten. */
+    /** The members that are DEAD or LEFT and still retained. */
     List<MemberRecord> ended() {
         return ended;
     }
 
-    /** Live members without the own process. */
+    /** How many live members there are without the own process. */
     int liveCount() {
         return byName.size() - ended.size();
     }
 
-    /** Sum over the live processes, the own one included: equal where the same ones are known. */
+    /** A sum over the live process ids, the own one included. */
     long digest() {
         return digest;
     }
 
-    /** Members that were not taken in for want of room. */
+    /** How many members were rejected for want of room. */
     long rejected() {
         return rejected;
     }
 
-    private MemberRecord add(MemberUpdate claim, long now, List<MemberChange> changes) {
+    private MemberRecord add(MemberUpdate update, long nowNanos, List<MemberChange> changes) {
         if (byName.size() >= maxMembers) {
             if (ended.isEmpty()) {
                 rejected++;
@@ -131,41 +150,41 @@
             }
             remove(ended.remove(0));
         }
-        MemberRecord added = new MemberRecord(claim);
-        byName.put(claim.info().name(), added);
-        addToIndexes(added, now);
-        changes.add(new MemberChange(claim.info(), null, claim.state()));
+        MemberRecord added = new MemberRecord(update);
+        byName.put(update.info().name(), added);
+        addToIndexes(added, nowNanos);
+        changes.add(new MemberChange(update.info(), Optional.empty(), update.state()));
         return added;
     }
 
-    private void remove(MemberRecord row) {
-        byName.remove(row.name());
-        byProcess.remove(row.info().processId(), row);
+    private void remove(MemberRecord record) {
+        byName.remove(record.name());
+        byProcess.remove(record.info().processId(), record);
     }
 
-    private void removeFromIndexes(MemberRecord row) {
-        byProcess.remove(row.info().processId(), row);
-        if (row.state().isLive()) {
-            digest -= mix(row.info().processId());
+    private void removeFromIndexes(MemberRecord record) {
+        byProcess.remove(record.info().processId(), record);
+        if (record.state().isLive()) {
+            digest -= mix(record.info().processId());
         }
-        if (row.state() == MemberState.SUSPECT) {
-            suspects.remove(row);
-        } else if (!row.state().isLive()) {
-            ended.remove(row);
+        if (record.state() == MemberState.SUSPECT) {
+            suspects.remove(record);
+        } else if (!record.state().isLive()) {
+            ended.remove(record);
         }
     }
 
-    private void addToIndexes(MemberRecord row, long now) {
-        byProcess.put(row.info().processId(), row);
-        if (row.state().isLive()) {
-            digest += mix(row.info().processId());
+    private void addToIndexes(MemberRecord record, long nowNanos) {
+        byProcess.put(record.info().processId(), record);
+        if (record.state().isLive()) {
+            digest += mix(record.info().processId());
         }
-        if (row.state() == MemberState.SUSPECT) {
-            row.suspectedAtNanos = now;
-            suspects.add(row);
-        } else if (!row.state().isLive()) {
-            row.endedAtNanos = now;
-            ended.add(row);
+        if (record.state() == MemberState.SUSPECT) {
+            record.suspectedAtNanos = nowNanos;
+            suspects.add(record);
+        } else if (!record.state().isLive()) {
+            record.endedAtNanos = nowNanos;
+            ended.add(record);
         }
     }
 
--- a/coordination/src/main/java/burlarch/coordination/membership/MemberUpdate.java
+++ b/coordination/src/main/java/burlarch/coordination/membership/MemberUpdate.java
@@ -1,12 +1,17 @@
 package burlarch.coordination.membership;
 
 /**
- * One statement on a member, as it travels between members.
+ * One membership update: the state of a member at one of its incarnations, as members send it to each other.
  *
- * @param incarnation rises when the member itself objects to what is said of it; 0 or more
+ * <p>Invariant <em>own incarnation</em>: only the member itself raises its incarnation, when it refutes what others say
+ * of it ({@link MembershipView}). An update of a higher incarnation therefore always comes from the member.
+ *
+ * @param info the member's process
+ * @param incarnation the member's refutation counter; 0 to {@link #MAX_INCARNATION}
+ * @param state the member's state
  */
 public record MemberUpdate(MemberInfo info, long incarnation, MemberState state) {
-    /** Above any honest incarnation; bounds what a member may be made to count up to. */
+    /** Above any incarnation that a correct member reaches; bounds what a garbled update makes a member count up to. */
     public static final long MAX_INCARNATION = Long.MAX_VALUE / 2;
 
     public MemberUpdate {
@@ -16,12 +21,17 @@
     }
 
     /**
-     * Whether this claim takes the place of a known one on the same name.
+     * Whether this update overrides the known one of the same name.
+     *
+     * <p>Of one process, the higher incarnation overrides, then the later {@link MemberState}. Of different processes
+     * with one name:
      *
-     * <p>Within one process the higher incarnation wins, then the graver state. That another process of the
-     * name is in trouble says nothing on the known one. That another is alive wins over a dead one at once;
-     * against a live one by its incarnation, which a restarted process raises above all that it hears of its
-     * name.
+     * <ul>
+     *   <li>SUSPECT, DEAD and LEFT say nothing about the known process and never override.
+     *   <li>ALIVE overrides a DEAD or LEFT process.
+     *   <li>ALIVE overrides a live process by the higher incarnation, which a restarted process raises above all that it
+     *       hears of its name; with equal incarnations by the higher process id, so that all members decide alike.
+     * </ul>
      */
     boolean overrides(MemberUpdate known) {
         if (isOfSameProcess(known)) {
@@ -31,9 +41,10 @@
         if (state != MemberState.ALIVE) {
             return false;
         }
-        return !known.state.isLive()
-                || incarnation > known.incarnation
-                || incarnation == known.incarnation && info.processId() > known.info.processId();
+        if (!known.state.isLive() || incarnation > known.incarnation) {
+            return true;
+        }
+        return incarnation == known.incarnation && info.processId() > known.info.processId();
     }
 
     boolean isOfSameProcess(MemberUpdate other) {
--- /dev/null
+++ b/coordination/src/main/java/burlarch/coordination/membership/MembershipLifecycle.java
@@ -0,0 +1,62 @@
+package burlarch.coordination.membership;
+
+/**
+ * How far this member's own membership is. {@link #on} is the only transition.
+ *
+ * <pre>
+ * from       event             to
+ * JOINING    MESSAGE_RECEIVED  JOINED
+ * JOINED     TABLE_RECEIVED    ANNOUNCED: the own update is sent to some members
+ * any        LEAVE_REQUESTED   LEFT: the own update is sent to some members
+ * </pre>
+ *
+ * Every other event leaves the phase as it is.
+ */
+final class MembershipLifecycle {
+    /** A phase of the own membership. */
+    enum Phase {
+        /** No other member was heard of. */
+        JOINING,
+        /** Some member was heard of, but not yet a table of several. */
+        JOINED,
+        /** Several members are known, and some were sent the own update. */
+        ANNOUNCED,
+        /** The member has left: it sends nothing and changes nothing any more. */
+        LEFT
+    }
+
+    /** What may move it on. */
+    enum Event {
+        /** A message of another process came. */
+        MESSAGE_RECEIVED,
+        /** A page of another's table came that lists more than its sender. */
+        TABLE_RECEIVED,
+        /** This process shuts down gracefully. */
+        LEAVE_REQUESTED
+    }
+
+    private Phase phase = Phase.JOINING;
+
+    /** @return whether the phase changed */
+    boolean on(Event event) {
+        Phase before = phase;
+        phase = next(before, event);
+        return phase != before;
+    }
+
+    boolean hasJoined() {
+        return phase == Phase.JOINED || phase == Phase.ANNOUNCED;
+    }
+
+    boolean hasLeft() {
+        return phase == Phase.LEFT;
+    }
+
+    private static Phase next(Phase from, Event event) {
+        return switch (event) {
+            case MESSAGE_RECEIVED -> from == Phase.JOINING ? Phase.JOINED : from;
+            case TABLE_RECEIVED -> from == Phase.JOINED ? Phase.ANNOUNCED : from;
+            case LEAVE_REQUESTED -> Phase.LEFT;
+        };
+    }
+}
--- a/coordination/src/main/java/burlarch/coordination/membership/MembershipView.java
+++ b/coordination/src/main/java/burlarch/coordination/membership/MembershipView.java
@@ -3,9 +3,19 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** What this member holds true of itself and of others, and the news that it passes on. */
+/**
+ * The local view: this member's own update, its table of the others, and the updates that are still to be disseminated.
+ *
+ * <p>Invariants:
+ *
+ * <ul>
+ *   <li><em>Own incarnation</em>: only {@link #refute} raises the own incarnation, above that of any update on the own
+ *       name that contradicts this process; so the refutation overrides that update everywhere.
+ *   <li><em>No refutation after leaving</em>: once {@link #leave} was called the own update stays LEFT.
+ * </ul>
+ */
 final class MembershipView {
-    /** About what one datagram holds. */
+    /** About as many updates as one datagram holds. */
     private static final int GOSSIP_BACKLOG = 16;
 
     private final SwimSettings settings;
@@ -17,108 +27,115 @@
     private long changedAtNanos;
     private boolean refuted;
 
-    MembershipView(MemberInfo own, SwimSettings settings, LocalHealth health, long now) {
+    MembershipView(MemberInfo own, SwimSettings settings, LocalHealth health, long nowNanos) {
         this.settings = settings;
         this.health = health;
         self = new MemberRecord(new MemberUpdate(own, 0, MemberState.ALIVE));
         table = new MemberTable(settings.maxMembers(), own.processId());
-        changedAtNanos = now;
+        changedAtNanos = nowNanos;
         disseminate(self);
     }
 
-    /** Takes up news that came as gossip. */
-    void onGossip(MemberUpdate claim, long now) {
-        if (isOwnName(claim)) {
-            refute(claim);
+    /** Applies an update that came as gossip, and passes it on if it changed anything. */
+    void onGossip(MemberUpdate update, long nowNanos) {
+        if (isOnOwnName(update)) {
+            refute(update);
         } else {
-            apply(claim, now, true);
+            apply(update, nowNanos, Dissemination.PASS_ON);
         }
     }
 
     /**
-     * Takes up a row of another's table. Such a table may be old or come from beyond a healed cut, so it
-     * makes no one dead at once, and only what needs an answer goes on.
+     * Applies an entry of another member's table. Such a table may be old or come from the other side of a healed
+     * partition. So a member that is live here becomes SUSPECT, not DEAD, and can refute; and only suspicions are passed
+     * on, as only they need a response.
      */
-    void onSyncedEntry(MemberUpdate claim, long now) {
-        if (isOwnName(claim)) {
-            refute(claim);
+    void onSyncedEntry(MemberUpdate update, long nowNanos) {
+        if (isOnOwnName(update)) {
+            refute(update);
             return;
         }
-        MemberRecord known = table.findByName(claim.info().name());
-        boolean deadToMeAlive = claim.state() == MemberState.DEAD
+        MemberRecord known = table.findByName(update.info().name());
+        boolean deadThereLiveHere = update.state() == MemberState.DEAD
                 && known != null
                 && known.state().isLive();
-        MemberUpdate softened = deadToMeAlive ? claim.withState(MemberState.SUSPECT) : claim;
-        apply(softened, now, softened.state() == MemberState.SUSPECT);
+        MemberUpdate softened = deadThereLiveHere ? update.withState(MemberState.SUSPECT) : update;
+        boolean needsResponse = softened.state() == MemberState.SUSPECT;
+        apply(softened, nowNanos, needsResponse ? Dissemination.PASS_ON : Dissemination.KEEP);
     }
 
-    /** The row's present process did not answer. */
-    void suspect(MemberRecord row, long now) {
-        apply(row.update.withState(MemberState.SUSPECT), now, true);
+    /** The member's present process did not answer a probe. */
+    void suspect(MemberRecord record, long nowNanos) {
+        apply(record.update.withState(MemberState.SUSPECT), nowNanos, Dissemination.PASS_ON);
     }
 
-    /** The row's present process did not object in time, or is known to be gone. */
-    void declareDead(MemberRecord row, long now) {
-        apply(row.update.withState(MemberState.DEAD), now, true);
+    /** The member's present process did not refute in time, or is known to have ended. */
+    void declareDead(MemberRecord record, long nowNanos) {
+        apply(record.update.withState(MemberState.DEAD), nowNanos, Dissemination.PASS_ON);
     }
 
-    /** Holds those dead that did not object in time. */
-    void declareOverdueDead(long now) {
-        long suspicion = suspicionTimeoutNanos();
-        for (MemberRecord late = table.findOverdueSuspect(suspicion, now);
-                late != null;
-                late = table.findOverdueSuspect(suspicion, now)) {
-            declareDead(late, now);
+    /** Declares those dead whose suspicion time-out is over. */
+    void declareOverdueDead(long nowNanos) {
+        long timeout = suspicionTimeoutNanos();
+        MemberRecord overdue = table.findOverdueSuspect(timeout, nowNanos);
+        while (overdue != null) {
+            declareDead(overdue, nowNanos);
+            overdue = table.findOverdueSuspect(timeout, nowNanos);
         }
     }
 
-    /** How long until the next one may be overdue, at most {@code atMost}. */
-    long nanosUntilOverdue(long now, long atMost) {
-        return table.nanosUntilOverdue(suspicionTimeoutNanos(), now, atMost);
+    /** Nanoseconds until the next suspicion may be overdue, at most {@code atMostNanos}. */
+    long nanosUntilOverdue(long nowNanos, long atMostNanos) {
+        return table.nanosUntilOverdue(suspicionTimeoutNanos(), nowNanos, atMostNanos);
     }
 
-    /** Declares the own end. */
+    /** Changes the own update to LEFT. */
     void leave() {
         self.update = self.update.withState(MemberState.LEFT);
     }
 
-    /** Whether the member objected since the last call to something said of it. */
+    /** Whether this member refuted an update since the last call. */
     boolean takeRefuted() {
         boolean result = refuted;
         refuted = false;
         return result;
     }
 
+    /** The changes of other members since the last call, in their order. */
     List<MemberChange> takeChanges() {
+        if (changes.isEmpty()) {
+            return List.of();
+        }
         List<MemberChange> taken = changes;
-        changes = taken.isEmpty() ? taken : new ArrayList<>();
-        return taken.isEmpty() ? List.of() : taken;
+        changes = new ArrayList<>();
+        return taken;
     }
 
-    void restartSuspicions(long now) {
-        table.restartSuspicions(now);
+    /** Gives every suspect the whole suspicion time-out again. */
+    void restartSuspicions(long nowNanos) {
+        table.restartSuspicions(nowNanos);
     }
 
-    /** Drops the rows that ended long ago; returns where their processes were. */
-    List<String> forgetEnded(long now) {
+    /** Removes the members that ended longer ago than the retention time; returns the addresses of the dead ones. */
+    List<String> forgetEnded(long nowNanos) {
         List<String> addresses = new ArrayList<>(0);
-        MemberRecord forgotten = table.removeOneEnded(settings.deadRetentionNanos(), now);
+        MemberRecord forgotten = table.removeOneEnded(settings.deadRetentionNanos(), nowNanos);
         while (forgotten != null) {
             gossip.remove(forgotten);
             if (forgotten.state() == MemberState.DEAD) {
                 addresses.add(forgotten.info().address());
             }
-            forgotten = table.removeOneEnded(settings.deadRetentionNanos(), now);
+            forgotten = table.removeOneEnded(settings.deadRetentionNanos(), nowNanos);
         }
         return addresses;
     }
 
-    /** Whether neither news nor changes have come up for a while, so that another's table should be alike. */
-    boolean isQuiet(long now) {
-        return gossip.isEmpty() && now - changedAtNanos >= settings.minSyncIntervalNanos();
+    /** Whether no update is to be sent and none came for a while, so that another member's table should be equal. */
+    boolean isQuiet(long nowNanos) {
+        return gossip.isEmpty() && nowNanos - changedAtNanos >= settings.minSyncIntervalNanos();
     }
 
-    /** Whether more changed at once than news can carry in good time, as at a start of all or after a cut. */
+    /** Whether more changed at once than gossip carries soon, as when all start or a partition heals. */
     boolean isGossipBacklogged() {
         return gossip.size() > GOSSIP_BACKLOG;
     }
@@ -127,6 +144,7 @@
         return new SwimMessage.Header(self.info().processId(), table.digest());
     }
 
+    /** This member's own update. */
     MemberUpdate ownUpdate() {
         return self.update;
     }
@@ -139,47 +157,58 @@
         return gossip;
     }
 
-    private boolean isOwnName(MemberUpdate claim) {
-        return claim.info().name().equals(self.name());
+    private boolean isOnOwnName(MemberUpdate update) {
+        return update.info().name().equals(self.name());
     }
 
-    private void refute(MemberUpdate claim) {
-        boolean sameProcess = claim.isOfSameProcess(self.update);
-        if (claim.incarnation() < self.update.incarnation()
-                || self.state() == MemberState.LEFT
-                || sameProcess && claim.state() == MemberState.ALIVE
-                || claim.incarnation() >= MemberUpdate.MAX_INCARNATION) {
+    /**
+     * Raises the own incarnation above that of the update, if it contradicts this process: it says of this process that
+     * it isn't ALIVE, or that another process of the name lives. A contradiction of this very process is a sign that
+     * this member answers too slowly.
+     */
+    private void refute(MemberUpdate update) {
+        boolean aboutThisProcess = update.isOfSameProcess(self.update);
+        boolean agrees = aboutThisProcess && update.state() == MemberState.ALIVE;
+        boolean overridden = update.incarnation() < self.update.incarnation();
+        boolean atBound = update.incarnation() >= MemberUpdate.MAX_INCARNATION;
+        if (agrees || overridden || atBound || self.state() == MemberState.LEFT) {
             return;
         }
-        self.update = new MemberUpdate(self.info(), claim.incarnation() + 1, MemberState.ALIVE);
+        self.update = new MemberUpdate(self.info(), update.incarnation() + 1, MemberState.ALIVE);
         disseminate(self);
         refuted = true;
-        if (sameProcess) {
+        if (aboutThisProcess) {
             health.worsen();
         }
     }
 
-    private void apply(MemberUpdate claim, long now, boolean passOn) {
+    /** Whether an update that changed the view is sent on as gossip. */
+    private enum Dissemination {
+        PASS_ON,
+        KEEP
+    }
+
+    private void apply(MemberUpdate update, long nowNanos, Dissemination dissemination) {
         int before = changes.size();
-        MemberRecord changed = table.apply(claim, now, changes);
+        MemberRecord changed = table.apply(update, nowNanos, changes);
         if (changed == null) {
             return;
         }
         if (changes.size() > before) {
-            changedAtNanos = now;
+            changedAtNanos = nowNanos;
         }
-        if (passOn) {
+        if (dissemination == Dissemination.PASS_ON) {
             disseminate(changed);
         } else {
             gossip.remove(changed);
         }
     }
 
-    private void disseminate(MemberRecord row) {
-        gossip.add(row, settings.transmitLimit(table.liveCount() + 1));
+    private void disseminate(MemberRecord record) {
+        gossip.add(record, settings.transmitLimit(table.liveCount() + 1));
     }
 
-    /** How long a suspected member may object now: longer as more members become known. */
+    /** It grows with the members that are known and while this member's own health is poor. */
     private long suspicionTimeoutNanos() {
         return settings.suspicionTimeoutNanos(table.liveCount() + 1) * health.multiplier();
     }
--- a/coordination/src/main/java/burlarch/coordination/membership/OutgoingDatagrams.java
+++ b/coordination/src/main/java/burlarch/coordination/membership/OutgoingDatagrams.java
@@ -3,64 +3,64 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** Fills messages up with news and keeps their datagrams until the step ends. */
+/** Builds messages, piggybacks updates on them, and collects their datagrams until the step ends. */
 final class OutgoingDatagrams {
-    private final MembershipView beliefs;
+    private final MembershipView view;
     private final int maxDatagramBytes;
     private List<SwimStep.Datagram> datagrams = new ArrayList<>();
 
-    OutgoingDatagrams(MembershipView beliefs, int maxDatagram) {
-        this.beliefs = beliefs;
-        this.maxDatagramBytes = maxDatagram;
+    OutgoingDatagrams(MembershipView view, int maxDatagramBytes) {
+        this.view = view;
+        this.maxDatagramBytes = maxDatagramBytes;
     }
 
-    /** @param first claim that has to be in the message, or null */
-    void ping(String to, int sequence, long target, MemberUpdate first) {
-        add(to, new SwimMessage.Ping(beliefs.header(), sequence, target, piggybacked(first)));
+    /** @param first update that has to be in the message, or null */
+    void ping(String to, int sequence, long targetProcessId, MemberUpdate first) {
+        add(to, new SwimMessage.Ping(view.header(), sequence, targetProcessId, piggybacked(first)));
     }
 
-    /** @param first claim that has to be in the message, or null */
-    void ack(String to, int sequence, long subject, MemberUpdate first) {
-        add(to, new SwimMessage.Ack(beliefs.header(), sequence, subject, piggybacked(first)));
+    /** @param first update that has to be in the message, or null */
+    void ack(String to, int sequence, long subjectProcessId, MemberUpdate first) {
+        add(to, new SwimMessage.Ack(view.header(), sequence, subjectProcessId, piggybacked(first)));
     }
 
     void pingRequest(String to, int sequence, MemberInfo target) {
-        add(
-                to,
-                new SwimMessage.PingRequest(
-                        beliefs.header(), sequence, target.processId(), target.address(), piggybacked(null)));
+        SwimMessage request = new SwimMessage.PingRequest(
+                view.header(), sequence, target.processId(), target.address(), piggybacked(null));
+        add(to, request);
     }
 
     void nack(String to, int sequence) {
-        add(to, new SwimMessage.Nack(beliefs.header(), sequence, piggybacked(null)));
+        add(to, new SwimMessage.Nack(view.header(), sequence, piggybacked(null)));
     }
 
     void syncRequest(String to) {
-        add(to, new SwimMessage.SyncRequest(beliefs.header(), List.of(beliefs.ownUpdate())));
+        add(to, new SwimMessage.SyncRequest(view.header(), List.of(view.ownUpdate())));
     }
 
-    /** The own claim alone. */
+    /** The own update alone. */
     void ownUpdate(String to) {
-        add(to, new SwimMessage.SyncPage(beliefs.header(), List.of(beliefs.ownUpdate())));
+        add(to, new SwimMessage.SyncPage(view.header(), List.of(view.ownUpdate())));
     }
 
     /** The whole table on as many pages as it needs. */
     void syncPages(String to) {
-        List<MemberUpdate> page = updatesBeginningWith(beliefs.ownUpdate());
-        int room = bytesLeftAfter(beliefs.ownUpdate());
-        for (MemberRecord row : beliefs.table().records()) {
-            int size = SwimCodec.sizeOf(row.update);
-            if (size > room) {
-                add(to, new SwimMessage.SyncPage(beliefs.header(), page));
-                page = updatesBeginningWith(beliefs.ownUpdate());
-                room = bytesLeftAfter(beliefs.ownUpdate());
+        List<MemberUpdate> page = updatesBeginningWith(view.ownUpdate());
+        int bytesLeft = bytesLeftAfter(view.ownUpdate());
+        for (MemberRecord record : view.table().records()) {
+            int size = SwimCodec.sizeOf(record.update);
+            if (size > bytesLeft) {
+                add(to, new SwimMessage.SyncPage(view.header(), page));
+                page = updatesBeginningWith(view.ownUpdate());
+                bytesLeft = bytesLeftAfter(view.ownUpdate());
             }
-            page.add(row.update);
-            room -= size;
+            page.add(record.update);
+            bytesLeft -= size;
         }
-        add(to, new SwimMessage.SyncPage(beliefs.header(), page));
+        add(to, new SwimMessage.SyncPage(view.header(), page));
     }
 
+    /** The datagrams since the last call, in their order. */
     List<SwimStep.Datagram> take() {
         if (datagrams.isEmpty()) {
             return List.of();
@@ -71,25 +71,25 @@
     }
 
     private List<MemberUpdate> piggybacked(MemberUpdate first) {
-        if (first == null && beliefs.gossip().isEmpty()) {
+        if (first == null && view.gossip().isEmpty()) {
             return List.of();
         }
-        List<MemberUpdate> claims = updatesBeginningWith(first);
-        beliefs.gossip().takeUpdates(bytesLeftAfter(first), claims);
-        return claims;
+        List<MemberUpdate> updates = updatesBeginningWith(first);
+        view.gossip().takeUpdates(bytesLeftAfter(first), updates);
+        return updates;
     }
 
     private static List<MemberUpdate> updatesBeginningWith(MemberUpdate first) {
-        List<MemberUpdate> claims = new ArrayList<>();
+        List<MemberUpdate> updates = new ArrayList<>();
         if (first != null) {
-            claims.add(first);
+            updates.add(first);
         }
-        return claims;
+        return updates;
     }
 
     private int bytesLeftAfter(MemberUpdate first) {
-        int taken = first == null ? 0 : SwimCodec.sizeOf(first);
-        return maxDatagramBytes - SwimCodec.FRAME_BYTES - taken;
+        int used = first == null ? 0 : SwimCodec.sizeOf(first);
+        return maxDatagramBytes - SwimCodec.FRAME_BYTES - used;
     }
 
     private void add(String to, SwimMessage message) {
--- a/coordination/src/main/java/burlarch/coordination/membership/ProbeTargetSelector.java
+++ b/coordination/src/main/java/burlarch/coordination/membership/ProbeTargetSelector.java
@@ -5,10 +5,14 @@
 import java.util.List;
 import java.util.Random;
 
-/** Whom to probe next: every live member once, in an order drawn anew for each turn. */
+/**
+ * Chooses whom to probe: every live member once per pass, in a random order that each pass draws anew. So the time until
+ * a failed member is probed is bounded by two passes (SWIM's round-robin probe target selection).
+ */
 final class ProbeTargetSelector {
     private final MemberTable table;
     private final Random random;
+    /** The members still to be probed in this pass; the last one is next. */
     private final List<MemberRecord> remaining = new ArrayList<>();
 
     ProbeTargetSelector(MemberTable table, Random random) {
@@ -18,11 +22,11 @@
 
     /** The next live member, or null where there is none. */
     MemberRecord next() {
-        for (int turns = 0; turns < 2; turns++) {
+        for (int passes = 0; passes < 2; passes++) {
             while (!remaining.isEmpty()) {
-                MemberRecord row = remaining.remove(remaining.size() - 1);
-                if (row.state().isLive() && table.findByName(row.name()) == row) {
-                    return row;
+                MemberRecord record = remaining.remove(remaining.size() - 1);
+                if (record.state().isLive() && table.findByName(record.name()) == record) {
+                    return record;
                 }
             }
             refill();
@@ -30,19 +34,24 @@
         return null;
     }
 
-    /** A new member waits for a random place in the present turn, as an even chance of an early probe. */
-    void addAtRandomPosition(MemberRecord row) {
-        if (!remaining.contains(row)) {
-            remaining.add(random.nextInt(remaining.size() + 1), row);
+    /** Adds a new member to the present pass at a random position, so that it may be probed early. */
+    void addAtRandomPosition(MemberRecord record) {
+        if (!remaining.contains(record)) {
+            remaining.add(random.nextInt(remaining.size() + 1), record);
         }
     }
 
-    /** Up to {@code count} live members other than {@code except}, at random. */
-    List<MemberRecord> randomAlive(int count, MemberRecord except) {
+    /** Up to {@code count} random ALIVE members. */
+    List<MemberRecord> randomAlive(int count) {
+        return randomAliveExcept(null, count);
+    }
+
+    /** Up to {@code count} random ALIVE members other than {@code except}. */
+    List<MemberRecord> randomAliveExcept(MemberRecord except, int count) {
         List<MemberRecord> candidates = new ArrayList<>();
-        for (MemberRecord row : table.records()) {
-            if (row != except && row.state() == MemberState.ALIVE) {
-                candidates.add(row);
+        for (MemberRecord record : table.records()) {
+            if (record != except && record.state() == MemberState.ALIVE) {
+                candidates.add(record);
             }
         }
         List<MemberRecord> drawn = new ArrayList<>(count);
@@ -56,9 +65,9 @@
     }
 
     private void refill() {
-        for (MemberRecord row : table.records()) {
-            if (row.state().isLive()) {
-                remaining.add(row);
+        for (MemberRecord record : table.records()) {
+            if (record.state().isLive()) {
+                remaining.add(record);
             }
         }
         Collections.shuffle(remaining, random);
--- a/coordination/src/main/java/burlarch/coordination/membership/SwimCodec.java
+++ b/coordination/src/main/java/burlarch/coordination/membership/SwimCodec.java
@@ -5,11 +5,18 @@
 import java.nio.charset.StandardCharsets;
 import java.util.ArrayList;
 import java.util.List;
+import java.util.Optional;
 import java.util.zip.CRC32;
 
 /**
- * Datagrams of {@link SwimMessage}: version, kind, header, the kind's fields, claims up to the end, and a
- * CRC-32 of all before it.
+ * Encodes {@link SwimMessage} as a datagram and back.
+ *
+ * <pre>
+ * message = version (1 byte), kind (1), sender's process id (8), digest (8), the kind's fields, updates, CRC-32 (4)
+ * update  = state (1), process id (8), incarnation (8), address (6), name, role, zone; each text with its length (1)
+ * </pre>
+ *
+ * Updates go on until the checksum, which covers all before it. Numbers are big-endian.
  */
 public final class SwimCodec {
     private static final byte VERSION = 1;
@@ -29,30 +36,30 @@
     private static final int PORT_BITS = 16;
     private static final int PORT_MASK = 0xFFFF;
     private static final int BYTE_MASK = 0xFF;
-    /** Bytes of any message without its claims, at most. */
+    /** Bytes of any message without its updates, at most. */
     static final int FRAME_BYTES = 2 + 2 * Long.BYTES + Integer.BYTES + Long.BYTES + ADDRESS_BYTES + CHECK_BYTES;
-    /** Bytes of a claim without its texts. */
+    /** Bytes of an update without its texts. */
     private static final int UPDATE_BYTES = 1 + 2 * Long.BYTES + ADDRESS_BYTES + 3;
 
     private SwimCodec() {}
 
-    /** Bytes that the claim takes in a datagram. */
-    static int sizeOf(MemberUpdate claim) {
-        MemberInfo info = claim.info();
+    /** Bytes that the update takes in a datagram. */
+    static int sizeOf(MemberUpdate update) {
+        MemberInfo info = update.info();
         return UPDATE_BYTES + utf8(info.name()).length + utf8(info.role()).length + utf8(info.zone()).length;
     }
 
-    /** The datagram that carries the message. */
+    /** The message as a datagram. */
     public static byte[] encode(SwimMessage message) {
         int size = FRAME_BYTES;
-        for (MemberUpdate claim : message.updates()) {
-            size += sizeOf(claim);
+        for (MemberUpdate update : message.updates()) {
+            size += sizeOf(update);
         }
         ByteBuffer out = ByteBuffer.allocate(size);
         out.put(VERSION);
         putFrame(out, message);
-        for (MemberUpdate claim : message.updates()) {
-            putUpdate(out, claim);
+        for (MemberUpdate update : message.updates()) {
+            putUpdate(out, update);
         }
         out.putInt(checksum(out.array(), out.position()));
         byte[] datagram = new byte[out.position()];
@@ -60,18 +67,18 @@
         return datagram;
     }
 
-    /** The message, or null where the datagram isn't one, whole and within all bounds. */
-    public static SwimMessage decode(byte[] datagram) {
+    /** The message, empty if the datagram is not a complete and valid one. */
+    public static Optional<SwimMessage> decode(byte[] datagram) {
         int length = datagram.length - CHECK_BYTES;
         if (length < 2 + 2 * Long.BYTES
                 || datagram[0] != VERSION
                 || ByteBuffer.wrap(datagram).getInt(length) != checksum(datagram, length)) {
-            return null;
+            return Optional.empty();
         }
         try {
             return message(ByteBuffer.wrap(datagram, 1, length - 1));
         } catch (BufferUnderflowException | IllegalArgumentException garbled) {
-            return null;
+            return Optional.empty();
         }
     }
 
@@ -95,31 +102,27 @@
         return out.put(kind).putLong(header.processId()).putLong(header.digest());
     }
 
-    private static SwimMessage message(ByteBuffer in) {
+    private static Optional<SwimMessage> message(ByteBuffer in) {
         byte kind = in.get();
         SwimMessage.Header header = new SwimMessage.Header(in.getLong(), in.getLong());
-        switch (kind) {
-            case PING:
-                return new SwimMessage.Ping(header, in.getInt(), in.getLong(), updates(in));
-            case ACK:
-                return new SwimMessage.Ack(header, in.getInt(), in.getLong(), updates(in));
-            case PING_REQUEST:
-                return new SwimMessage.PingRequest(header, in.getInt(), in.getLong(), address(in), updates(in));
-            case NACK:
-                return new SwimMessage.Nack(header, in.getInt(), updates(in));
-            case SYNC_REQUEST:
-                return new SwimMessage.SyncRequest(header, updates(in));
-            case SYNC_PAGE:
-                return new SwimMessage.SyncPage(header, updates(in));
-            default:
-                return null;
-        }
-    }
-
-    private static void putUpdate(ByteBuffer out, MemberUpdate claim) {
-        MemberInfo info = claim.info();
-        out.put(number(claim.state()));
-        out.putLong(info.processId()).putLong(claim.incarnation());
+        SwimMessage message =
+                switch (kind) {
+                    case PING -> new SwimMessage.Ping(header, in.getInt(), in.getLong(), updates(in));
+                    case ACK -> new SwimMessage.Ack(header, in.getInt(), in.getLong(), updates(in));
+                    case PING_REQUEST -> new SwimMessage.PingRequest(
+                            header, in.getInt(), in.getLong(), address(in), updates(in));
+                    case NACK -> new SwimMessage.Nack(header, in.getInt(), updates(in));
+                    case SYNC_REQUEST -> new SwimMessage.SyncRequest(header, updates(in));
+                    case SYNC_PAGE -> new SwimMessage.SyncPage(header, updates(in));
+                    default -> null;
+                };
+        return Optional.ofNullable(message);
+    }
+
+    private static void putUpdate(ByteBuffer out, MemberUpdate update) {
+        MemberInfo info = update.info();
+        out.put(number(update.state()));
+        out.putLong(info.processId()).putLong(update.incarnation());
         putAddress(out, info.address());
         putText(out, info.name());
         putText(out, info.role());
@@ -127,19 +130,19 @@
     }
 
     private static List<MemberUpdate> updates(ByteBuffer in) {
-        List<MemberUpdate> claims = new ArrayList<>();
+        List<MemberUpdate> updates = new ArrayList<>();
         while (in.hasRemaining()) {
-            claims.add(update(in));
+            updates.add(update(in));
         }
-        return claims;
+        return updates;
     }
 
     private static MemberUpdate update(ByteBuffer in) {
         MemberState state = state(in.get());
-        long process = in.getLong();
+        long processId = in.getLong();
         long incarnation = in.getLong();
         String address = address(in);
-        MemberInfo info = new MemberInfo(text(in), address, text(in), text(in), process);
+        MemberInfo info = new MemberInfo(text(in), address, text(in), text(in), processId);
         return new MemberUpdate(info, incarnation, state);
     }
 
--- a/coordination/src/main/java/burlarch/coordination/membership/SwimSettings.java
+++ b/coordination/src/main/java/burlarch/coordination/membership/SwimSettings.java
@@ -1,16 +1,16 @@
 package burlarch.coordination.membership;
 
 /**
- * Times (nanoseconds) and bounds of {@link Swim}.
+ * Times and bounds of {@link Swim}.
  *
- * @param probePeriodNanos between two probes of one member
- * @param probeTimeoutNanos how long a direct probe waits before others are asked to probe too
- * @param indirectProbeCount how many others are asked
- * @param suspicionMultiplier a suspected member may object for this many periods, times log10(members + 1)
- * @param retransmitMultiplier each news item goes out this many times, times log10(members + 1), rounded up
- * @param maxDatagramBytes largest datagram in bytes
- * @param maxMembers bound of the table, the dead ones included
- * @param deadRetentionNanos how long a dead member is kept
+ * @param probePeriodNanos between two probes that one member begins
+ * @param probeTimeoutNanos how long a direct probe waits before other members are asked to probe too
+ * @param indirectProbeCount how many members are asked
+ * @param suspicionMultiplier the suspicion time-out is this many periods, times log10(members + 1)
+ * @param retransmitMultiplier each update is sent this many times, times log10(members + 1), rounded up
+ * @param maxDatagramBytes largest datagram
+ * @param maxMembers bound of the table, the ended members included
+ * @param deadRetentionNanos how long a DEAD or LEFT member stays in the table
  * @param minSyncIntervalNanos least time between two requests for another's whole table
  */
 public record SwimSettings(
@@ -26,6 +26,7 @@
     private static final long NANOS_PER_MILLI = 1_000_000L;
     private static final int MIN_DATAGRAM_BYTES = 600;
 
+    /** @throws IllegalArgumentException if a period is shorter than two time-outs, or datagrams are too small */
     public SwimSettings {
         if (probeTimeoutNanos <= 0
                 || probePeriodNanos < 2 * probeTimeoutNanos
@@ -34,7 +35,7 @@
         }
     }
 
-    /** Half a second between probes; a dead member of ten is noticed after some 2.5 s. */
+    /** Half a second between probes; a failed member of ten is dead to all after some 2.5 s. */
     public static SwimSettings defaults() {
         return new SwimSettings(
                 500 * NANOS_PER_MILLI,
@@ -48,12 +49,12 @@
                 2_000 * NANOS_PER_MILLI);
     }
 
-    /** How long a suspected member of a fleet of this size may object. */
+    /** How long a suspect may refute in a fleet of this size. */
     long suspicionTimeoutNanos(int members) {
         return (long) (suspicionMultiplier * probePeriodNanos * Math.max(1, Math.log10(members + 1)));
     }
 
-    /** How often one news item goes out in a fleet of this size. */
+    /** How often one update is sent as gossip in a fleet of this size. */
     int transmitLimit(int members) {
         return retransmitMultiplier * (int) Math.ceil(Math.max(1, Math.log10(members + 1)));
     }
--- a/node/src/main/java/burlarch/node/MembershipService.java
+++ b/node/src/main/java/burlarch/node/MembershipService.java
@@ -14,6 +14,7 @@
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
+import java.util.Optional;
 import java.util.concurrent.CompletableFuture;
 import java.util.concurrent.ExecutionException;
 import java.util.concurrent.TimeUnit;
@@ -98,8 +99,8 @@
         return swim.members();
     }
 
-    /** What is believed of the member, or null where it isn't known. */
-    public MemberState stateOf(String name) {
+    /** The member's state in the local view, empty where the member isn't known. */
+    public Optional<MemberState> stateOf(String name) {
         return swim.stateOf(name);
     }
 
--- a/router/src/main/java/burlarch/router/RouterProgram.java
+++ b/router/src/main/java/burlarch/router/RouterProgram.java
@@ -12,8 +12,8 @@
 import burlarch.node.MembershipService;
 import burlarch.node.NodeAddresses;
 import burlarch.node.NodeBounds;
-import burlarch.node.NodeSettings;
 import burlarch.node.NodeRoles;
+import burlarch.node.NodeSettings;
 import burlarch.node.SettingsFileWatcher;
 import burlarch.node.ShutdownHook;
 import burlarch.routing.FleetPlanner;
@@ -105,7 +105,8 @@
             size.start(links::reachesMostControllers);
             membership.addListener(size);
             membership.addListener(changes -> sources.onMembers(membership.members()));
-            membership.addListener(changes -> links.addControllers(MembershipService.appearedAddresses(changes, NodeRoles.CONTROLLER)));
+            membership.addListener(changes ->
+                    links.addControllers(MembershipService.appearedAddresses(changes, NodeRoles.CONTROLLER)));
             membership.start();
         });
         return membership;
--- a/simulation/src/main/java/burlarch/simulation/membership/MembershipFleet.java
+++ b/simulation/src/main/java/burlarch/simulation/membership/MembershipFleet.java
@@ -10,6 +10,7 @@
 import burlarch.simulation.scenario.Judge;
 import java.util.ArrayList;
 import java.util.List;
+import java.util.Optional;
 
 /**
  * Machines {@code member-1} and on, of which the first three are the seeds of all, with counts of what they
@@ -125,14 +126,14 @@
         return true;
     }
 
-    private static boolean is(MemberState state, String word) {
+    private static boolean is(Optional<MemberState> state, String word) {
         switch (word) {
             case "alive":
                 return live(state);
             case "trusted":
-                return state == MemberState.ALIVE;
+                return state.equals(Optional.of(MemberState.ALIVE));
             case "suspect":
-                return state == MemberState.SUSPECT;
+                return state.equals(Optional.of(MemberState.SUSPECT));
             case "dead":
                 return !live(state);
             default:
@@ -140,8 +141,8 @@
         }
     }
 
-    private static boolean live(MemberState state) {
-        return state != null && state.isLive();
+    private static boolean live(Optional<MemberState> state) {
+        return state.isPresent() && state.get().isLive();
     }
 
     private void changed(String observer, MemberChange change) {
