--- a/controller/src/main/java/burlarch/controller/ControllerProgram.java
+++ b/controller/src/main/java/burlarch/controller/ControllerProgram.java
@@ -66,8 +66,7 @@
                 settings.zone(),
                 storage.store().identity(),
                 incarnation);
-        NodeTransport transport = new NodeTransport(
-                loop, hello, NodeAddresses.socket(address), NodeTransport.Listener.of(core.listener()));
+        NodeTransport transport = new NodeTransport(loop, hello, NodeAddresses.socket(address), core.listener());
         MembershipService membership = new MembershipService(
                 loop,
                 new MembershipService.Self(settings.nodeName(), NodeRoles.CONTROLLER, settings.zone(), process),
--- a/node/src/main/java/burlarch/node/MembershipService.java
+++ b/node/src/main/java/burlarch/node/MembershipService.java
@@ -7,6 +7,7 @@
 import burlarch.coordination.membership.SwimSettings;
 import burlarch.coordination.membership.SwimStep;
 import burlarch.transport.DatagramEndpoint;
+import burlarch.transport.EventLoop;
 import burlarch.transport.SelectorEventLoop;
 import java.io.IOException;
 import java.net.InetSocketAddress;
@@ -36,7 +37,7 @@
     private final Swim swim;
     private final List<Listener> listeners = new ArrayList<>();
     private final Map<String, InetSocketAddress> sockets = new HashMap<>();
-    private SelectorEventLoop.Timer timer;
+    private EventLoop.Timer timer;
     private long timerDueAtNanos;
     private boolean started;
     private boolean closed;
--- a/router/src/main/java/burlarch/router/RouterProgram.java
+++ b/router/src/main/java/burlarch/router/RouterProgram.java
@@ -92,7 +92,7 @@
                 new NodeMessage.Hello(
                         settings.nodeName(), NodeRoles.ROUTER, address, settings.zone(), "", incarnation.toString()),
                 NodeAddresses.socket(address),
-                NodeTransport.Listener.of(links));
+                links);
         MembershipService membership = new MembershipService(
                 loop,
                 new MembershipService.Self(
--- a/transport/src/main/java/burlarch/transport/FrameCodec.java
+++ b/transport/src/main/java/burlarch/transport/FrameCodec.java
@@ -21,26 +21,36 @@
 import java.util.Map;
 
 /**
- * Messages as frames: four bytes of length, which counts what follows them, one byte that numbers the kind of
- * message, and a CBOR map. The numbers are fixed for good; fields that are not known are passed over, absent
- * texts, lists and bytes are empty. May be used by several threads.
+ * Turns messages into frames and back. Safe for use by several threads.
+ *
+ * <pre>
+ *   offset  bytes  field
+ *   0       4      length of all that follows, big-endian
+ *   4       1      number of the message type
+ *   5       n      CBOR map of the message's fields
+ * </pre>
+ *
+ * <p><b>Compatibility.</b> Numbers and field names are fixed for good, as nodes of different programs talk with each
+ * other during an upgrade. Unknown fields are ignored; absent strings, lists and byte arrays are read as empty; an
+ * absent ballot or instance state makes the message invalid.
  */
 public final class FrameCodec {
-    /** The length field. */
+    /** Length of the length field. */
     static final int HEADER_BYTES = 4;
-    /** The most that a length field may say. */
+    /** The largest value of a length field. */
     public static final int MAX_FRAME_BYTES = 8 << 20;
 
-    private static final int INITIAL_BYTES = 256;
-    private static final int KINDS = 64;
+    private static final int INITIAL_FRAME_BYTES = 256;
+    private static final int TYPE_NUMBERS = 64;
 
     private final ObjectMapper mapper = mapper();
-    private final Kind[] byNumber = new Kind[KINDS];
-    private final Map<Class<?>, Kind> byClass = new HashMap<>();
+    private final MessageType[] byNumber = new MessageType[TYPE_NUMBERS];
+    private final Map<Class<?>, MessageType> byClass = new HashMap<>();
 
-    /** One kind of message. */
-    private record Kind(int number, ObjectReader reader, ObjectWriter writer) {}
+    /** A message type with its number on the wire. */
+    private record MessageType(int number, ObjectReader reader, ObjectWriter writer) {}
 
+    /** Knows every type of {@link NodeMessage}. */
     public FrameCodec() {
         add(1, NodeMessage.Hello.class);
         add(2, NodeMessage.Ping.class);
@@ -63,14 +73,14 @@
     }
 
     private void add(int number, Class<?> type) {
-        Kind kind = new Kind(number, mapper.readerFor(type), mapper.writerFor(type));
-        byNumber[number] = kind;
-        byClass.put(type, kind);
+        MessageType messageType = new MessageType(number, mapper.readerFor(type), mapper.writerFor(type));
+        byNumber[number] = messageType;
+        byClass.put(type, messageType);
     }
 
     private static ObjectMapper mapper() {
         ObjectMapper mapper = new ObjectMapper(new CBORFactory());
-        // A kind of message that a process never meets costs it nothing.
+        // A message type that a process never meets costs it nothing.
         mapper.disable(DeserializationFeature.EAGER_DESERIALIZER_FETCH);
         mapper.disable(SerializationFeature.EAGER_SERIALIZER_FETCH);
         mapper.disable(DeserializationFeature.FAIL_ON_UNKNOWN_PROPERTIES);
@@ -80,24 +90,24 @@
         mapper.configOverride(String.class).setSetterInfo(empty);
         mapper.configOverride(byte[].class).setSetterInfo(empty);
         mapper.configOverride(List.class).setSetterInfo(empty);
-        JsonSetter.Value needed = JsonSetter.Value.forValueNulls(Nulls.FAIL);
-        mapper.configOverride(Ballot.class).setSetterInfo(needed);
-        mapper.configOverride(InstanceState.class).setSetterInfo(needed);
+        JsonSetter.Value required = JsonSetter.Value.forValueNulls(Nulls.FAIL);
+        mapper.configOverride(Ballot.class).setSetterInfo(required);
+        mapper.configOverride(InstanceState.class).setSetterInfo(required);
         return mapper;
     }
 
     /**
-     * The whole frame, ready to be sent any number of times.
+     * Returns the complete frame of a message, which may be sent any number of times.
      *
-     * @throws IllegalArgumentException where the message is larger than a frame may be
+     * @throws IllegalArgumentException if the message is larger than a frame may be
      */
     public byte[] encode(NodeMessage message) {
         Object body = message instanceof NodeMessage.RegisterProtocol register ? register.message() : message;
-        Kind kind = byClass.get(body.getClass());
+        MessageType type = byClass.get(body.getClass());
         FrameOutput output = new FrameOutput();
-        output.reserveHeader(kind.number());
+        output.reserveHeader(type.number());
         try {
-            kind.writer().writeValue(output, body);
+            type.writer().writeValue(output, body);
         } catch (IOException e) {
             throw new UncheckedIOException(e);
         }
@@ -105,27 +115,21 @@
     }
 
     /**
-     * Reads what follows a length field.
+     * Decodes a frame without its length field.
      *
-     * @param bytes holds the number of the kind at {@code offset} and the body behind it
+     * @param bytes holds the number of the message type at {@code offset} and the body behind it
+     * @throws FrameException if this is no message of a known type
      */
     public NodeMessage decode(byte[] bytes, int offset, int length) throws FrameException {
         if (length < 1) {
             throw new FrameException("empty frame");
         }
         int number = bytes[offset] & 0xff;
-        Kind kind = number < KINDS ? byNumber[number] : null;
-        if (kind == null) {
+        MessageType type = number < TYPE_NUMBERS ? byNumber[number] : null;
+        if (type == null) {
             throw new FrameException("unknown kind of message: " + number);
         }
-        Object body;
-        try {
-            body = kind.reader().readValue(bytes, offset + 1, length - 1);
-        } catch (JsonProcessingException e) {
-            throw new FrameException("garbled message of kind " + number + ": " + e.getOriginalMessage(), e);
-        } catch (IOException | RuntimeException e) {
-            throw new FrameException("garbled message of kind " + number, e);
-        }
+        Object body = readBody(type, bytes, offset + 1, length - 1);
         if (body == null) {
             throw new FrameException("no message in a frame of kind " + number);
         }
@@ -134,10 +138,20 @@
                 : (NodeMessage) body;
     }
 
-    /** Collects one frame and fills its length in at the end. */
+    private static Object readBody(MessageType type, byte[] bytes, int offset, int length) throws FrameException {
+        try {
+            return type.reader().readValue(bytes, offset, length);
+        } catch (JsonProcessingException e) {
+            throw new FrameException("garbled message of kind " + type.number() + ": " + e.getOriginalMessage(), e);
+        } catch (IOException | RuntimeException e) {
+            throw new FrameException("garbled message of kind " + type.number(), e);
+        }
+    }
+
+    /** Collects the bytes of one frame; the length is filled in at the end, when it is known. */
     private static final class FrameOutput extends ByteArrayOutputStream {
         FrameOutput() {
-            super(INITIAL_BYTES);
+            super(INITIAL_FRAME_BYTES);
         }
 
         void reserveHeader(int number) {
--- a/transport/src/main/java/burlarch/transport/FrameReader.java
+++ b/transport/src/main/java/burlarch/transport/FrameReader.java
@@ -4,96 +4,102 @@
 import java.util.Arrays;
 
 /**
- * Cuts a stream of bytes into frames. Holds no more than twice what has arrived of the frame at hand,
- * whatever its length field claims.
+ * Splits the byte stream of one connection into frames and decodes them. Owned by the event loop.
+ *
+ * <p>A frame that lies in the source as a whole is decoded from there without a copy. Otherwise its bytes are
+ * collected; the memory for them grows with what has arrived and is at most twice as large, whatever the length field
+ * claims.
+ *
+ * <p>After a {@link FrameException} the reader must not be used again: where the next frame begins is not known.
  */
 final class FrameReader {
-    /** A Hello fits; no more is taken from those who have not said it. */
+    /** Enough for a Hello; a peer that has not said it yet gets no more memory. */
     static final int MAX_FIRST_FRAME_BYTES = 16 << 10;
 
-    private static final byte[] NONE = {};
-    private static final int INITIAL_BYTES = 4 << 10;
+    private static final byte[] NO_BYTES = {};
+    private static final int INITIAL_BODY_BYTES = 4 << 10;
 
     private final FrameCodec codec;
     private final byte[] header = new byte[FrameCodec.HEADER_BYTES];
-    private int headerBytes;
-    private int length;
-    private byte[] body = NONE;
-    private int bodyBytes;
-    private int maxLength = MAX_FIRST_FRAME_BYTES;
+    private int collectedHeaderBytes;
+    private int bodyLength;
+    private byte[] body = NO_BYTES;
+    private int collectedBodyBytes;
+    private int maxBodyLength = MAX_FIRST_FRAME_BYTES;
 
     FrameReader(FrameCodec codec) {
         this.codec = codec;
     }
 
-    /** From now on frames may have their full size. */
+    /** Accepts frames of full size from now on. */
     void allowLargeFrames() {
-        maxLength = FrameCodec.MAX_FRAME_BYTES;
+        maxBodyLength = FrameCodec.MAX_FRAME_BYTES;
     }
 
     /**
-     * Takes bytes up to the end of one frame.
+     * Consumes bytes up to the end of one frame.
      *
      * @param source backed by an array
-     * @return the message, or null when the source is used up and the frame is not whole yet
+     * @return the message; null if the source is used up and the frame is not complete yet
+     * @throws FrameException if the length is not valid or the frame is no message
      */
     NodeMessage next(ByteBuffer source) throws FrameException {
         if (!readHeader(source)) {
             return null;
         }
-        if (bodyBytes == 0 && source.remaining() >= length) {
-            return decodeInPlace(source);
+        if (collectedBodyBytes == 0 && source.remaining() >= bodyLength) {
+            return decodeFromSource(source);
         }
         collect(source);
-        if (bodyBytes < length) {
+        if (collectedBodyBytes < bodyLength) {
             return null;
         }
-        byte[] whole = body;
-        int wholeLength = length;
-        startOver();
-        return codec.decode(whole, 0, wholeLength);
+        byte[] frame = body;
+        int frameLength = bodyLength;
+        reset();
+        return codec.decode(frame, 0, frameLength);
     }
 
     private boolean readHeader(ByteBuffer source) throws FrameException {
-        if (headerBytes == FrameCodec.HEADER_BYTES) {
+        if (collectedHeaderBytes == FrameCodec.HEADER_BYTES) {
             return true;
         }
-        int taken = Math.min(source.remaining(), FrameCodec.HEADER_BYTES - headerBytes);
-        source.get(header, headerBytes, taken);
-        headerBytes += taken;
-        if (headerBytes < FrameCodec.HEADER_BYTES) {
+        int count = Math.min(source.remaining(), FrameCodec.HEADER_BYTES - collectedHeaderBytes);
+        source.get(header, collectedHeaderBytes, count);
+        collectedHeaderBytes += count;
+        if (collectedHeaderBytes < FrameCodec.HEADER_BYTES) {
             return false;
         }
-        length = ByteBuffer.wrap(header).getInt();
-        if (length < 1 || length > maxLength) {
-            throw new FrameException("frame of " + length + " bytes");
+        bodyLength = ByteBuffer.wrap(header).getInt();
+        if (bodyLength < 1 || bodyLength > maxBodyLength) {
+            throw new FrameException("frame of " + bodyLength + " bytes");
         }
         return true;
     }
 
-    private NodeMessage decodeInPlace(ByteBuffer source) throws FrameException {
+    private NodeMessage decodeFromSource(ByteBuffer source) throws FrameException {
         int offset = source.arrayOffset() + source.position();
-        source.position(source.position() + length);
-        int wholeLength = length;
-        startOver();
-        return codec.decode(source.array(), offset, wholeLength);
+        source.position(source.position() + bodyLength);
+        int frameLength = bodyLength;
+        reset();
+        return codec.decode(source.array(), offset, frameLength);
     }
 
     private void collect(ByteBuffer source) {
-        int taken = Math.min(source.remaining(), length - bodyBytes);
-        int needed = bodyBytes + taken;
+        int count = Math.min(source.remaining(), bodyLength - collectedBodyBytes);
+        int needed = collectedBodyBytes + count;
         if (needed > body.length) {
-            int larger = Math.max(needed, Math.max(INITIAL_BYTES, 2 * body.length));
-            body = Arrays.copyOf(body, Math.min(larger, length));
+            int larger = Math.max(needed, Math.max(INITIAL_BODY_BYTES, 2 * body.length));
+            body = Arrays.copyOf(body, Math.min(larger, bodyLength));
         }
-        source.get(body, bodyBytes, taken);
-        bodyBytes = needed;
+        source.get(body, collectedBodyBytes, count);
+        collectedBodyBytes = needed;
     }
 
-    private void startOver() {
-        headerBytes = 0;
-        length = 0;
-        body = NONE;
-        bodyBytes = 0;
+    private void reset() {
+        collectedHeaderBytes = 0;
+        bodyLength = 0;
+        body = NO_BYTES;
+        collectedBodyBytes = 0;
     }
 }
--- a/transport/src/main/java/burlarch/transport/MessageOrderValidator.java
+++ b/transport/src/main/java/burlarch/transport/MessageOrderValidator.java
@@ -3,53 +3,65 @@
 import burlarch.coordination.register.Ballot;
 
 /**
- * What one side of a connection has said so far, as far as it can only rise: versions, revisions and ballots
- * of one process. A message that goes back was said earlier or on another connection: late, or repeated.
- * Messages of the register are not judged: they name their ballot and call, and repeating them is harmless.
+ * Rejects messages that cannot follow the ones before them on the same connection.
+ *
+ * <p><b>Numbers never go back.</b> Versions of the configuration, revisions of the instances and ballots of committed
+ * values that one process sends only rise. A message with a lower number was sent earlier, or on another connection: it
+ * is late or repeated, and acting on it could bring back an old state.
+ *
+ * <p>Messages of the register are not checked: each names its ballot and its call, and a repeated one does no harm.
+ *
+ * <p>One validator serves one direction of one connection, on its event loop.
  */
 public final class MessageOrderValidator {
-    private long configuration = Long.MIN_VALUE;
-    private long configurationAck = Long.MIN_VALUE;
-    private long instances = Long.MIN_VALUE;
-    private long instancesAck = Long.MIN_VALUE;
-    private Ballot decided = Ballot.ZERO;
+    private long configurationVersion = Long.MIN_VALUE;
+    private long acknowledgedConfigurationVersion = Long.MIN_VALUE;
+    private long instancesRevision = Long.MIN_VALUE;
+    private long acknowledgedInstancesRevision = Long.MIN_VALUE;
+    private Ballot committedBallot = Ballot.ZERO;
 
     /**
-     * Takes the next message after Hello.
+     * Checks the next message after Hello, and remembers its number.
      *
-     * @throws FrameException where it can't come after those before it
+     * @throws FrameException if it cannot follow the messages before it
      */
     public void accept(NodeMessage message) throws FrameException {
         if (message instanceof NodeMessage.Hello) {
             throw new FrameException("a second Hello");
         } else if (message instanceof NodeMessage.ConfigurationUpdate update) {
-            configuration = requireNotBelow("configuration", configuration, update.version());
+            acceptConfiguration(update.version());
         } else if (message instanceof NodeMessage.ConfigurationChange change) {
-            configuration = requireNotBelow("configuration", configuration, change.version());
+            acceptConfiguration(change.version());
         } else if (message instanceof NodeMessage.ConfigurationAck ack) {
-            configurationAck = requireNotBelow("configuration held", configurationAck, ack.version());
+            acknowledgedConfigurationVersion =
+                    requireNotBelow("acknowledged configuration", acknowledgedConfigurationVersion, ack.version());
         } else if (message instanceof NodeMessage.InstancesUpdate update) {
-            instances = requireNotBelow("revision", instances, update.revision());
+            instancesRevision = requireNotBelow("revision", instancesRevision, update.revision());
         } else if (message instanceof NodeMessage.InstancesAck ack) {
-            instancesAck = requireNotBelow("revision held", instancesAck, ack.revision());
-        } else if (message instanceof NodeMessage.Committed told) {
-            takeBallot(told.ballot());
+            acknowledgedInstancesRevision =
+                    requireNotBelow("acknowledged revision", acknowledgedInstancesRevision, ack.revision());
+        } else if (message instanceof NodeMessage.Committed committed) {
+            acceptBallot(committed.ballot());
         } else if (message instanceof NodeMessage.ControllerStatus status) {
-            takeBallot(status.decided());
+            acceptBallot(status.decided());
         }
     }
 
-    private static long requireNotBelow(String what, long before, long next) throws FrameException {
-        if (next < before) {
-            throw new FrameException("late or repeated: " + what + " " + next + " after " + before);
+    private void acceptConfiguration(long version) throws FrameException {
+        configurationVersion = requireNotBelow("configuration", configurationVersion, version);
+    }
+
+    private void acceptBallot(Ballot next) throws FrameException {
+        if (next.compareTo(committedBallot) < 0) {
+            throw new FrameException("late or repeated: ballot " + next + " after " + committedBallot);
         }
-        return next;
+        committedBallot = next;
     }
 
-    private void takeBallot(Ballot next) throws FrameException {
-        if (next.compareTo(decided) < 0) {
-            throw new FrameException("late or repeated: ballot " + next + " after " + decided);
+    private static long requireNotBelow(String name, long before, long next) throws FrameException {
+        if (next < before) {
+            throw new FrameException("late or repeated: " + name + " " + next + " after " + before);
         }
-        decided = next;
+        return next;
     }
 }
--- a/transport/src/main/java/burlarch/transport/NodeTransport.java
+++ b/transport/src/main/java/burlarch/transport/NodeTransport.java
@@ -1,12 +1,9 @@
 package burlarch.transport;
 
+import burlarch.transport.TcpPeerConnection.Direction;
 import java.io.IOException;
 import java.net.InetSocketAddress;
-import java.net.StandardProtocolFamily;
-import java.net.StandardSocketOptions;
 import java.nio.ByteBuffer;
-import java.nio.channels.SelectionKey;
-import java.nio.channels.ServerSocketChannel;
 import java.nio.channels.SocketChannel;
 import java.util.ArrayList;
 import java.util.HashMap;
@@ -15,85 +12,58 @@
 import org.tinylog.Logger;
 
 /**
- * Connections between nodes: takes those of others and keeps those that this node asks for. Two nodes may
- * have two connections with each other, one asked for by each.
+ * The TCP connections of one node: accepts those of other nodes and keeps those that this node opens. Two nodes may
+ * have two connections with each other, one opened by each.
+ *
+ * <p><b>Threads.</b> Every public method may be called by any thread; changes are handed to the event loop, which
+ * owns all state and calls the listener. What the listener throws is logged; later messages are still delivered.
+ *
+ * <p>The owner closes the transport; the event loop, which is the caller's, stays open.
  */
 public final class NodeTransport implements PeerConnections, AutoCloseable {
-    private static final int BACKLOG = 1_024;
     private static final int BUFFER_BYTES = 64 << 10;
-    private static final long ACCEPT_PAUSE_NANOS = 100_000_000;
 
     private final SelectorEventLoop loop;
     private final TransportSettings settings;
-    private final Listener listener;
+    private final PeerConnectionListener listener;
     private final FrameCodec codec = new FrameCodec();
     private final byte[] helloFrame;
-    private final TcpPeerConnection.Shared shared;
+    private final TcpPeerConnection.SharedResources shared;
     private final KeepAliveMonitor keepAlive;
-    private final ServerSocketChannel server;
-    private final InetSocketAddress address;
-    private final Map<InetSocketAddress, OutboundConnector> dialers = new HashMap<>();
-    private final AtomicLong garbledFrames = new AtomicLong();
-    private int accepted;
+    private final InboundAcceptor acceptor;
+    private final Map<InetSocketAddress, OutboundConnector> connectors = new HashMap<>();
+    private final AtomicLong rejectedFrames = new AtomicLong();
     private boolean closed;
 
-    /** Told of everything on the loop. */
-    public interface Listener {
-        /** The peer has said Hello. */
-        void onConnected(TcpPeerConnection connection);
-
-        /** A message other than Hello and Ping. */
-        void onMessage(TcpPeerConnection connection, NodeMessage message);
-
-        /** Once for each connection that was up, in a turn of its own after whatever closed it. */
-        void onDisconnected(TcpPeerConnection connection);
-
-        /** Passes everything on to a listener that needs only the view of {@link PeerConnection}. */
-        static Listener of(PeerConnectionListener listener) {
-            return new Listener() {
-                @Override
-                public void onConnected(TcpPeerConnection connection) {
-                    listener.onConnected(connection);
-                }
-
-                @Override
-                public void onMessage(TcpPeerConnection connection, NodeMessage message) {
-                    listener.onMessage(connection, message);
-                }
-
-                @Override
-                public void onDisconnected(TcpPeerConnection connection) {
-                    listener.onDisconnected(connection);
-                }
-            };
-        }
-    }
-
-    /** With the default times and bounds. */
-    public NodeTransport(SelectorEventLoop loop, NodeMessage.Hello own, InetSocketAddress listen, Listener listener)
+    /** Listens at once, with {@link TransportSettings#DEFAULTS}. */
+    public NodeTransport(
+            SelectorEventLoop loop,
+            NodeMessage.Hello ownHello,
+            InetSocketAddress listen,
+            PeerConnectionListener listener)
             throws IOException {
-        this(loop, own, listen, listener, TransportSettings.DEFAULTS);
+        this(loop, ownHello, listen, listener, TransportSettings.DEFAULTS);
     }
 
     /**
      * Listens at once.
      *
-     * @param own what is said first on each connection
+     * @param ownHello sent first on each connection
      * @param listen address of this machine
-     * @throws IOException where the address cannot be listened on
+     * @throws IOException if the address cannot be listened on
      */
     public NodeTransport(
             SelectorEventLoop loop,
-            NodeMessage.Hello own,
+            NodeMessage.Hello ownHello,
             InetSocketAddress listen,
-            Listener listener,
+            PeerConnectionListener listener,
             TransportSettings settings)
             throws IOException {
         this.loop = loop;
         this.settings = settings;
         this.listener = listener;
-        helloFrame = codec.encode(own);
-        shared = new TcpPeerConnection.Shared(
+        helloFrame = codec.encode(ownHello);
+        shared = new TcpPeerConnection.SharedResources(
                 loop,
                 codec,
                 settings,
@@ -101,142 +71,97 @@
                 ByteBuffer.allocateDirect(BUFFER_BYTES),
                 codec.encode(new NodeMessage.Ping()));
         keepAlive = new KeepAliveMonitor(loop, settings);
-        server = ServerSocketChannel.open(StandardProtocolFamily.INET);
-        try {
-            server.setOption(StandardSocketOptions.SO_REUSEADDR, true);
-            server.bind(listen, BACKLOG);
-            address = (InetSocketAddress) server.getLocalAddress();
-        } catch (IOException e) {
-            server.close();
-            throw e;
-        }
-        loop.execute(this::startAccepting);
+        acceptor = new InboundAcceptor(loop, listen, settings.maxInboundConnections(), this::openInbound);
+        acceptor.start();
     }
 
-    /** Where it listens. */
+    /** Returns the address that is listened on. */
     public InetSocketAddress listenAddress() {
-        return address;
+        return acceptor.address();
     }
 
-    /** Encodes messages for {@link TcpPeerConnection#sendFrame}. */
     @Override
     public FrameCodec codec() {
         return codec;
     }
 
-    /** How many connections were closed for a frame that is garbled, unknown, late or repeated. */
+    /** Returns how many connections were closed for a frame that is malformed, of unknown type, late or repeated. */
     public long rejectedFrames() {
-        return garbledFrames.get();
+        return rejectedFrames.get();
     }
 
-    /** Keeps a connection to that address until {@link #disconnect}; from any thread, may be repeated. */
     @Override
     public void connect(InetSocketAddress target) {
         loop.execute(() -> {
-            if (!closed && !dialers.containsKey(target)) {
-                OutboundConnector dialer =
-                        new OutboundConnector(loop, settings, target, channel -> open(channel, true, target));
-                dialers.put(target, dialer);
-                dialer.start();
+            if (!closed && !connectors.containsKey(target)) {
+                OutboundConnector connector =
+                        new OutboundConnector(loop, settings, target, channel -> openOutbound(channel, target));
+                connectors.put(target, connector);
+                connector.start();
             }
         });
     }
 
-    /** Closes the connection that this node asked for, if any, and asks no more; from any thread. */
     @Override
     public void disconnect(InetSocketAddress target) {
         loop.execute(() -> {
-            OutboundConnector dialer = dialers.remove(target);
-            if (dialer != null) {
-                dialer.stop();
+            OutboundConnector connector = connectors.remove(target);
+            if (connector != null) {
+                connector.stop();
             }
         });
     }
 
-    /** Closes all connections and listens no more; from any thread. */
+    /** Closes every connection, opens no more and stops listening. */
     @Override
     public void close() {
         loop.execute(() -> {
             closed = true;
-            SelectorEventLoop.closeQuietly(server);
-            dialers.values().forEach(OutboundConnector::stop);
-            dialers.clear();
+            acceptor.close();
+            connectors.values().forEach(OutboundConnector::stop);
+            connectors.clear();
             new ArrayList<>(keepAlive.connections()).forEach(TcpPeerConnection::close);
         });
     }
 
-    private void startAccepting() {
-        try {
-            loop.register(server, SelectionKey.OP_ACCEPT, this::accept);
-        } catch (IOException | RuntimeException e) {
-            Logger.error(e, "Cannot accept connections");
-        }
-    }
-
-    private void accept(SelectionKey key) {
+    private boolean openInbound(SocketChannel channel) {
         try {
-            SocketChannel channel = server.accept();
-            while (channel != null) {
-                if (accepted < settings.maxInboundConnections()) {
-                    open(channel, false, null);
-                } else {
-                    SelectorEventLoop.closeQuietly(channel);
-                }
-                channel = server.accept();
-            }
+            open(channel, Direction.INBOUND, new InboundEvents());
+            return true;
         } catch (IOException e) {
-            // Out of descriptors, most likely: trying again at once would only spin.
-            Logger.warn("Accepting failed: {}", e.getMessage());
-            key.interestOps(0);
-            loop.schedule(ACCEPT_PAUSE_NANOS, () -> resumeAccepting(key));
+            // The peer has gone already, which is no reason to stop accepting.
+            Logger.debug(e, "inbound connection lost before its start: address={}", listenAddress());
+            return false;
         }
     }
 
-    private static void resumeAccepting(SelectionKey key) {
-        if (key.isValid()) {
-            key.interestOps(SelectionKey.OP_ACCEPT);
-        }
+    private TcpPeerConnection openOutbound(SocketChannel channel, InetSocketAddress target) throws IOException {
+        return open(channel, Direction.OUTBOUND, new OutboundEvents(target));
     }
 
-    /** @param target null where the other side asked */
-    private TcpPeerConnection open(SocketChannel channel, boolean outgoing, InetSocketAddress target)
+    /** Takes over the channel; closes it if the connection cannot be started. */
+    private TcpPeerConnection open(SocketChannel channel, Direction direction, TcpPeerConnection.Owner events)
             throws IOException {
-        TcpPeerConnection connection = null;
         try {
             channel.configureBlocking(false);
-            connection = new TcpPeerConnection(shared, channel, outgoing, new Events(target));
+            TcpPeerConnection connection = new TcpPeerConnection(shared, channel, direction, events);
             connection.start(helloFrame);
+            keepAlive.add(connection);
+            return connection;
         } catch (IOException e) {
-            // The other side may have gone already: no reason to stop accepting.
-            SelectorEventLoop.closeQuietly(channel);
-            if (outgoing) {
-                throw e;
-            }
-            return null;
+            QuietCloser.close(channel);
+            throw e;
         }
-        accepted += outgoing ? 0 : 1;
-        keepAlive.add(connection);
-        return connection;
     }
 
     /** What follows from the events of one connection. */
-    private final class Events implements TcpPeerConnection.Owner {
-        private final InetSocketAddress target;
-
-        Events(InetSocketAddress target) {
-            this.target = target;
-        }
-
+    private abstract class ConnectionEvents implements TcpPeerConnection.Owner {
         @Override
-        public void opened(TcpPeerConnection connection) {
-            OutboundConnector dialer = target == null ? null : dialers.get(target);
-            if (dialer != null && dialer.owns(connection)) {
-                dialer.opened();
-            }
+        public void connected(TcpPeerConnection connection) {
             try {
                 listener.onConnected(connection);
             } catch (RuntimeException | Error e) {
-                failed(e);
+                logFailure(connection, e);
             }
         }
 
@@ -245,35 +170,67 @@
             try {
                 listener.onMessage(connection, message);
             } catch (RuntimeException | Error e) {
-                failed(e);
+                logFailure(connection, e);
             }
         }
 
         @Override
-        public void garbled(TcpPeerConnection connection, FrameException reason) {
+        public void frameRejected(TcpPeerConnection connection, FrameException reason) {
             Logger.warn(
-                    "Connection with {} closed for a bad frame, {} so far: {}",
+                    "connection closed, frame rejected: peer={} rejectedFrames={} error={}",
                     connection.remoteAddress(),
-                    garbledFrames.incrementAndGet(),
+                    rejectedFrames.incrementAndGet(),
                     reason.getMessage());
         }
 
         @Override
         public void closed(TcpPeerConnection connection) {
             keepAlive.remove(connection);
-            accepted -= connection.isOutbound() ? 0 : 1;
-            OutboundConnector dialer = target == null ? null : dialers.get(target);
-            if (dialer != null && dialer.owns(connection)) {
-                dialer.closed();
-            }
+            release(connection);
             if (connection.peerHello() != null) {
                 loop.execute(() -> listener.onDisconnected(connection));
             }
         }
 
+        /** Has whoever opened the connection know that it is closed. */
+        abstract void release(TcpPeerConnection connection);
+
         /** What the listener throws must not lose the frames behind this one. */
-        private void failed(Throwable reason) {
-            Logger.error(reason, "Handling a message failed");
+        private void logFailure(TcpPeerConnection connection, Throwable failure) {
+            Logger.error(failure, "message handler failed: peer={}", connection.remoteAddress());
+        }
+    }
+
+    private final class InboundEvents extends ConnectionEvents {
+        @Override
+        void release(TcpPeerConnection connection) {
+            acceptor.onConnectionClosed();
+        }
+    }
+
+    private final class OutboundEvents extends ConnectionEvents {
+        private final InetSocketAddress target;
+
+        OutboundEvents(InetSocketAddress target) {
+            this.target = target;
+        }
+
+        @Override
+        public void connected(TcpPeerConnection connection) {
+            OutboundConnector connector = connectors.get(target);
+            if (connector != null && connector.owns(connection)) {
+                connector.onHandshakeCompleted();
+            }
+            super.connected(connection);
+        }
+
+        /** After a disconnect and a new connect the address may have another connector, which must not be disturbed. */
+        @Override
+        void release(TcpPeerConnection connection) {
+            OutboundConnector connector = connectors.get(target);
+            if (connector != null && connector.owns(connection)) {
+                connector.onConnectionClosed();
+            }
         }
     }
 }
--- a/transport/src/main/java/burlarch/transport/OutboundConnector.java
+++ b/transport/src/main/java/burlarch/transport/OutboundConnector.java
@@ -5,111 +5,162 @@
 import java.net.StandardProtocolFamily;
 import java.nio.channels.SelectionKey;
 import java.nio.channels.SocketChannel;
-import java.util.concurrent.ThreadLocalRandom;
 import org.tinylog.Logger;
 
-/** Keeps an outgoing connection to one address: connects again whenever it is down, until it is stopped. */
+/**
+ * Keeps one outbound connection to an address: connects again whenever it is lost, until it is stopped.
+ *
+ * <p><b>States.</b> {@link State#after} is the only transition function:
+ *
+ * <pre>
+ *   state         attempt begins   established   failed or lost   stop
+ *   BACKING_OFF   CONNECTING       -             BACKING_OFF      STOPPED
+ *   CONNECTING    -                CONNECTED     BACKING_OFF      STOPPED
+ *   CONNECTED     -                -             BACKING_OFF      STOPPED
+ *   STOPPED       STOPPED          STOPPED       STOPPED          STOPPED
+ * </pre>
+ *
+ * <p>In CONNECTING there is a channel that connects, and a timer that gives it up; in BACKING_OFF a timer that begins
+ * the next attempt; in CONNECTED a connection, which may still be in its handshake. The delay between attempts starts
+ * again from the shortest one only after a peer's Hello: a peer that accepts and closes at once is not asked ever
+ * faster.
+ *
+ * <p>Owned by the event loop; every method belongs to it.
+ */
 final class OutboundConnector {
-    /** Makes a connection of a channel that has come about. */
-    interface Connector {
+    /** Makes a connection of a connected channel, which it closes if that fails. */
+    interface ConnectionFactory {
         TcpPeerConnection open(SocketChannel channel) throws IOException;
     }
 
+    private enum State {
+        BACKING_OFF,
+        CONNECTING,
+        CONNECTED,
+        STOPPED;
+
+        State after(Event event) {
+            if (this == STOPPED) {
+                return STOPPED;
+            }
+            return switch (event) {
+                case ATTEMPT_BEGINS -> CONNECTING;
+                case ESTABLISHED -> CONNECTED;
+                case FAILED_OR_LOST -> BACKING_OFF;
+                case STOP -> STOPPED;
+            };
+        }
+    }
+
+    private enum Event {
+        ATTEMPT_BEGINS,
+        ESTABLISHED,
+        FAILED_OR_LOST,
+        STOP
+    }
+
     private final SelectorEventLoop loop;
-    private final TransportSettings settings;
+    private final long connectTimeoutNanos;
     private final InetSocketAddress address;
-    private final Connector connector;
-    private SocketChannel attempt;
+    private final ConnectionFactory factory;
+    private final ReconnectBackoff backoff;
+    private State state = State.BACKING_OFF;
+    private SocketChannel connectingChannel;
     private TcpPeerConnection connection;
-    private SelectorEventLoop.Timer timer;
-    private long retryNanos;
-    private boolean stopped;
+    private EventLoop.Timer timer;
 
     OutboundConnector(
-            SelectorEventLoop loop, TransportSettings settings, InetSocketAddress address, Connector connector) {
+            SelectorEventLoop loop, TransportSettings settings, InetSocketAddress address, ConnectionFactory factory) {
         this.loop = loop;
-        this.settings = settings;
         this.address = address;
-        this.connector = connector;
-        retryNanos = settings.minBackoffNanos();
+        this.factory = factory;
+        connectTimeoutNanos = settings.connectTimeoutNanos();
+        backoff = new ReconnectBackoff(settings.minBackoffNanos(), settings.maxBackoffNanos());
     }
 
+    /** Begins an attempt to connect. */
     void start() {
+        state = state.after(Event.ATTEMPT_BEGINS);
         try {
-            attempt = SocketChannel.open(StandardProtocolFamily.INET);
-            attempt.configureBlocking(false);
-            if (attempt.connect(address)) {
-                connected();
+            connectingChannel = SocketChannel.open(StandardProtocolFamily.INET);
+            connectingChannel.configureBlocking(false);
+            if (connectingChannel.connect(address)) {
+                onChannelConnected();
             } else {
-                loop.register(attempt, SelectionKey.OP_CONNECT, this::ready);
-                timer = loop.schedule(settings.connectTimeoutNanos(), this::retry);
+                loop.register(connectingChannel, SelectionKey.OP_CONNECT, this::onReady);
+                timer = loop.schedule(connectTimeoutNanos, this::retryLater);
             }
         } catch (IOException | RuntimeException e) {
-            Logger.debug(e, "No connection to {}", address);
-            retry();
+            Logger.debug(e, "connect failed: peer={}", address);
+            retryLater();
         }
     }
 
-    private void ready(SelectionKey key) {
+    private void onReady(SelectionKey key) {
         try {
-            if (attempt.finishConnect()) {
-                connected();
+            if (connectingChannel.finishConnect()) {
+                onChannelConnected();
             }
         } catch (IOException e) {
-            retry();
+            retryLater();
         }
     }
 
-    private void connected() throws IOException {
-        if (attempt.getLocalAddress().equals(attempt.getRemoteAddress())) {
-            // A port from the system's range that nobody listens on can be given to this end itself.
-            retry();
+    private void onChannelConnected() throws IOException {
+        if (isConnectedToItself(connectingChannel)) {
+            retryLater();
             return;
         }
         cancelTimer();
-        SocketChannel channel = attempt;
-        attempt = null;
-        connection = connector.open(channel);
+        SocketChannel channel = connectingChannel;
+        connectingChannel = null;
+        connection = factory.open(channel);
+        state = state.after(Event.ESTABLISHED);
+    }
+
+    /** A port of the system's ephemeral range that nobody listens on may be given to the connecting end itself. */
+    private static boolean isConnectedToItself(SocketChannel channel) throws IOException {
+        return channel.getLocalAddress().equals(channel.getRemoteAddress());
     }
 
-    /** The peer has said Hello. */
-    void opened() {
-        retryNanos = settings.minBackoffNanos();
+    /** The peer has said Hello on the connection. */
+    void onHandshakeCompleted() {
+        backoff.reset();
     }
 
+    /** Returns whether this is the present connection. */
     boolean owns(TcpPeerConnection other) {
         return connection == other;
     }
 
-    /** Its connection is closed. */
-    void closed() {
+    /** The connection is closed. */
+    void onConnectionClosed() {
         connection = null;
-        retry();
+        retryLater();
     }
 
-    private void retry() {
-        dropAttempt();
-        if (!stopped) {
-            long half = retryNanos / 2;
-            timer = loop.schedule(half + ThreadLocalRandom.current().nextLong(half + 1), this::start);
-            retryNanos = Math.min(2 * retryNanos, settings.maxBackoffNanos());
+    private void retryLater() {
+        abandonAttempt();
+        state = state.after(Event.FAILED_OR_LOST);
+        if (state == State.BACKING_OFF) {
+            timer = loop.schedule(backoff.nextDelayNanos(), this::start);
         }
     }
 
-    /** For good; closes what it has. */
+    /** Ends this for good and closes the connection, if any. */
     void stop() {
-        stopped = true;
-        dropAttempt();
+        state = state.after(Event.STOP);
+        abandonAttempt();
         if (connection != null) {
             connection.close();
         }
     }
 
-    private void dropAttempt() {
+    private void abandonAttempt() {
         cancelTimer();
-        if (attempt != null) {
-            SelectorEventLoop.closeQuietly(attempt);
-            attempt = null;
+        if (connectingChannel != null) {
+            QuietCloser.close(connectingChannel);
+            connectingChannel = null;
         }
     }
 
--- a/transport/src/main/java/burlarch/transport/OutboundFrameQueue.java
+++ b/transport/src/main/java/burlarch/transport/OutboundFrameQueue.java
@@ -5,25 +5,29 @@
 import java.nio.channels.WritableByteChannel;
 import java.util.ArrayDeque;
 
-/** Frames that wait for their connection to take them. Small ones leave together. */
+/**
+ * The frames of one connection that its channel has not taken yet, in order. Small frames are written together. Owned
+ * by the event loop.
+ */
 final class OutboundFrameQueue {
     private final ArrayDeque<byte[]> frames = new ArrayDeque<>();
     private final int maxBytes;
-    private int bytes;
-    private int headWritten;
+    private int queuedBytes;
+    /** How much of the first frame the channel has taken. */
+    private int headWrittenBytes;
 
-    /** @param maxBytes may be exceeded by one frame, so that one of any size can be sent */
+    /** @param maxBytes may be exceeded by one frame, so that a frame of any size can be sent */
     OutboundFrameQueue(int maxBytes) {
         this.maxBytes = maxBytes;
     }
 
-    /** False where too much waits already. */
+    /** Adds a frame; returns false, and adds nothing, if too much is queued already. */
     boolean add(byte[] frame) {
-        if (bytes > maxBytes) {
+        if (queuedBytes > maxBytes) {
             return false;
         }
         frames.add(frame);
-        bytes += frame.length;
+        queuedBytes += frame.length;
         return true;
     }
 
@@ -32,17 +36,17 @@
     }
 
     /**
-     * Writes until all is out or the channel takes no more.
+     * Writes until the queue is empty or the channel takes no more.
      *
-     * @param scratch where frames are put together; its content is lost
+     * @param scratch buffer in which frames are put together; its content is lost
      */
     void writeTo(WritableByteChannel channel, ByteBuffer scratch) throws IOException {
         while (!frames.isEmpty()) {
             fill(scratch);
-            int offered = scratch.remaining();
-            int written = channel.write(scratch);
-            remove(written);
-            if (written < offered) {
+            int offeredBytes = scratch.remaining();
+            int writtenBytes = channel.write(scratch);
+            remove(writtenBytes);
+            if (writtenBytes < offeredBytes) {
                 return;
             }
         }
@@ -50,11 +54,11 @@
 
     private void fill(ByteBuffer scratch) {
         scratch.clear();
-        int skip = headWritten;
+        int offset = headWrittenBytes;
         for (byte[] frame : frames) {
-            int part = Math.min(frame.length - skip, scratch.remaining());
-            scratch.put(frame, skip, part);
-            skip = 0;
+            int length = Math.min(frame.length - offset, scratch.remaining());
+            scratch.put(frame, offset, length);
+            offset = 0;
             if (!scratch.hasRemaining()) {
                 break;
             }
@@ -62,11 +66,11 @@
         scratch.flip();
     }
 
-    private void remove(int written) {
-        bytes -= written;
-        headWritten += written;
-        while (!frames.isEmpty() && headWritten >= frames.peek().length) {
-            headWritten -= frames.poll().length;
+    private void remove(int writtenBytes) {
+        queuedBytes -= writtenBytes;
+        headWrittenBytes += writtenBytes;
+        while (!frames.isEmpty() && headWrittenBytes >= frames.peek().length) {
+            headWrittenBytes -= frames.poll().length;
         }
     }
 }
--- a/transport/src/main/java/burlarch/transport/PeerConnection.java
+++ b/transport/src/main/java/burlarch/transport/PeerConnection.java
@@ -1,16 +1,22 @@
 package burlarch.transport;
 
-/** A connection to another node as its users see it: {@link TcpPeerConnection}, or one in virtual time. */
+/**
+ * A connection to another node as its users see it: {@link TcpPeerConnection} in service, or one in virtual time.
+ * Messages arrive in the order in which they were sent, without loss while the connection lasts.
+ */
 public interface PeerConnection {
-    /** What the other side said of itself. */
+    /** Returns the peer's Hello. Only after {@link PeerConnectionListener#onConnected}; null before. */
     NodeMessage.Hello peerHello();
 
-    /** Whether this side asked for the connection. */
+    /** Returns whether this node opened the connection; false if the peer did. */
     boolean isOutbound();
 
-    /** Sends a message; dropped where the connection is closed. */
+    /** Sends a message. Any thread. A message for a closed connection is dropped. */
     void send(NodeMessage message);
 
-    /** Sends what {@link FrameCodec#encode} made, so that one message to many is encoded once. */
+    /**
+     * Sends a frame made by {@link FrameCodec#encode}, so that a message to many peers is encoded once. Any thread. The
+     * array must not be changed afterwards.
+     */
     void sendFrame(byte[] frame);
 }
--- a/transport/src/main/java/burlarch/transport/PeerConnectionListener.java
+++ b/transport/src/main/java/burlarch/transport/PeerConnectionListener.java
@@ -1,13 +1,16 @@
 package burlarch.transport;
 
-/** Told on the loop of everything that happens to the connections of one node. */
+/** Receives the events of one node's connections, on the event loop. */
 public interface PeerConnectionListener {
-    /** The peer has said Hello. */
-    void onConnected(PeerConnection link);
+    /** The peer's Hello has come; messages may follow. */
+    void onConnected(PeerConnection connection);
 
-    /** A message other than Hello and Ping. */
-    void onMessage(PeerConnection link, NodeMessage message);
+    /** A message other than Hello and Ping has come. */
+    void onMessage(PeerConnection connection, NodeMessage message);
 
-    /** Once for each connection that was up, in a turn of its own after whatever closed it. */
-    void onDisconnected(PeerConnection link);
+    /**
+     * The connection is closed. Called once for each connection that was reported by {@link #onConnected}, in a turn of
+     * the loop of its own, so that it never runs inside a call that closed the connection.
+     */
+    void onDisconnected(PeerConnection connection);
 }
--- a/transport/src/main/java/burlarch/transport/PeerConnections.java
+++ b/transport/src/main/java/burlarch/transport/PeerConnections.java
@@ -4,12 +4,12 @@
 
 /** The connections of one node as their users see them: {@link NodeTransport}, or those in virtual time. */
 public interface PeerConnections {
-    /** Keeps a connection to that address; may be repeated. */
+    /** Keeps a connection to the address, and opens another one whenever it is lost. Calling again does nothing. */
     void connect(InetSocketAddress target);
 
-    /** Closes the connection that this node keeps to that address, if any, and asks for no other. */
+    /** Closes the connection that {@link #connect} keeps to the address, if any, and opens no other. */
     void disconnect(InetSocketAddress target);
 
-    /** Encodes messages for {@link PeerConnection#sendFrame}. */
+    /** Returns the codec that makes frames for {@link PeerConnection#sendFrame}. */
     FrameCodec codec();
 }
--- a/transport/src/main/java/burlarch/transport/SelectorEventLoop.java
+++ b/transport/src/main/java/burlarch/transport/SelectorEventLoop.java
@@ -8,15 +8,22 @@
 import java.util.ArrayDeque;
 import java.util.Iterator;
 import java.util.Queue;
-import java.util.TreeSet;
 import java.util.concurrent.ConcurrentLinkedQueue;
 import java.util.concurrent.atomic.AtomicBoolean;
 import java.util.concurrent.atomic.AtomicLong;
 import org.tinylog.Logger;
 
 /**
- * One thread that does all of a node's work in turn: network events, timers and tasks. It sleeps until there
- * is something to do. A task that throws is logged and the loop goes on.
+ * The event loop in service: one thread on a {@link Selector}. Each turn handles ready channels, due timers, the tasks
+ * handed in so far and the tasks for the end of the turn, in this order; then the thread sleeps until there is more.
+ *
+ * <p><b>Threads.</b> {@link #execute}, {@link #schedule}, {@link Timer#cancel}, {@link #nanoTime}, {@link #inEventLoop}
+ * and {@link #close} may be called by any thread. {@link #register} and {@link #executeAtTurnEnd} belong to the loop's
+ * thread and check it.
+ *
+ * <p><b>Errors.</b> What a task, timer or channel handler throws is logged and ends nothing else.
+ *
+ * <p>The thread is started by the constructor and ends after {@link #close}. The owner closes the loop.
  */
 public final class SelectorEventLoop implements EventLoop, AutoCloseable {
     private static final long NANOS_PER_MILLI = 1_000_000;
@@ -24,33 +31,30 @@
     private final Selector selector;
     private final Thread thread;
     private final Queue<Runnable> tasks = new ConcurrentLinkedQueue<>();
-    private final TreeSet<Timer> timers = new TreeSet<>();
-    private final ArrayDeque<Runnable> turnEnds = new ArrayDeque<>();
-    /** False only while the thread sleeps or is about to, so that a wake-up is paid for only then. */
+    /** Owned by the loop's thread, as are the tasks for the end of the turn. */
+    private final TimerQueue timers = new TimerQueue();
+
+    private final ArrayDeque<Runnable> turnEndTasks = new ArrayDeque<>();
+    /** False only while the thread sleeps or is about to, so that a wake-up, a system call, is paid for only then. */
     private final AtomicBoolean awake = new AtomicBoolean(true);
 
     private final AtomicLong timerSequence = new AtomicLong();
     private volatile boolean closed;
 
-    /** Told on the loop that its channel is ready. */
+    /** Runs on the loop when its channel is ready. */
     interface ReadyHandler {
         void ready(SelectionKey key) throws IOException;
     }
 
-    /** A task that is due later. */
-    public final class Timer implements EventLoop.Timer, Comparable<Timer> {
-        private final long due;
-        private final long sequence;
-        private final Runnable task;
+    /** A timer of this loop. */
+    private final class LoopTimer extends TimerQueue.Entry implements Timer {
         private volatile boolean cancelled;
 
-        private Timer(long due, long sequence, Runnable task) {
-            this.due = due;
-            this.sequence = sequence;
-            this.task = task;
+        LoopTimer(long dueNanos, long sequence, Runnable task) {
+            super(dueNanos, sequence, task);
         }
 
-        /** May be called at any time from any thread; on the loop it holds at once. */
+        /** Any thread. On the loop the task does not run after this; elsewhere it may just have begun. */
         @Override
         public void cancel() {
             cancelled = true;
@@ -60,15 +64,13 @@
                 execute(() -> timers.remove(this));
             }
         }
-
-        @Override
-        public int compareTo(Timer other) {
-            int byDue = Long.signum(due - other.due);
-            return byDue != 0 ? byDue : Long.compare(sequence, other.sequence);
-        }
     }
 
-    /** Starts the thread. */
+    /**
+     * Starts the thread.
+     *
+     * @param name of the thread
+     */
     public SelectorEventLoop(String name) {
         try {
             selector = Selector.open();
@@ -79,7 +81,7 @@
         thread.start();
     }
 
-    /** Runs the task on the loop, soon; from any thread. After {@link #close()} it is dropped. */
+    /** Runs the task on the loop, soon. Any thread. After {@link #close()} the task is dropped. */
     @Override
     public void execute(Runnable task) {
         if (closed) {
@@ -91,11 +93,11 @@
         }
     }
 
-    /** Runs the task on the loop once the delay is over; from any thread. */
+    /** Runs the task on the loop once the delay is over. Any thread. */
     @Override
     public Timer schedule(long delayNanos, Runnable task) {
-        long due = nanoTime() + Math.max(0, delayNanos);
-        Timer timer = new Timer(due, timerSequence.incrementAndGet(), task);
+        long dueNanos = nanoTime() + Math.max(0, delayNanos);
+        LoopTimer timer = new LoopTimer(dueNanos, timerSequence.incrementAndGet(), task);
         if (inEventLoop()) {
             timers.add(timer);
         } else {
@@ -104,61 +106,73 @@
         return timer;
     }
 
-    private void addUnlessCancelled(Timer timer) {
+    private void addUnlessCancelled(LoopTimer timer) {
         if (!timer.cancelled) {
             timers.add(timer);
         }
     }
 
-    /** The steady clock that timers go by. */
+    /** Returns {@link System#nanoTime()}. Any thread. */
     @Override
     public long nanoTime() {
         return System.nanoTime();
     }
 
-    /** Whether the caller runs on the loop. */
+    /** Returns whether the caller runs on the loop's thread. Any thread. */
     public boolean inEventLoop() {
         return Thread.currentThread() == thread;
     }
 
-    /** Ends the loop after its present turn; channels that are registered are closed. */
+    /** Ends the loop after its present turn and closes all registered channels. Any thread. */
     @Override
     public void close() {
         closed = true;
         selector.wakeup();
     }
 
-    /** Waits for the thread's end; not to be called on the loop. */
-    void join(long millis) throws InterruptedException {
-        thread.join(millis);
+    /** Waits for the thread's end. Any thread but the loop's. */
+    void join(long timeoutMillis) throws InterruptedException {
+        thread.join(timeoutMillis);
     }
 
-    /** To be called on the loop. */
+    /** Has the handler called whenever the channel is ready for one of the operations. Loop's thread only. */
     SelectionKey register(SelectableChannel channel, int operations, ReadyHandler handler) throws IOException {
+        requireInEventLoop();
         channel.configureBlocking(false);
         return channel.register(selector, operations, handler);
     }
 
-    /** Runs the task on the loop before it sleeps again. To be called on the loop. */
+    /** Runs the task before the loop sleeps again. Loop's thread only. */
     void executeAtTurnEnd(Runnable task) {
-        turnEnds.add(task);
+        requireInEventLoop();
+        turnEndTasks.add(task);
+    }
+
+    private void requireInEventLoop() {
+        if (!inEventLoop()) {
+            throw new IllegalStateException("not on the event loop's thread");
+        }
     }
 
     private void run() {
         try {
             while (!closed) {
-                await();
-                handleReady();
-                runTimers();
+                awaitWork();
+                handleReadyChannels();
+                runDueTimers();
                 runTasks();
-                runTurnEnds();
+                runTurnEndTasks();
             }
         } finally {
             closeAll();
         }
     }
 
-    private void await() {
+    /**
+     * Sleeps until a channel is ready, a timer is due or a task is there. A task cannot be missed: {@code awake} is
+     * false before the queue is looked at, so whoever adds one after that look wakes the selector.
+     */
+    private void awaitWork() {
         awake.set(false);
         try {
             if (!tasks.isEmpty()) {
@@ -166,23 +180,24 @@
             } else if (timers.isEmpty()) {
                 selector.select();
             } else {
-                awaitTimer(timers.first().due - nanoTime());
+                awaitTimer(timers.nanosUntilFirst(nanoTime()));
             }
         } catch (IOException e) {
-            Logger.error(e, "Selecting failed");
+            Logger.error(e, "select failed: thread={}", thread.getName());
         }
         awake.set(true);
     }
 
-    private void awaitTimer(long nanos) throws IOException {
-        if (nanos <= 0) {
+    /** Rounds up to whole milliseconds, as a timer must not run early and a zero would mean no time limit. */
+    private void awaitTimer(long delayNanos) throws IOException {
+        if (delayNanos <= 0) {
             selector.selectNow();
         } else {
-            selector.select((nanos + NANOS_PER_MILLI - 1) / NANOS_PER_MILLI);
+            selector.select((delayNanos + NANOS_PER_MILLI - 1) / NANOS_PER_MILLI);
         }
     }
 
-    private void handleReady() {
+    private void handleReadyChannels() {
         Iterator<SelectionKey> ready = selector.selectedKeys().iterator();
         while (ready.hasNext()) {
             SelectionKey key = ready.next();
@@ -197,53 +212,47 @@
         try {
             ((ReadyHandler) key.attachment()).ready(key);
         } catch (IOException | RuntimeException | Error e) {
-            Logger.error(e, "Handling a channel failed");
+            Logger.error(e, "channel handler failed: thread={}", thread.getName());
         }
     }
 
-    private void runTimers() {
+    private void runDueTimers() {
         if (timers.isEmpty()) {
             return;
         }
-        long now = nanoTime();
-        while (!timers.isEmpty() && timers.first().due - now <= 0) {
-            runSafely(timers.pollFirst().task);
+        long nowNanos = nanoTime();
+        Runnable task = timers.pollDue(nowNanos);
+        while (task != null) {
+            runSafely(task);
+            task = timers.pollDue(nowNanos);
         }
     }
 
-    /** Those that are there now; what they add waits for the next turn, so that no channel is starved. */
+    /** Runs the tasks that are there now. Those they add wait for the next turn, so that no channel is starved. */
     private void runTasks() {
         for (int left = tasks.size(); left > 0; left--) {
             runSafely(tasks.poll());
         }
     }
 
-    private void runTurnEnds() {
-        while (!turnEnds.isEmpty()) {
-            runSafely(turnEnds.poll());
+    private void runTurnEndTasks() {
+        while (!turnEndTasks.isEmpty()) {
+            runSafely(turnEndTasks.poll());
         }
     }
 
-    private static void runSafely(Runnable task) {
+    private void runSafely(Runnable task) {
         try {
             task.run();
         } catch (RuntimeException | Error e) {
-            Logger.error(e, "A task failed");
+            Logger.error(e, "task failed: thread={}", thread.getName());
         }
     }
 
     private void closeAll() {
         for (SelectionKey key : selector.keys()) {
-            closeQuietly(key.channel());
-        }
-        closeQuietly(selector);
-    }
-
-    static void closeQuietly(AutoCloseable resource) {
-        try {
-            resource.close();
-        } catch (Exception e) {
-            Logger.debug(e, "Closing failed");
+            QuietCloser.close(key.channel());
         }
+        QuietCloser.close(selector);
     }
 }
--- a/transport/src/main/java/burlarch/transport/TcpPeerConnection.java
+++ b/transport/src/main/java/burlarch/transport/TcpPeerConnection.java
@@ -9,244 +9,273 @@
 import org.tinylog.Logger;
 
 /**
- * A TCP connection to another node. Lives on the loop. What is sent in one turn of the loop leaves together
- * at its end. Closed for good once: nothing is received or sent afterwards.
+ * One TCP connection to another node, with the states of {@link ConnectionState}.
+ *
+ * <p>Frames that are sent in one turn of the event loop are written together at its end. A peer that does not read is
+ * closed once too much is queued. Reading stops for good with the first frame that is not valid: what follows it in the
+ * stream cannot be trusted.
+ *
+ * <p><b>Threads.</b> The event loop owns the connection and its channel. {@link #send}, {@link #sendFrame},
+ * {@link #close}, {@link #remoteAddress} and {@link #isOutbound} may be called by any thread, everything else on the
+ * loop.
  */
 public final class TcpPeerConnection implements PeerConnection {
-    /** What a connection tells its owner, always on the loop. */
+    /** Which side opened a connection. */
+    enum Direction {
+        INBOUND,
+        OUTBOUND
+    }
+
+    /** Receives the events of a connection, always on the loop. */
     interface Owner {
-        void opened(TcpPeerConnection connection);
+        /** The peer has said Hello. */
+        void connected(TcpPeerConnection connection);
 
+        /** A message other than Hello and Ping has come. */
         void received(TcpPeerConnection connection, NodeMessage message);
 
-        void garbled(TcpPeerConnection connection, FrameException reason);
+        /** A frame was not valid; the connection is closed right after this call. */
+        void frameRejected(TcpPeerConnection connection, FrameException reason);
 
-        /** Exactly once, from within the call that closed it. */
+        /** The connection is closed. Called exactly once, from within the call that closed it. */
         void closed(TcpPeerConnection connection);
     }
 
-    /** What all connections of one transport share. */
-    record Shared(
+    /**
+     * What all connections of one transport share. The loop handles one connection at a time, so one pair of buffers
+     * serves all of them; their content is of no use after a call.
+     */
+    record SharedResources(
             SelectorEventLoop loop,
             FrameCodec codec,
             TransportSettings settings,
-            ByteBuffer input,
-            ByteBuffer output,
+            ByteBuffer inputBuffer,
+            ByteBuffer outputBuffer,
             byte[] pingFrame) {}
 
-    private final Shared shared;
+    private final SharedResources shared;
+    private final SelectorEventLoop loop;
     private final SocketChannel channel;
-    private final InetSocketAddress remote;
-    private final boolean outgoing;
+    private final InetSocketAddress remoteAddress;
+    private final Direction direction;
     private final Owner owner;
     private final FrameReader reader;
-    private final MessageOrderValidator order = new MessageOrderValidator();
-    private final OutboundFrameQueue queue;
-    private final long openedAt;
+    private final MessageOrderValidator orderValidator = new MessageOrderValidator();
+    private final OutboundFrameQueue outboundFrames;
+    private final ConnectionLiveness liveness;
+    private ConnectionState state = ConnectionState.HANDSHAKING;
     private SelectionKey key;
-    private NodeMessage.Hello peer;
-    private boolean flushPlanned;
-    private boolean closed;
-    private long lastSent;
-    private long lastReceived;
-
-    /** @param channel connected and not blocking */
-    TcpPeerConnection(Shared shared, SocketChannel channel, boolean outgoing, Owner owner) throws IOException {
+    private NodeMessage.Hello peerHello;
+    private boolean flushScheduled;
+
+    /** Takes over a channel that is connected and does not block; {@link #start} must follow. */
+    TcpPeerConnection(SharedResources shared, SocketChannel channel, Direction direction, Owner owner)
+            throws IOException {
         this.shared = shared;
         this.channel = channel;
-        this.outgoing = outgoing;
+        this.direction = direction;
         this.owner = owner;
-        remote = (InetSocketAddress) channel.getRemoteAddress();
+        loop = shared.loop();
+        remoteAddress = (InetSocketAddress) channel.getRemoteAddress();
         reader = new FrameReader(shared.codec());
-        queue = new OutboundFrameQueue(shared.settings().maxQueuedBytes());
-        openedAt = shared.loop().nanoTime();
-        lastSent = openedAt;
-        lastReceived = openedAt;
+        outboundFrames = new OutboundFrameQueue(shared.settings().maxQueuedBytes());
+        liveness = new ConnectionLiveness(shared.settings(), loop.nanoTime());
     }
 
-    /** @param helloFrame what is said first */
+    /** Starts reading and sends the own Hello. */
     void start(byte[] helloFrame) throws IOException {
         channel.setOption(StandardSocketOptions.TCP_NODELAY, true);
-        key = shared.loop().register(channel, SelectionKey.OP_READ, this::ready);
+        key = loop.register(channel, SelectionKey.OP_READ, this::onReady);
         sendFrame(helloFrame);
     }
 
-    /** What the other side said of itself; null before {@code onUp}. */
     @Override
     public NodeMessage.Hello peerHello() {
-        return peer;
+        return peerHello;
     }
 
-    /** Whether this side asked for the connection. */
     @Override
     public boolean isOutbound() {
-        return outgoing;
+        return direction == Direction.OUTBOUND;
     }
 
-    /** The other end; where it asked for the connection, not an address that it listens on. */
+    /** Returns the other end; for an inbound connection that is not an address that the peer listens on. */
     public InetSocketAddress remoteAddress() {
-        return remote;
+        return remoteAddress;
     }
 
+    /** Returns whether the connection is not closed yet. */
     public boolean isOpen() {
-        return !closed;
+        return state != ConnectionState.CLOSED;
     }
 
-    /** Sends a message; from any thread. Dropped on a closed connection; too much unsent closes it. */
     @Override
     public void send(NodeMessage message) {
         sendFrame(shared.codec().encode(message));
     }
 
-    /** Sends what {@link FrameCodec#encode} made, so that one message to many is encoded once. */
     @Override
     public void sendFrame(byte[] frame) {
-        if (shared.loop().inEventLoop()) {
+        if (loop.inEventLoop()) {
             enqueue(frame);
         } else {
-            shared.loop().execute(() -> enqueue(frame));
+            loop.execute(() -> enqueue(frame));
         }
     }
 
-    /** Closes the connection; from any thread. What the socket does not take at once is lost. */
+    /** Closes the connection. Any thread. Queued frames that the socket does not take at once are lost. */
     public void close() {
-        if (shared.loop().inEventLoop()) {
+        if (loop.inEventLoop()) {
             flushAndClose();
         } else {
-            shared.loop().execute(this::flushAndClose);
+            loop.execute(this::flushAndClose);
         }
     }
 
     private void flushAndClose() {
-        if (!queue.isEmpty()) {
+        if (!outboundFrames.isEmpty()) {
             flush();
         }
         closeNow();
     }
 
     private void enqueue(byte[] frame) {
-        if (closed) {
+        if (!isOpen()) {
             return;
         }
-        if (!queue.add(frame)) {
-            Logger.warn("Too much unsent to {}, closed", remote);
+        if (!outboundFrames.add(frame)) {
+            Logger.warn("connection closed, too many unsent bytes: peer={}", remoteAddress);
             closeNow();
             return;
         }
-        lastSent = shared.loop().nanoTime();
-        if (!flushPlanned) {
-            flushPlanned = true;
-            shared.loop().executeAtTurnEnd(this::flush);
+        liveness.onSent(loop.nanoTime());
+        if (!flushScheduled) {
+            flushScheduled = true;
+            loop.executeAtTurnEnd(this::flush);
         }
     }
 
     private void flush() {
-        flushPlanned = false;
-        if (closed) {
+        flushScheduled = false;
+        if (!isOpen()) {
             return;
         }
         try {
-            queue.writeTo(channel, shared.output());
-            int wanted = SelectionKey.OP_READ | (queue.isEmpty() ? 0 : SelectionKey.OP_WRITE);
-            if (key.interestOps() != wanted) {
-                key.interestOps(wanted);
-            }
+            outboundFrames.writeTo(channel, shared.outputBuffer());
+            updateInterest();
         } catch (IOException e) {
             closeNow();
         }
     }
 
-    private void ready(SelectionKey ready) {
-        if (ready.isReadable()) {
+    /** Waits for the socket to become writable only while frames are left; else the selector would never sleep. */
+    private void updateInterest() {
+        int operations = SelectionKey.OP_READ | (outboundFrames.isEmpty() ? 0 : SelectionKey.OP_WRITE);
+        if (key.interestOps() != operations) {
+            key.interestOps(operations);
+        }
+    }
+
+    private void onReady(SelectionKey readyKey) {
+        if (readyKey.isReadable()) {
             read();
         }
-        if (!closed && ready.isWritable()) {
+        if (isOpen() && readyKey.isWritable()) {
             flush();
         }
     }
 
     private void read() {
-        ByteBuffer input = shared.input();
+        ByteBuffer input = shared.inputBuffer();
         input.clear();
-        try {
-            if (channel.read(input) < 0) {
-                closeNow();
-                return;
-            }
-        } catch (IOException e) {
+        if (!readInto(input)) {
             closeNow();
             return;
         }
-        lastReceived = shared.loop().nanoTime();
+        liveness.onReceived(loop.nanoTime());
         input.flip();
         try {
-            takeMessages(input);
+            handleMessages(input);
         } catch (FrameException e) {
-            owner.garbled(this, e);
+            owner.frameRejected(this, e);
             closeNow();
         }
     }
 
-    private void takeMessages(ByteBuffer input) throws FrameException {
+    /** Returns false if the peer closed the connection or it broke. */
+    private boolean readInto(ByteBuffer input) {
+        try {
+            return channel.read(input) >= 0;
+        } catch (IOException e) {
+            return false;
+        }
+    }
+
+    /** Stops where a handler closes the connection: nothing is received on a closed one. */
+    private void handleMessages(ByteBuffer input) throws FrameException {
         NodeMessage message = reader.next(input);
         while (message != null) {
-            take(message);
-            if (closed) {
+            handle(message);
+            if (!isOpen()) {
                 return;
             }
             message = reader.next(input);
         }
     }
 
-    private void take(NodeMessage message) throws FrameException {
-        if (peer != null) {
-            order.accept(message);
-            if (!(message instanceof NodeMessage.Ping)) {
-                owner.received(this, message);
-            }
-        } else if (message instanceof NodeMessage.Hello hello) {
-            peer = hello;
-            reader.allowLargeFrames();
-            owner.opened(this);
-        } else {
+    private void handle(NodeMessage message) throws FrameException {
+        if (state == ConnectionState.HANDSHAKING) {
+            completeHandshake(message);
+            return;
+        }
+        orderValidator.accept(message);
+        if (!(message instanceof NodeMessage.Ping)) {
+            owner.received(this, message);
+        }
+    }
+
+    private void completeHandshake(NodeMessage message) throws FrameException {
+        if (!(message instanceof NodeMessage.Hello hello)) {
             throw new FrameException("a message before Hello");
         }
+        state = state.after(ConnectionState.Event.HELLO_RECEIVED);
+        peerHello = hello;
+        reader.allowLargeFrames();
+        owner.connected(this);
     }
 
     private void closeNow() {
-        if (!closed) {
-            closed = true;
-            SelectorEventLoop.closeQuietly(channel);
+        if (isOpen()) {
+            state = state.after(ConnectionState.Event.CLOSED);
+            QuietCloser.close(channel);
             owner.closed(this);
         }
     }
 
     /**
-     * Sends a Ping where one is due within the slack, gives the connection up where it was silent too long.
+     * Sends a ping if one is due, and closes the connection if nothing was received for too long.
      *
-     * @param heardFloor the connection counts as heard of then at the least
-     * @return when to look again; of no meaning once it is closed
+     * @param slackNanos a ping that is due within this time is sent now
+     * @param receivedFloorNanos the connection counts as heard from at this time at the earliest
+     * @return when to check again; without a meaning once the connection is closed
      */
-    long keepAlive(long now, long slack, long heardFloor) {
-        TransportSettings settings = shared.settings();
-        long heard = lastReceived - heardFloor > 0 ? lastReceived : heardFloor;
-        long giveUp = heard + settings.idleTimeoutNanos();
-        if (peer == null && openedAt + settings.handshakeTimeoutNanos() - giveUp < 0) {
-            giveUp = openedAt + settings.handshakeTimeoutNanos();
-        }
-        if (giveUp - now <= 0) {
-            Logger.info("Nothing heard from {}, closed", remote);
+    long checkLiveness(long nowNanos, long slackNanos, long receivedFloorNanos) {
+        long timeoutAtNanos = peerHello == null
+                ? liveness.handshakeTimeoutAtNanos(receivedFloorNanos)
+                : liveness.idleTimeoutAtNanos(receivedFloorNanos);
+        if (timeoutAtNanos - nowNanos <= 0) {
+            Logger.info("connection closed, nothing received in time: peer={}", remoteAddress);
             closeNow();
-            return now;
+            return nowNanos;
         }
-        if (lastSent + settings.pingIntervalNanos() - now <= slack && queue.isEmpty()) {
+        if (liveness.pingDueNanos() - nowNanos <= slackNanos && outboundFrames.isEmpty()) {
             enqueue(shared.pingFrame());
         }
-        long ping = lastSent + settings.pingIntervalNanos();
-        if (ping - now <= slack) {
-            // Bytes still wait to be sent: a Ping behind them would say nothing more.
-            ping = now + settings.pingIntervalNanos();
+        long nextPingNanos = liveness.pingDueNanos();
+        if (nextPingNanos - nowNanos <= slackNanos) {
+            // Frames are still queued: a ping behind them would tell the peer nothing more.
+            nextPingNanos = nowNanos + shared.settings().pingIntervalNanos();
         }
-        return ping - giveUp < 0 ? ping : giveUp;
+        return ConnectionLiveness.earlier(nextPingNanos, timeoutAtNanos);
     }
 }
--- a/transport/src/main/java/burlarch/transport/TransportSettings.java
+++ b/transport/src/main/java/burlarch/transport/TransportSettings.java
@@ -3,14 +3,15 @@
 /**
  * Times and bounds of connections between nodes.
  *
- * @param pingIntervalNanos how long a connection stays quiet before a Ping is sent
- * @param idleTimeoutNanos after how long without any byte a connection is given up, since a cut says nothing
+ * @param pingIntervalNanos how long a connection sends nothing before it sends a Ping
+ * @param idleTimeoutNanos how long a connection receives nothing before it is closed: a lost peer or a network
+ *     partition closes none by itself
  * @param connectTimeoutNanos how long an attempt to connect may take
  * @param handshakeTimeoutNanos how long the peer may take for its Hello
- * @param minBackoffNanos first pause between attempts to connect; it doubles
- * @param maxBackoffNanos longest pause between attempts to connect
- * @param maxInboundConnections connections that are taken from others at once
- * @param maxQueuedBytes what may wait on one connection; more closes it
+ * @param minBackoffNanos first delay between attempts to connect; each next one is twice as long
+ * @param maxBackoffNanos longest delay between attempts to connect
+ * @param maxInboundConnections how many connections of other nodes are open at once
+ * @param maxQueuedBytes how many bytes may wait to be sent on one connection; more closes it
  */
 public record TransportSettings(
         long pingIntervalNanos,
@@ -23,11 +24,11 @@
         int maxQueuedBytes) {
     private static final long MILLI = 1_000_000;
 
-    /** What holds where nothing else is said. */
+    /** What applies unless said otherwise. */
     public static final TransportSettings DEFAULTS = new TransportSettings(
             500 * MILLI, 1_600 * MILLI, 700 * MILLI, 2_000 * MILLI, 100 * MILLI, 1_000 * MILLI, 2_000, 4 << 20);
 
-    /** The same with another silence; pings are sent three times in it. */
+    /** Returns these settings with another idle time-out, and a ping interval of a third of it at the most. */
     public TransportSettings withIdleTimeout(long nanos) {
         return new TransportSettings(
                 Math.min(pingIntervalNanos, nanos / 3),
