--- a/simulation/src/main/java/burlarch/simulation/NodeContext.java
+++ b/simulation/src/main/java/burlarch/simulation/NodeContext.java
@@ -11,10 +11,10 @@
      * Asks for {@link SimulatedNode#onTimer} at this time of the own steady clock, in place of any earlier
      * wish.
      */
-    void wakeUpAt(long time);
+    void setTimer(long time);
 
     /** The machine's time of day in milliseconds, which may jump. */
-    long timeOfDayMillis();
+    long wallClockMillis();
 
     /** Chance that belongs to this process and repeats with the simulation's seed. */
     Random random();
--- a/simulation/src/main/java/burlarch/simulation/coordination/Calls.java
+++ b/simulation/src/main/java/burlarch/simulation/coordination/CallMessages.java
@@ -8,18 +8,18 @@
  * Calls that go over HTTP outside the simulation: each a message there and one back, either of which may be
  * lost.
  */
-final class Calls {
-    private Calls() {}
+final class CallMessages {
+    private CallMessages() {}
 
     record ControlRequest(long id, ControlAction action) {}
 
-    record ControlAnswer(long id, int status, byte[] body) {
+    record ControlResponse(long id, int status, byte[] body) {
         boolean succeeded() {
             return status == 200;
         }
 
         /** Whether the caller ends the call on it. */
-        boolean refused() {
+        boolean rejected() {
             return status >= 400 && status < 500;
         }
     }
@@ -27,5 +27,5 @@
     /** @param order null for a report */
     record EngineRequest(long id, String instance, WeightsOrder order) {}
 
-    record EngineAnswer(long id, OrderResult result, EngineReport report) {}
+    record EngineResponse(long id, OrderResult result, EngineReport report) {}
 }
--- a/simulation/src/main/java/burlarch/simulation/coordination/ChainRule.java
+++ b/simulation/src/main/java/burlarch/simulation/coordination/ChosenChainChecker.java
@@ -11,48 +11,48 @@
 import java.util.TreeMap;
 
 /** All that was ever chosen is one chain: what a ballot chose holds all that lower ones chose. */
-final class ChainRule {
+final class ChosenChainChecker {
     static final String NAME = "chain";
 
-    private final Violations violations;
-    private final TreeMap<Ballot, SystemState> chosen = new TreeMap<>();
-    private final Map<Long, byte[]> configurations = new HashMap<>();
+    private final ViolationLog violations;
+    private final TreeMap<Ballot, SystemState> chosenByBallot = new TreeMap<>();
+    private final Map<Long, byte[]> configurationByVersion = new HashMap<>();
 
-    ChainRule(Violations violations) {
+    ChosenChainChecker(ViolationLog violations) {
         this.violations = violations;
     }
 
     /** A controller knows of a value as chosen. */
     void onChosen(String machine, Ballot ballot, SystemState state) {
-        SystemState same = chosen.putIfAbsent(ballot, state);
+        SystemState same = chosenByBallot.putIfAbsent(ballot, state);
         if (same != null) {
             if (!Arrays.equals(SystemStateCodec.encode(same), SystemStateCodec.encode(state))) {
                 violations.add(NAME, "two values chosen at " + ballot + ", seen by " + machine);
             }
             return;
         }
-        Map.Entry<Ballot, SystemState> lower = chosen.lowerEntry(ballot);
-        Map.Entry<Ballot, SystemState> higher = chosen.higherEntry(ballot);
+        Map.Entry<Ballot, SystemState> lower = chosenByBallot.lowerEntry(ballot);
+        Map.Entry<Ballot, SystemState> higher = chosenByBallot.higherEntry(ballot);
         if (lower != null) {
             checkFollows(lower, Map.entry(ballot, state));
         }
         if (higher != null) {
             checkFollows(Map.entry(ballot, state), higher);
         }
-        byte[] known = configurations.putIfAbsent(state.configurationVersion(), state.configuration());
+        byte[] known = configurationByVersion.putIfAbsent(state.configurationVersion(), state.configuration());
         if (known != null && !Arrays.equals(known, state.configuration())) {
             violations.add(NAME, "two configurations of version " + state.configurationVersion());
         }
     }
 
     private void checkFollows(Map.Entry<Ballot, SystemState> lower, Map.Entry<Ballot, SystemState> higher) {
-        String broken = broken(lower.getValue(), higher.getValue());
+        String broken = lostItem(lower.getValue(), higher.getValue());
         if (broken != null) {
             violations.add(NAME, broken + " lost between " + lower.getKey() + " and " + higher.getKey());
         }
     }
 
-    private static String broken(SystemState before, SystemState after) {
+    private static String lostItem(SystemState before, SystemState after) {
         boolean all = before.appliedChanges().changes().stream()
                 .allMatch(change -> after.appliedChanges().recall(change) != Recall.NOT_APPLIED);
         if (!all) {
@@ -79,11 +79,13 @@
 
     /** The newest that is known as chosen. */
     SystemState newest() {
-        return chosen.isEmpty() ? SystemState.EMPTY : chosen.lastEntry().getValue();
+        return chosenByBallot.isEmpty()
+                ? SystemState.EMPTY
+                : chosenByBallot.lastEntry().getValue();
     }
 
     /** Whether a configuration is one that was chosen. */
     boolean isChosen(long version, byte[] json) {
-        return Arrays.equals(configurations.get(version), json);
+        return Arrays.equals(configurationByVersion.get(version), json);
     }
 }
--- a/simulation/src/main/java/burlarch/simulation/coordination/Doubles.java
+++ b/simulation/src/main/java/burlarch/simulation/coordination/ComponentOverrides.java
@@ -12,9 +12,9 @@
 import java.util.Collection;
 
 /** Parts of controllers and routers that a test may put others in place of; as they are, all is real. */
-public interface Doubles {
+public interface ComponentOverrides {
     /** Nothing is replaced. */
-    Doubles NONE = new Doubles() {};
+    ComponentOverrides NONE = new ComponentOverrides() {};
 
     /** Whether disks sync what they say that they synced. */
     default boolean honestDisks() {
--- a/simulation/src/main/java/burlarch/simulation/coordination/Bodies.java
+++ b/simulation/src/main/java/burlarch/simulation/coordination/ConfigurationBodies.java
@@ -5,7 +5,7 @@
 import java.util.stream.IntStream;
 
 /** What operators send. Each has a mark, so that no two are alike. */
-final class Bodies {
+final class ConfigurationBodies {
     private static final String ROUTE =
             """
             {"name":"route-%d","hostname":"h.example","path_prefix":"/%d/","route_type":"idempotent",
@@ -22,7 +22,7 @@
     /** How many kinds of broken configurations there are. */
     static final int BROKEN = 6;
 
-    private Bodies() {}
+    private ConfigurationBodies() {}
 
     static byte[] configuration(long version, String mark) {
         return WHOLE.formatted(version, route(1, mark)).getBytes(StandardCharsets.UTF_8);
--- a/simulation/src/main/java/burlarch/simulation/coordination/ControlCalls.java
+++ b/simulation/src/main/java/burlarch/simulation/coordination/ControlEndpoint.java
@@ -5,8 +5,8 @@
 import burlarch.controller.error.ErrorKind;
 import burlarch.simulation.NodeContext;
 import burlarch.simulation.Simulation;
-import burlarch.simulation.coordination.Calls.ControlAnswer;
-import burlarch.simulation.coordination.Calls.ControlRequest;
+import burlarch.simulation.coordination.CallMessages.ControlRequest;
+import burlarch.simulation.coordination.CallMessages.ControlResponse;
 import burlarch.transport.EventLoop;
 import java.util.HashSet;
 import java.util.Set;
@@ -16,7 +16,7 @@
 import java.util.function.Consumer;
 
 /** Answers calls of operators and instances as the control interface does. */
-final class ControlCalls {
+final class ControlEndpoint {
     private static final long CALL_NANOS = 930 * Simulation.MILLISECOND;
     private static final byte[] NOTHING = {};
     private static final int OK = 200;
@@ -37,7 +37,7 @@
         void onSuccess(ControlAction action);
     }
 
-    ControlCalls(
+    ControlEndpoint(
             NodeContext context,
             EventLoop loop,
             ControlService service,
@@ -60,7 +60,8 @@
         result.whenComplete((body, failure) -> {
             limit.cancel();
             int status = failure == null ? OK : status(failure);
-            context.send(from, new ControlAnswer(request.id(), status, body instanceof byte[] bytes ? bytes : NOTHING));
+            context.send(
+                    from, new ControlResponse(request.id(), status, body instanceof byte[] bytes ? bytes : NOTHING));
             if (failure == null) {
                 observer.onSuccess(request.action());
             }
--- a/simulation/src/main/java/burlarch/simulation/coordination/FleetTargets.java
+++ b/simulation/src/main/java/burlarch/simulation/coordination/ControllerSelectors.java
@@ -19,7 +19,7 @@
  * {@literal @}3       the third in use
  * </pre>
  */
-final class FleetTargets {
+final class ControllerSelectors {
     private static final String MARK = "@";
 
     private final CoordinationFleet fleet;
@@ -27,7 +27,7 @@
     private String leader;
     private String reader;
 
-    FleetTargets(CoordinationFleet fleet) {
+    ControllerSelectors(CoordinationFleet fleet) {
         this.fleet = fleet;
     }
 
--- a/simulation/src/main/java/burlarch/simulation/coordination/CoordinationScenario.java
+++ b/simulation/src/main/java/burlarch/simulation/coordination/CoordinationScenario.java
@@ -7,9 +7,9 @@
  * A fleet and its troubles, as text: a first line that begins with {@code fleet}, then steps of a scenario.
  * Plays the same each time.
  */
-public record CoordinationScenario(FleetPlan plan, List<String> troubles) {
+public record CoordinationScenario(FleetPlan plan, List<String> faultSteps) {
     public CoordinationScenario {
-        troubles = List.copyOf(troubles);
+        faultSteps = List.copyOf(faultSteps);
     }
 
     /** Reads what {@link #toString} wrote; comments and empty lines are passed over. */
@@ -30,12 +30,12 @@
         return new CoordinationScenario(plan, troubles);
     }
 
-    CoordinationScenario withTroubles(List<String> others) {
+    CoordinationScenario withFaultSteps(List<String> others) {
         return new CoordinationScenario(plan, others);
     }
 
     @Override
     public String toString() {
-        return plan + "\n" + String.join("\n", troubles) + "\n";
+        return plan + "\n" + String.join("\n", faultSteps) + "\n";
     }
 }
--- a/simulation/src/main/java/burlarch/simulation/coordination/Triggers.java
+++ b/simulation/src/main/java/burlarch/simulation/coordination/EventTriggers.java
@@ -6,7 +6,7 @@
 import java.util.Map;
 
 /** Steps of a scenario that wait for something to happen; each is taken once, at the next such event. */
-final class Triggers {
+final class EventTriggers {
     /** What a step may wait for. */
     enum Event {
         /** An operator sends a change. */
--- a/simulation/src/main/java/burlarch/simulation/coordination/TroubleKind.java
+++ b/simulation/src/main/java/burlarch/simulation/coordination/FaultKind.java
@@ -7,7 +7,7 @@
  * The kinds of trouble that the search draws, each named as the bench names its counterpart; those in
  * brackets are the search's own.
  */
-enum TroubleKind {
+enum FaultKind {
     CORE_CUT("core_cut", Loss.ONE, (t, at, d) -> t.cutController(at, d, t.anyCore())),
     CORE_CUT_ALL("core_cut all", Loss.ONE, (t, at, d) -> t.cut(at, d, t.anyCore(), "from", "others")),
     CORE_CUT_NEAR("core_cut near", Loss.ONE, (t, at, d) -> t.cutNear(at, d)),
@@ -162,14 +162,14 @@
 
     /** Adds a trouble's steps; times in seconds. */
     private interface Steps {
-        void add(TroubleSteps steps, double at, double length);
+        void add(FaultStepWriter steps, double at, double length);
     }
 
     private final String label;
     private final Loss loss;
     private final Steps steps;
 
-    TroubleKind(String label, Loss loss, Steps steps) {
+    FaultKind(String label, Loss loss, Steps steps) {
         this.label = label;
         this.loss = loss;
         this.steps = steps;
@@ -199,17 +199,17 @@
         return name().startsWith("CORE_CUT");
     }
 
-    void add(TroubleSteps to, double at, double length) {
+    void add(FaultStepWriter to, double at, double length) {
         steps.add(to, at, length);
     }
 
     /** Those that may come at any time. */
-    static List<TroubleKind> ordinary() {
+    static List<FaultKind> ordinary() {
         return Stream.of(values()).filter(kind -> !kind.isClosing()).toList();
     }
 
     /** Those that end a day. */
-    static List<TroubleKind> closing() {
-        return Stream.of(values()).filter(TroubleKind::isClosing).toList();
+    static List<FaultKind> closing() {
+        return Stream.of(values()).filter(FaultKind::isClosing).toList();
     }
 }
--- a/simulation/src/main/java/burlarch/simulation/coordination/Violations.java
+++ b/simulation/src/main/java/burlarch/simulation/coordination/ViolationLog.java
@@ -6,13 +6,13 @@
 import java.util.Locale;
 
 /** What was seen to break a rule; the rule's name comes first. */
-final class Violations {
+final class ViolationLog {
     private static final int MOST = 50;
 
     private final Simulation simulation;
     private final List<String> found = new ArrayList<>();
 
-    Violations(Simulation simulation) {
+    ViolationLog(Simulation simulation) {
         this.simulation = simulation;
     }
 
@@ -23,7 +23,7 @@
         }
     }
 
-    List<String> found() {
+    List<String> violations() {
         return List.copyOf(found);
     }
 
--- a/simulation/src/main/java/burlarch/simulation/disk/DiskOperation.java
+++ b/simulation/src/main/java/burlarch/simulation/disk/DiskOperation.java
@@ -3,20 +3,20 @@
 /** Something that was asked of a disk, and when it was under way. */
 sealed interface DiskOperation {
     /** When the disk took it up, in virtual time. */
-    long begin();
+    long beginNanos();
 
     /** When the caller got its answer. */
-    long end();
+    long endNanos();
 
-    record Create(long begin, long end, String name, int file) implements DiskOperation {}
+    record Create(long beginNanos, long endNanos, String name, int file) implements DiskOperation {}
 
-    record Remove(long begin, long end, String name) implements DiskOperation {}
+    record Remove(long beginNanos, long endNanos, String name) implements DiskOperation {}
 
-    record Write(long begin, long end, int file, int position, byte[] data) implements DiskOperation {}
+    record Write(long beginNanos, long endNanos, int file, int position, byte[] data) implements DiskOperation {}
 
-    record Truncate(long begin, long end, int file, int size) implements DiskOperation {}
+    record Truncate(long beginNanos, long endNanos, int file, int size) implements DiskOperation {}
 
-    record Force(long begin, long end, int file) implements DiskOperation {}
+    record SyncFile(long beginNanos, long endNanos, int file) implements DiskOperation {}
 
-    record SyncFolder(long begin, long end) implements DiskOperation {}
+    record SyncDirectory(long beginNanos, long endNanos) implements DiskOperation {}
 }
