--- a/simulation/src/main/java/burlarch/simulation/scenario/ScenarioVerbs.java
+++ b/simulation/src/main/java/burlarch/simulation/scenario/ScenarioStepHandler.java
@@ -4,7 +4,7 @@
 import java.util.function.Function;
 
 /** Steps that only one kind of simulation knows, or knows better. */
-public interface ScenarioVerbs {
+public interface ScenarioStepHandler {
     /**
      * Performs a step now.
      *
