--- a/controller/src/main/java/burlarch/controller/ControllerRuntime.java
+++ b/controller/src/main/java/burlarch/controller/ControllerRuntime.java
@@ -22,8 +22,8 @@
 import burlarch.controller.state.SystemState;
 import burlarch.coordination.membership.MemberChange;
 import burlarch.coordination.register.AcceptorSet;
-import burlarch.coordination.register.Ballot;
-import burlarch.coordination.register.Member;
+import burlarch.coordination.register.ProposalNumber;
+import burlarch.coordination.register.AcceptorMember;
 import burlarch.coordination.registry.InstanceRegistry;
 import burlarch.coordination.registry.RegistrySettings;
 import burlarch.coordination.rollout.RolloutSettings;
@@ -72,7 +72,7 @@
 
     /** Wires and starts all parts; to be called once, on the loop, before any connection is up. */
     public ControlService start(ControllerSettings settings, RegisterStorage storage, Environment world) {
-        Member own = new Member(storage.store().identity(), settings.ownAddress());
+        AcceptorMember own = new AcceptorMember(storage.store().identity(), settings.ownAddress());
         committed = new CommittedState(storage.initialView());
         peers = new ControllerPeers(loop, world.links(), own.address());
         LocalAcceptor acceptor = new LocalAcceptor(storage.store(), world.disk());
@@ -82,7 +82,7 @@
         InstanceRegistry registry =
                 new InstanceRegistry(RegistrySettings.forHeartbeat(settings.heartbeatNanos()), loop.nanoTime());
         RouterPublisher publisher = new RouterPublisher(loop, world.links().codec(), registry);
-        QuorumContactMonitor quorum = new QuorumContactMonitor(loop, committed, own.storage());
+        QuorumContactMonitor quorum = new QuorumContactMonitor(loop, committed, own.storageId());
         InstanceReplicator instances = new InstanceReplicator(loop, registry, peers, publisher, quorum);
         QuorumReadGate reads = new QuorumReadGate(loop, register, publisher);
         committed.addListener(publisher::onCommitted);
@@ -99,13 +99,13 @@
                 instances,
                 new PrefixCacheEventForwarder(loop, world.links().codec(), settings.ownAddress(), settings.zone()),
                 quorum));
-        peers.retainAcceptors(addresses(AcceptorSet.of(committed.members()).all()));
+        peers.retainAcceptors(addresses(AcceptorSet.of(committed.members()).votingMembers()));
         peers.addAddresses(settings.seeds());
         return new OperatorService(loop, register, publisher, instances, quorum, settings.toleratedLosses());
     }
 
-    private static List<String> addresses(List<Member> members) {
-        return members.stream().map(Member::address).toList();
+    private static List<String> addresses(List<AcceptorMember> members) {
+        return members.stream().map(AcceptorMember::address).toList();
     }
 
     private void startRollout(
@@ -150,7 +150,7 @@
     }
 
     /** Ballot of {@link #committedState()}. */
-    public Ballot committedProposalNumber() {
+    public ProposalNumber committedProposalNumber() {
         return committed.proposalNumber();
     }
 
@@ -160,7 +160,7 @@
     }
 
     /** The acceptors, as far as is known here. */
-    public List<Member> acceptors() {
+    public List<AcceptorMember> acceptors() {
         return committed.members();
     }
 }
--- a/controller/src/main/java/burlarch/controller/NodeMessageDispatcher.java
+++ b/controller/src/main/java/burlarch/controller/NodeMessageDispatcher.java
@@ -1,6 +1,6 @@
 package burlarch.controller;
 
-import burlarch.coordination.register.Ballot;
+import burlarch.coordination.register.ProposalNumber;
 import burlarch.coordination.register.RegisterValue;
 import burlarch.node.NodeRoles;
 import burlarch.transport.EventLoop;
@@ -88,20 +88,20 @@
 
     private void onDecided(PeerConnection connection, Committed decided) {
         if (decided.value() != null) {
-            handlers.committed().advance(decided.ballot(), decided.value(), false);
-        } else if (!adoptAccepted(decided.ballot())) {
-            loop.schedule(LOCAL_ACCEPT_DELAY_NANOS, () -> adoptOrFetch(connection, decided.ballot()));
+            handlers.committed().advance(decided.proposalNumber(), decided.value(), false);
+        } else if (!adoptAccepted(decided.proposalNumber())) {
+            loop.schedule(LOCAL_ACCEPT_DELAY_NANOS, () -> adoptOrFetch(connection, decided.proposalNumber()));
         }
     }
 
-    private void adoptOrFetch(PeerConnection connection, Ballot chosen) {
+    private void adoptOrFetch(PeerConnection connection, ProposalNumber chosen) {
         if (!adoptAccepted(chosen)) {
             connection.send(new NodeMessage.FetchCommitted());
         }
     }
 
     /** Takes the chosen value from the own acceptor; false where it isn't there and still needed. */
-    private boolean adoptAccepted(Ballot chosen) {
+    private boolean adoptAccepted(ProposalNumber chosen) {
         RegisterValue accepted = handlers.proposals().acceptedAt(chosen);
         handlers.committed().advance(chosen, accepted, false);
         return chosen.compareTo(handlers.committed().proposalNumber()) <= 0;
--- a/controller/src/main/java/burlarch/controller/api/OperatorService.java
+++ b/controller/src/main/java/burlarch/controller/api/OperatorService.java
@@ -141,7 +141,7 @@
     }
 
     private boolean tooFewAcceptors() {
-        return register.acceptors().all().size() < requiredAcceptors
+        return register.acceptors().votingMembers().size() < requiredAcceptors
                 && loop.nanoTime() - startedAtNanos < INITIAL_ACCEPTORS_TIMEOUT_NANOS;
     }
 
--- a/controller/src/main/java/burlarch/controller/distribution/PrefixCacheEventForwarder.java
+++ b/controller/src/main/java/burlarch/controller/distribution/PrefixCacheEventForwarder.java
@@ -1,6 +1,6 @@
 package burlarch.controller.distribution;
 
-import burlarch.coordination.ownership.ShardOwners;
+import burlarch.coordination.ownership.RendezvousAssignment;
 import burlarch.node.NodeRoles;
 import burlarch.transport.EventLoop;
 import burlarch.transport.FrameCodec;
@@ -119,7 +119,7 @@
         for (Map.Entry<PeerConnection, Long> one : relayCandidates.entrySet()) {
             PeerConnection link = one.getKey();
             boolean fits = link.peerHello().zone().equals(zone) && now - one.getValue() >= RELAY_ELIGIBLE_AFTER_NANOS;
-            double score = fits ? ShardOwners.unit(link.peerHello().nodeName(), ownAddress) : -1;
+            double score = fits ? RendezvousAssignment.score(link.peerHello().nodeName(), ownAddress) : -1;
             if (score > most) {
                 most = score;
                 best = link;
--- a/controller/src/main/java/burlarch/controller/ownership/LeaseManager.java
+++ b/controller/src/main/java/burlarch/controller/ownership/LeaseManager.java
@@ -7,7 +7,7 @@
 import burlarch.controller.state.SystemState;
 import burlarch.coordination.ownership.LeaseState;
 import burlarch.coordination.ownership.OwnershipLease;
-import burlarch.coordination.ownership.ShardOwners;
+import burlarch.coordination.ownership.RendezvousAssignment;
 import burlarch.transport.EventLoop;
 import java.util.List;
 import java.util.function.BooleanSupplier;
@@ -88,7 +88,7 @@
 
     /** An engine has seen a higher token. */
     public void onFenced() {
-        if (lease.state() == LeaseState.HOLDING || lease.state() == LeaseState.WAITING_OUT) {
+        if (lease.state() == LeaseState.OWNED || lease.state() == LeaseState.AWAITING_EXPIRY) {
             lease.release();
             updateRole();
         }
@@ -118,14 +118,14 @@
     private void requestIfDue() {
         boolean works = hasWork.getAsBoolean();
         switch (lease.state()) {
-            case FREE -> {
+            case UNCLAIMED -> {
                 boolean owner = isOwner(register.committedState());
                 if (owner ? works : isElected()) {
                     claim();
                 }
             }
-            case WAITING_OUT, HOLDING -> {
-                if (works && loop.nanoTime() - lease.confirmBy() >= 0) {
+            case AWAITING_EXPIRY, OWNED -> {
+                if (works && loop.nanoTime() - lease.confirmByNanos() >= 0) {
                     confirm();
                 }
             }
@@ -147,7 +147,7 @@
         if (known != null && holders.isAlive(known.holder(), loop.nanoTime()) || isDiscovering()) {
             return false;
         }
-        return ownAddress.equals(new ShardOwners(holders.candidates(), List.of(key)).ownerOf(key));
+        return ownAddress.equals(new RendezvousAssignment(holders.candidates(), List.of(key)).ownerOf(key));
     }
 
     private boolean isDiscovering() {
@@ -156,7 +156,7 @@
 
     private void claim() {
         requestPending = true;
-        lease.claim();
+        lease.beginClaim();
         long askedAt = loop.nanoTime();
         String[] former = new String[1];
         register.change(state -> {
@@ -167,7 +167,7 @@
                 .whenComplete((state, failure) -> {
                     requestPending = false;
                     if (failure != null) {
-                        lease.claimFailed();
+                        lease.onClaimFailed();
                         return;
                     }
                     onClaimed(state.owners().get(key), former[0], askedAt);
@@ -177,15 +177,15 @@
     private void onClaimed(Lease taken, String former, long askedAt) {
         long now = loop.nanoTime();
         if (taken == null || !taken.holder().equals(holderName)) {
-            lease.claimFailed();
+            lease.onClaimFailed();
             return;
         }
         if (taken.token() != ownerToken) {
             ownerToken = taken.token();
-            ownerSinceNanos = former == null ? now - lease.waitNanos() : now;
+            ownerSinceNanos = former == null ? now - lease.takeoverWaitNanos() : now;
         }
-        boolean waitedOut = now - ownerSinceNanos >= lease.waitNanos();
-        lease.claimTaken(taken.token(), waitedOut ? null : "another", askedAt, now);
+        boolean waitedOut = now - ownerSinceNanos >= lease.takeoverWaitNanos();
+        lease.onClaimAccepted(taken.token(), waitedOut ? null : "another", askedAt, now);
         Logger.info("{} owned under token {}", key, taken.token());
         updateRole();
     }
@@ -198,7 +198,7 @@
             if (failure == null) {
                 Lease shown = state.owners().get(key);
                 if (shown != null) {
-                    lease.registerShows(shown.holder(), shown.token(), askedAt);
+                    lease.onRegisterRead(shown.holder(), shown.token(), askedAt);
                 }
             }
             updateRole();
--- a/controller/src/main/java/burlarch/controller/peers/ControllerPeers.java
+++ b/controller/src/main/java/burlarch/controller/peers/ControllerPeers.java
@@ -1,7 +1,7 @@
 package burlarch.controller.peers;
 
-import burlarch.coordination.register.AcceptorSetPlan.Candidate;
-import burlarch.coordination.register.Member;
+import burlarch.coordination.register.AcceptorSetPlanner.Candidate;
+import burlarch.coordination.register.AcceptorMember;
 import burlarch.settings.Addresses;
 import burlarch.transport.EventLoop;
 import burlarch.transport.NodeMessage;
@@ -182,7 +182,7 @@
         peers.forEach((address, peer) -> {
             if (!peer.storageId.isEmpty() || peer.connection == null) {
                 candidates.add(new Candidate(
-                        new Member(peer.storageId, address), peer.connection != null, peer.changedAtNanos));
+                        new AcceptorMember(peer.storageId, address), peer.connection != null, peer.changedAtNanos));
             }
         });
         return candidates;
--- a/controller/src/main/java/burlarch/controller/register/AcceptorSetReconciler.java
+++ b/controller/src/main/java/burlarch/controller/register/AcceptorSetReconciler.java
@@ -1,12 +1,12 @@
 package burlarch.controller.register;
 
 import burlarch.controller.peers.ControllerPeers;
-import burlarch.coordination.register.AcceptorReach;
+import burlarch.coordination.register.AcceptorReachability;
 import burlarch.coordination.register.AcceptorSetChange;
-import burlarch.coordination.register.AcceptorSetPlan;
-import burlarch.coordination.register.AcceptorSetPlan.Candidate;
-import burlarch.coordination.register.Ballot;
-import burlarch.coordination.register.Member;
+import burlarch.coordination.register.AcceptorSetPlanner;
+import burlarch.coordination.register.AcceptorSetPlanner.Candidate;
+import burlarch.coordination.register.ProposalNumber;
+import burlarch.coordination.register.AcceptorMember;
 import burlarch.transport.EventLoop;
 import java.util.ArrayList;
 import java.util.List;
@@ -27,12 +27,12 @@
     private final CommittedState committed;
     private final RegisterClient register;
     private final ControllerPeers peers;
-    private final Member own;
+    private final AcceptorMember own;
     private final long startedNanos;
-    private final AcceptorSetPlan planner;
+    private final AcceptorSetPlanner planner;
     private final QuorumReachabilityReporter reachability;
-    /** The newest ballot known at the last check; {@link Ballot#ZERO} until one was known. */
-    private Ballot lastSeenProposalNumber = Ballot.ZERO;
+    /** The newest ballot known at the last check; {@link ProposalNumber#ZERO} until one was known. */
+    private ProposalNumber lastSeenProposalNumber = ProposalNumber.ZERO;
 
     private boolean unfinishedWritePossible;
     private int connectedControllers;
@@ -45,7 +45,7 @@
             CommittedState decided,
             RegisterClient register,
             ControllerPeers peers,
-            Member own,
+            AcceptorMember own,
             int lossesBorne) {
         this.loop = loop;
         this.committed = decided;
@@ -53,7 +53,7 @@
         this.peers = peers;
         this.own = own;
         startedNanos = loop.nanoTime();
-        planner = new AcceptorSetPlan(REMOVE_AFTER_NANOS, 2 * lossesBorne + 1);
+        planner = new AcceptorSetPlanner(REMOVE_AFTER_NANOS, 2 * lossesBorne + 1);
         reachability = new QuorumReachabilityReporter(startedNanos);
         loop.schedule(CHECK_PERIOD_NANOS, this::check);
     }
@@ -62,11 +62,11 @@
         loop.schedule(CHECK_PERIOD_NANOS, this::check);
         List<Candidate> candidates = candidates();
         long now = loop.nanoTime();
-        reachability.onObserved(AcceptorReach.of(register.acceptors(), candidates, now), now);
+        reachability.onObserved(AcceptorReachability.of(register.acceptors(), candidates, now), now);
         detectUnfinishedWrites();
-        Optional<List<Member>> next = proposing || register.acceptors().isChanging()
+        Optional<List<AcceptorMember>> next = proposing || register.acceptors().isJoint()
                 ? Optional.empty()
-                : planner.next(committed.members(), candidates, now);
+                : planner.nextMembers(committed.members(), candidates, now);
         boolean founded = committed.value() != null;
         if (founded && next.isEmpty() && !unfinishedWritePossible) {
             checksWaited = 0;
@@ -77,7 +77,7 @@
         }
     }
 
-    private void act(boolean founded, Optional<List<Member>> next) {
+    private void act(boolean founded, Optional<List<AcceptorMember>> next) {
         if (!founded) {
             writeInitialState();
         } else if (next.isPresent()) {
@@ -97,7 +97,7 @@
     private void detectUnfinishedWrites() {
         int up = peers.connectedAddresses().size();
         if (committed.proposalNumber().compareTo(lastSeenProposalNumber) > 0) {
-            unfinishedWritePossible = lastSeenProposalNumber.equals(Ballot.ZERO);
+            unfinishedWritePossible = lastSeenProposalNumber.equals(ProposalNumber.ZERO);
             lastSeenProposalNumber = committed.proposalNumber();
         }
         unfinishedWritePossible |= up < connectedControllers;
@@ -110,12 +110,12 @@
         register.writeInitialState().whenComplete((state, failure) -> proposing = false);
     }
 
-    private void changeMembers(List<Member> members, List<Member> next) {
+    private void changeMembers(List<AcceptorMember> members, List<AcceptorMember> next) {
         proposing = true;
         register.changeMembers(members, next).whenComplete((state, failure) -> {
             proposing = false;
             if (failure != null) {
-                planner.onFailed(members, next, loop.nanoTime());
+                planner.onChangeFailed(members, next, loop.nanoTime());
                 unfinishedWritePossible = true;
                 Logger.warn(
                         "acceptors stay as they are ({}): {}",
--- a/controller/src/main/java/burlarch/controller/register/CommittedState.java
+++ b/controller/src/main/java/burlarch/controller/register/CommittedState.java
@@ -3,9 +3,9 @@
 import burlarch.controller.state.SystemState;
 import burlarch.controller.state.SystemStateCodec;
 import burlarch.coordination.register.AcceptorSetChange;
-import burlarch.coordination.register.Ballot;
-import burlarch.coordination.register.Belief;
-import burlarch.coordination.register.Member;
+import burlarch.coordination.register.ProposalNumber;
+import burlarch.coordination.register.RegisterView;
+import burlarch.coordination.register.AcceptorMember;
 import burlarch.coordination.register.RegisterValue;
 import java.util.ArrayList;
 import java.util.List;
@@ -22,13 +22,13 @@
     }
 
     private final List<Listener> listeners = new ArrayList<>();
-    private Ballot proposalNumber = Ballot.ZERO;
+    private ProposalNumber proposalNumber = ProposalNumber.ZERO;
     private RegisterValue value;
     private SystemState state = SystemState.EMPTY;
-    private Belief registerView;
+    private RegisterView registerView;
 
     /** @param stored what this process's disk tells of the register: holds until a newer value is known */
-    public CommittedState(Belief stored) {
+    public CommittedState(RegisterView stored) {
         registerView = stored;
     }
 
@@ -42,24 +42,24 @@
      * @param ownProposal whether a proposal of this process chose it
      * @return whether it was newer
      */
-    public boolean advance(Ballot chosenBallot, RegisterValue chosen, boolean ownProposal) {
+    public boolean advance(ProposalNumber chosenBallot, RegisterValue chosen, boolean ownProposal) {
         if (chosen == null || chosenBallot.compareTo(proposalNumber) <= 0) {
             return false;
         }
         proposalNumber = chosenBallot;
         value = chosen;
         state = SystemStateCodec.decode(chosen.payload());
-        List<Member> before = registerView.members();
-        registerView = registerView.newer(Belief.of(chosenBallot, chosen));
+        List<AcceptorMember> before = registerView.members();
+        registerView = registerView.newerOf(RegisterView.of(chosenBallot, chosen));
         AcceptorSetChange change = AcceptorSetChange.between(before, registerView.members());
         if (!change.isEmpty()) {
-            Logger.info("acceptors: {}, version {}", change, chosenBallot.round());
+            Logger.info("acceptors: {}, version {}", change, chosenBallot.term());
         }
         listeners.forEach(listener -> listener.onCommitted(state, ownProposal));
         return true;
     }
 
-    public Ballot proposalNumber() {
+    public ProposalNumber proposalNumber() {
         return proposalNumber;
     }
 
@@ -73,12 +73,12 @@
     }
 
     /** What a proposal begins with. */
-    public Belief registerView() {
+    public RegisterView registerView() {
         return registerView;
     }
 
     /** The acceptors as far as is known here: until a value is known as chosen, those on the disk. */
-    public List<Member> members() {
+    public List<AcceptorMember> members() {
         return registerView.members();
     }
 }
--- a/controller/src/main/java/burlarch/controller/register/LocalAcceptor.java
+++ b/controller/src/main/java/burlarch/controller/register/LocalAcceptor.java
@@ -2,9 +2,9 @@
 
 import burlarch.coordination.register.Acceptor;
 import burlarch.coordination.register.AcceptorState;
-import burlarch.coordination.register.AcceptorStep;
-import burlarch.coordination.register.Ballot;
-import burlarch.coordination.register.Belief;
+import burlarch.coordination.register.AcceptorTransition;
+import burlarch.coordination.register.ProposalNumber;
+import burlarch.coordination.register.RegisterView;
 import burlarch.coordination.register.RegisterMessage;
 import burlarch.coordination.register.RegisterValue;
 import burlarch.storage.AcceptorStore;
@@ -41,7 +41,7 @@
      * The value that was accepted here at that ballot; null where the newest one has another. From any
      * thread. A ballot has one value only, so this is the chosen one where that ballot is known as chosen.
      */
-    public RegisterValue acceptedAt(Ballot ballot) {
+    public RegisterValue acceptedAt(ProposalNumber ballot) {
         AcceptorState state = durableState;
         return state.accepted().equals(ballot) ? state.value() : null;
     }
@@ -56,7 +56,7 @@
     }
 
     /** Lets the disk keep the acceptors of a chosen value; where it can't now, a later value tries again. */
-    public void storeAcceptorSet(Belief chosen) {
+    public void storeAcceptorSet(RegisterView chosen) {
         try {
             disk.execute(() -> saveAcceptorSet(chosen));
         } catch (RejectedExecutionException full) {
@@ -64,7 +64,7 @@
         }
     }
 
-    private void saveAcceptorSet(Belief chosen) {
+    private void saveAcceptorSet(RegisterView chosen) {
         try {
             StoredAcceptorSet.save(store, chosen);
         } catch (IOException e) {
@@ -73,24 +73,24 @@
     }
 
     private void process(RegisterMessage message, Consumer<RegisterMessage> reply) {
-        AcceptorStep step = null;
-        if (message instanceof RegisterMessage.Prepare prepare) {
+        AcceptorTransition step = null;
+        if (message instanceof RegisterMessage.PrepareRequest prepare) {
             step = acceptor.onPrepare(prepare);
-        } else if (message instanceof RegisterMessage.Accept accept) {
+        } else if (message instanceof RegisterMessage.AcceptRequest accept) {
             step = acceptor.onAccept(accept);
         }
         if (step != null && persist(step)) {
-            reply.accept(step.reply());
+            reply.accept(step.response());
         }
     }
 
-    private boolean persist(AcceptorStep step) {
+    private boolean persist(AcceptorTransition step) {
         if (!step.changed()) {
             return true;
         }
         try {
             store.save(step.state());
-            acceptor.adopt(step.state());
+            acceptor.onPersisted(step.state());
             durableState = step.state();
             if (failing) {
                 failing = false;
--- a/controller/src/main/java/burlarch/controller/register/ProposalExecutor.java
+++ b/controller/src/main/java/burlarch/controller/register/ProposalExecutor.java
@@ -1,9 +1,9 @@
 package burlarch.controller.register;
 
 import burlarch.controller.peers.ControllerPeers;
-import burlarch.coordination.register.Ballot;
-import burlarch.coordination.register.Belief;
-import burlarch.coordination.register.Output;
+import burlarch.coordination.register.ProposalNumber;
+import burlarch.coordination.register.RegisterView;
+import burlarch.coordination.register.ProposalOutput;
 import burlarch.coordination.register.Proposal;
 import burlarch.coordination.register.ProposalResult;
 import burlarch.coordination.register.RegisterChange;
@@ -36,7 +36,7 @@
     private final String ownAddress;
     private final String proposerName;
     private final RandomGenerator random;
-    private final Supplier<Belief> registerView;
+    private final Supplier<RegisterView> registerView;
     private final Deque<QueuedProposal> queue = new ArrayDeque<>();
     private Proposal proposal;
     private QueuedProposal running;
@@ -54,7 +54,7 @@
             String ownAddress,
             String proposerName,
             RandomGenerator random,
-            Supplier<Belief> belief) {
+            Supplier<RegisterView> belief) {
         this.loop = loop;
         this.peers = peers;
         this.acceptor = acceptor;
@@ -77,13 +77,13 @@
     }
 
     /** The value that the own acceptor holds of that ballot; null where it holds another. */
-    public RegisterValue acceptedAt(Ballot ballot) {
+    public RegisterValue acceptedAt(ProposalNumber ballot) {
         return acceptor.acceptedAt(ballot);
     }
 
     /** A message of the register from another controller. */
     public void onMessage(PeerConnection from, RegisterMessage message) {
-        if (message instanceof RegisterMessage.Prepare || message instanceof RegisterMessage.Accept) {
+        if (message instanceof RegisterMessage.PrepareRequest || message instanceof RegisterMessage.AcceptRequest) {
             acceptor.onRequest(message, reply -> from.send(new NodeMessage.RegisterProtocol(reply)));
         } else {
             onReply(proposal, message);
@@ -93,7 +93,7 @@
     /** Another controller is connected: what was sent to it before may be lost. */
     public void onPeerUp() {
         if (proposal != null) {
-            perform(proposal, proposal.onReachable(loop.nanoTime()));
+            perform(proposal, proposal.onAcceptorReachable(loop.nanoTime()));
         }
     }
 
@@ -119,7 +119,7 @@
 
     private void onReply(Proposal target, RegisterMessage message) {
         if (target != null && target == proposal) {
-            perform(target, target.onMessage(message, loop.nanoTime()));
+            perform(target, target.onResponse(message, loop.nanoTime()));
         }
     }
 
@@ -129,19 +129,19 @@
         }
     }
 
-    private void perform(Proposal target, List<Output> outputs) {
-        for (Output output : outputs) {
-            if (output instanceof Output.Send send) {
+    private void perform(Proposal target, List<ProposalOutput> outputs) {
+        for (ProposalOutput output : outputs) {
+            if (output instanceof ProposalOutput.Send send) {
                 send(target, send);
-            } else if (output instanceof Output.Timer timer) {
-                loop.schedule(Math.max(0, timer.at() - loop.nanoTime()), () -> onTimer(target));
-            } else if (output instanceof Output.Done done) {
+            } else if (output instanceof ProposalOutput.SetTimer timer) {
+                loop.schedule(Math.max(0, timer.atNanos() - loop.nanoTime()), () -> onTimer(target));
+            } else if (output instanceof ProposalOutput.Finished done) {
                 finish(target, done.result());
             }
         }
     }
 
-    private void send(Proposal target, Output.Send send) {
+    private void send(Proposal target, ProposalOutput.Send send) {
         if (send.member().address().equals(ownAddress)) {
             acceptor.onRequest(send.message(), reply -> loop.execute(() -> onReply(target, reply)));
         } else {
@@ -150,7 +150,7 @@
     }
 
     private void finish(Proposal target, ProposalResult result) {
-        highestTerm = Math.max(highestTerm, target.round());
+        highestTerm = Math.max(highestTerm, target.highestTerm());
         QueuedProposal ended = running;
         proposal = null;
         running = null;
--- a/controller/src/main/java/burlarch/controller/register/QuorumContactMonitor.java
+++ b/controller/src/main/java/burlarch/controller/register/QuorumContactMonitor.java
@@ -1,6 +1,6 @@
 package burlarch.controller.register;
 
-import burlarch.coordination.ownership.QuorumContact;
+import burlarch.coordination.ownership.QuorumContactTracker;
 import burlarch.coordination.register.AcceptorSet;
 import burlarch.transport.EventLoop;
 import burlarch.transport.PeerConnection;
@@ -13,7 +13,7 @@
 
     private final EventLoop loop;
     private final CommittedState committed;
-    private final QuorumContact contact;
+    private final QuorumContactTracker contact;
     private boolean inContact;
     private long changedAtNanos;
 
@@ -21,23 +21,23 @@
     public QuorumContactMonitor(EventLoop loop, CommittedState decided, String ownStorage) {
         this.loop = loop;
         this.committed = decided;
-        contact = new QuorumContact(ownStorage, CONTACT_TIMEOUT_NANOS);
+        contact = new QuorumContactTracker(ownStorage, CONTACT_TIMEOUT_NANOS);
         changedAtNanos = loop.nanoTime();
     }
 
     /** Another controller was heard. */
     public void onHeard(PeerConnection controller) {
-        contact.onHeard(controller.peerHello().storage(), loop.nanoTime());
+        contact.onHeardFrom(controller.peerHello().storage(), loop.nanoTime());
     }
 
     /** A connection to or from another controller is gone. */
     public void onDown(PeerConnection controller) {
-        contact.onLost(controller.peerHello().storage());
+        contact.onConnectionLost(controller.peerHello().storage());
     }
 
     /** Whether a quorum of the acceptors that are known here is in contact now. */
     public boolean hasContact() {
-        boolean holds = contact.holds(AcceptorSet.of(committed.members()), loop.nanoTime());
+        boolean holds = contact.hasQuorum(AcceptorSet.of(committed.members()), loop.nanoTime());
         if (holds != inContact) {
             inContact = holds;
             changedAtNanos = loop.nanoTime();
--- a/controller/src/main/java/burlarch/controller/register/QuorumReachabilityReporter.java
+++ b/controller/src/main/java/burlarch/controller/register/QuorumReachabilityReporter.java
@@ -1,6 +1,6 @@
 package burlarch.controller.register;
 
-import burlarch.coordination.register.AcceptorReach;
+import burlarch.coordination.register.AcceptorReachability;
 import org.tinylog.Logger;
 
 /** Tells operators, at a bounded rate, while too few acceptors can be reached. Lives on the loop. */
@@ -18,8 +18,8 @@
         lastReachableAtNanos = startedNanos;
     }
 
-    void onObserved(AcceptorReach reach, long nowNanos) {
-        if (reach.quorum()) {
+    void onObserved(AcceptorReachability reach, long nowNanos) {
+        if (reach.quorumReachable()) {
             lastReachableAtNanos = nowNanos;
             if (reported) {
                 reported = false;
@@ -37,15 +37,15 @@
         }
     }
 
-    private static void report(AcceptorReach reach) {
+    private static void report(AcceptorReachability reach) {
         if (reach.size() == 0) {
             Logger.error("no acceptor is known: no other controller was reached, and this disk names none");
             return;
         }
         Logger.error(
                 "no majority of acceptors, nothing can be changed: {} of {} can be reached; missing: {}",
-                reach.size() - reach.missing().size(),
+                reach.size() - reach.unreachable().size(),
                 reach.size(),
-                reach.missing());
+                reach.unreachable());
     }
 }
--- a/controller/src/main/java/burlarch/controller/register/RegisterClient.java
+++ b/controller/src/main/java/burlarch/controller/register/RegisterClient.java
@@ -8,8 +8,8 @@
 import burlarch.controller.state.SystemState;
 import burlarch.controller.state.SystemStateCodec;
 import burlarch.coordination.register.AcceptorSet;
-import burlarch.coordination.register.Decision;
-import burlarch.coordination.register.Member;
+import burlarch.coordination.register.ChangeDecision;
+import burlarch.coordination.register.AcceptorMember;
 import burlarch.coordination.register.ProposalResult;
 import burlarch.coordination.register.RegisterValue;
 import burlarch.transport.NodeMessage;
@@ -50,7 +50,7 @@
 
     /** The newest state, as a quorum has it. */
     public CompletableFuture<SystemState> read() {
-        return proposer.propose(current -> Decision.keep(), PROPOSAL_TIMEOUT_NANOS)
+        return proposer.propose(current -> ChangeDecision.keep(), PROPOSAL_TIMEOUT_NANOS)
                 .thenApply(this::stateOf);
     }
 
@@ -58,8 +58,8 @@
     public CompletableFuture<SystemState> writeInitialState() {
         return proposer.propose(
                         current -> current != null
-                                ? Decision.keep()
-                                : new Decision.Write(new RegisterValue(
+                                ? ChangeDecision.keep()
+                                : new ChangeDecision.Write(new RegisterValue(
                                         committed.members(), SystemStateCodec.encode(SystemState.EMPTY))),
                         PROPOSAL_TIMEOUT_NANOS)
                 .thenApply(this::stateOf);
@@ -70,19 +70,19 @@
      * changing set of acceptors among them.
      */
     public CompletableFuture<SystemState> seal() {
-        return proposer.propose(current -> Decision.seal(), PROPOSAL_TIMEOUT_NANOS)
+        return proposer.propose(current -> ChangeDecision.seal(), PROPOSAL_TIMEOUT_NANOS)
                 .thenApply(this::stateOf);
     }
 
     /** Changes the acceptors; the state stays. */
-    public CompletableFuture<SystemState> changeMembers(List<Member> from, List<Member> to) {
+    public CompletableFuture<SystemState> changeMembers(List<AcceptorMember> from, List<AcceptorMember> to) {
         return proposer.propose(
                         current -> {
                             boolean asExpected =
                                     current != null && current.members().equals(from);
                             return asExpected
-                                    ? new Decision.Write(new RegisterValue(to, current.payload()))
-                                    : Decision.keep();
+                                    ? new ChangeDecision.Write(new RegisterValue(to, current.payload()))
+                                    : ChangeDecision.keep();
                         },
                         PROPOSAL_TIMEOUT_NANOS)
                 .thenApply(this::stateOf);
@@ -99,8 +99,8 @@
 
     private void learnChosen(ProposalResult result) {
         if (result instanceof ProposalResult.Chosen chosen
-                && committed.advance(chosen.ballot(), chosen.value(), true)) {
-            peers.sendAll(NodeMessage.Committed.withoutValue(chosen.ballot()));
+                && committed.advance(chosen.proposalNumber(), chosen.value(), true)) {
+            peers.sendAll(NodeMessage.Committed.withoutValue(chosen.proposalNumber()));
         }
     }
 
--- a/controller/src/main/java/burlarch/controller/register/RegisterStorage.java
+++ b/controller/src/main/java/burlarch/controller/register/RegisterStorage.java
@@ -2,8 +2,8 @@
 
 import static java.nio.charset.StandardCharsets.UTF_8;
 
-import burlarch.coordination.register.Belief;
-import burlarch.coordination.register.Member;
+import burlarch.coordination.register.RegisterView;
+import burlarch.coordination.register.AcceptorMember;
 import burlarch.storage.AcceptorStore;
 import burlarch.storage.Disk;
 import burlarch.storage.SegmentedLog;
@@ -18,7 +18,7 @@
  * @param initialView the newest that this disk tells of the register and its acceptors: the value accepted here,
  *     the acceptors of a chosen value, or those of the first start
  */
-public record RegisterStorage(AcceptorStore store, Belief initialView) {
+public record RegisterStorage(AcceptorStore store, RegisterView initialView) {
     /** Extra value of the store: acceptors of the first start, one a line. */
     private static final String FIRST_MEMBERS = "first-members";
 
@@ -46,8 +46,8 @@
             throws IOException {
         AcceptorStore store =
                 AcceptorStore.open(disk, () -> bootstrap ? firstIdentity(address) : newIdentity.get(), segmentBytes);
-        Belief first = Belief.firstStart(firstMembers(store, seeds, bootstrap));
-        Belief belief = first.newer(StoredAcceptorSet.load(store)).newer(Belief.of(store.state()));
+        RegisterView first = RegisterView.ofInitialAcceptors(firstMembers(store, seeds, bootstrap));
+        RegisterView belief = first.newerOf(StoredAcceptorSet.load(store)).newerOf(RegisterView.of(store.state()));
         return new RegisterStorage(store, belief);
     }
 
@@ -55,7 +55,7 @@
         return "first-" + address;
     }
 
-    private static List<Member> firstMembers(AcceptorStore store, List<String> seeds, boolean bootstrap)
+    private static List<AcceptorMember> firstMembers(AcceptorStore store, List<String> seeds, boolean bootstrap)
             throws IOException {
         byte[] kept = store.namedValue(FIRST_MEMBERS).orElse(null);
         if (kept == null && bootstrap) {
@@ -67,7 +67,7 @@
         }
         return new String(kept, UTF_8)
                 .lines()
-                .map(seed -> new Member(firstIdentity(seed), seed))
+                .map(seed -> new AcceptorMember(firstIdentity(seed), seed))
                 .toList();
     }
 }
--- a/controller/src/main/java/burlarch/controller/register/StoredAcceptorSet.java
+++ b/controller/src/main/java/burlarch/controller/register/StoredAcceptorSet.java
@@ -2,9 +2,9 @@
 
 import static java.nio.charset.StandardCharsets.UTF_8;
 
-import burlarch.coordination.register.Ballot;
-import burlarch.coordination.register.Belief;
-import burlarch.coordination.register.Member;
+import burlarch.coordination.register.ProposalNumber;
+import burlarch.coordination.register.RegisterView;
+import burlarch.coordination.register.AcceptorMember;
 import burlarch.storage.AcceptorStore;
 import java.io.IOException;
 import java.util.ArrayList;
@@ -24,20 +24,20 @@
 
     private StoredAcceptorSet() {}
 
-    /** What was saved last; {@link Belief#NONE} where nothing was. */
-    static Belief load(AcceptorStore store) {
+    /** What was saved last; {@link RegisterView#NONE} where nothing was. */
+    static RegisterView load(AcceptorStore store) {
         byte[] kept = store.namedValue(KEY).orElse(null);
         if (kept == null) {
-            return Belief.NONE;
+            return RegisterView.NONE;
         }
         List<String> lines = new String(kept, UTF_8).lines().toList();
         String[] ballot = lines.get(0).split(SEPARATOR, FIELDS_PER_LINE);
-        List<Member> members = new ArrayList<>();
+        List<AcceptorMember> members = new ArrayList<>();
         for (String line : lines.subList(1, lines.size())) {
             String[] member = line.split(SEPARATOR, FIELDS_PER_LINE);
-            members.add(new Member(member[0], member[1]));
+            members.add(new AcceptorMember(member[0], member[1]));
         }
-        return Belief.ofChosenSet(new Ballot(Long.parseLong(ballot[0]), ballot[1]), members);
+        return RegisterView.ofChosenAcceptors(new ProposalNumber(Long.parseLong(ballot[0]), ballot[1]), members);
     }
 
     /**
@@ -45,16 +45,16 @@
      *
      * @throws IOException if it may not have lasted; the next call tries again
      */
-    static void save(AcceptorStore store, Belief chosen) throws IOException {
+    static void save(AcceptorStore store, RegisterView chosen) throws IOException {
         if (load(store).members().equals(chosen.members())) {
             return;
         }
         StringBuilder text = new StringBuilder();
-        text.append(chosen.ballot().round())
+        text.append(chosen.proposalNumber().term())
                 .append(SEPARATOR)
-                .append(chosen.ballot().proposer());
-        for (Member member : chosen.members()) {
-            text.append('\n').append(member.storage()).append(SEPARATOR).append(member.address());
+                .append(chosen.proposalNumber().proposer());
+        for (AcceptorMember member : chosen.members()) {
+            text.append('\n').append(member.storageId()).append(SEPARATOR).append(member.address());
         }
         store.saveNamedValue(KEY, text.toString().getBytes(UTF_8));
     }
--- a/controller/src/main/java/burlarch/controller/state/StateChangeProposal.java
+++ b/controller/src/main/java/burlarch/controller/state/StateChangeProposal.java
@@ -5,8 +5,8 @@
 import burlarch.controller.state.ChangeResult.Changed;
 import burlarch.controller.state.ChangeResult.Unchanged;
 import burlarch.controller.state.ChangeResult.UnchangedReason;
-import burlarch.coordination.register.Decision;
-import burlarch.coordination.register.Member;
+import burlarch.coordination.register.ChangeDecision;
+import burlarch.coordination.register.AcceptorMember;
 import burlarch.coordination.register.ProposalResult;
 import burlarch.coordination.register.RegisterChange;
 import burlarch.coordination.register.RegisterValue;
@@ -30,15 +30,15 @@
     }
 
     @Override
-    public Decision decide(RegisterValue current) {
+    public ChangeDecision decide(RegisterValue current) {
         ChangeResult result = change.apply(stateOf(current));
         if (result instanceof Changed changed) {
             // The first value names the proposal's believed acceptors, whatever stands here.
-            List<Member> members = current == null ? List.of() : current.members();
-            return new Decision.Write(new RegisterValue(members, SystemStateCodec.encode(changed.state())));
+            List<AcceptorMember> members = current == null ? List.of() : current.members();
+            return new ChangeDecision.Write(new RegisterValue(members, SystemStateCodec.encode(changed.state())));
         }
         UnchangedReason answer = ((Unchanged) result).reason();
-        return answer.isRejection() ? Decision.seal() : Decision.keep();
+        return answer.isRejection() ? ChangeDecision.seal() : ChangeDecision.keep();
     }
 
     /**
@@ -52,7 +52,7 @@
             throw new ControlException(unclear ? ErrorKind.UNCLEAR : ErrorKind.NO_QUORUM);
         }
         SystemState state = stateOf(chosen.value());
-        if (chosen.decision() instanceof Decision.Write) {
+        if (chosen.decision() instanceof ChangeDecision.Write) {
             return state;
         }
         // Nothing was written, so the chosen value is the one that was decided on.
--- a/coordination/src/main/java/burlarch/coordination/ownership/LeaseState.java
+++ b/coordination/src/main/java/burlarch/coordination/ownership/LeaseState.java
@@ -3,28 +3,28 @@
 /** Where an {@link OwnershipLease} stands. */
 public enum LeaseState {
     /** Not held here and not asked for. */
-    FREE,
+    UNCLAIMED,
     /** A claim is on its way to the register. */
     CLAIMING,
     /** The claim is in the register; a former holder may still act. */
-    WAITING_OUT,
+    AWAITING_EXPIRY,
     /** Held here; see {@link OwnershipLease#mayAct}. */
-    HOLDING,
+    OWNED,
     /** Held here before and no longer; {@link OwnershipLease#release} makes it free for another claim. */
     LOST;
 
     boolean mayBecome(LeaseState next) {
         switch (this) {
-            case FREE:
+            case UNCLAIMED:
                 return next == CLAIMING;
             case CLAIMING:
-                return next == WAITING_OUT || next == HOLDING || next == FREE;
-            case WAITING_OUT:
-                return next == HOLDING || next == LOST || next == FREE;
-            case HOLDING:
-                return next == LOST || next == FREE;
+                return next == AWAITING_EXPIRY || next == OWNED || next == UNCLAIMED;
+            case AWAITING_EXPIRY:
+                return next == OWNED || next == LOST || next == UNCLAIMED;
+            case OWNED:
+                return next == LOST || next == UNCLAIMED;
             default:
-                return next == FREE;
+                return next == UNCLAIMED;
         }
     }
 }
--- a/coordination/src/main/java/burlarch/coordination/ownership/OwnershipLease.java
+++ b/coordination/src/main/java/burlarch/coordination/ownership/OwnershipLease.java
@@ -18,7 +18,7 @@
     private final String self;
     private final long leaseNanos;
     private final long actNanos;
-    private LeaseState state = LeaseState.FREE;
+    private LeaseState state = LeaseState.UNCLAIMED;
     private long token;
     private long claimedAt;
     private long confirmedAt;
@@ -34,13 +34,13 @@
     }
 
     /** How long a new holder waits from its claim, so that a whole lease lies between the acts of the two. */
-    public long waitNanos() {
+    public long takeoverWaitNanos() {
         return leaseNanos + actNanos;
     }
 
     /** The claim goes to the register now. Returns false where the duty isn't free here. */
-    public boolean claim() {
-        if (state != LeaseState.FREE) {
+    public boolean beginClaim() {
+        if (state != LeaseState.UNCLAIMED) {
             return false;
         }
         become(LeaseState.CLAIMING);
@@ -55,7 +55,7 @@
      * @param askedAt when this process sent the claim
      * @param now when the answer came
      */
-    public void claimTaken(long givenToken, String formerHolder, long askedAt, long now) {
+    public void onClaimAccepted(long givenToken, String formerHolder, long askedAt, long now) {
         if (state != LeaseState.CLAIMING) {
             return;
         }
@@ -63,13 +63,13 @@
         claimedAt = now;
         confirmedAt = askedAt;
         boolean nobodyToWaitFor = formerHolder == null || formerHolder.equals(self);
-        become(nobodyToWaitFor ? LeaseState.HOLDING : LeaseState.WAITING_OUT);
+        become(nobodyToWaitFor ? LeaseState.OWNED : LeaseState.AWAITING_EXPIRY);
     }
 
     /** The register did not take the claim, or didn't answer. */
-    public void claimFailed() {
+    public void onClaimFailed() {
         if (state == LeaseState.CLAIMING) {
-            become(LeaseState.FREE);
+            become(LeaseState.UNCLAIMED);
         }
     }
 
@@ -78,7 +78,7 @@
      *
      * @param askedAt when this process asked for that view
      */
-    public void registerShows(String holder, long shownToken, long askedAt) {
+    public void onRegisterRead(String holder, long shownToken, long askedAt) {
         if (!inPossession()) {
             return;
         }
@@ -93,25 +93,25 @@
     public void onTimer(long now) {
         if (inPossession() && now - confirmedAt >= leaseNanos) {
             become(LeaseState.LOST);
-        } else if (state == LeaseState.WAITING_OUT && now - claimedAt >= waitNanos()) {
-            become(LeaseState.HOLDING);
+        } else if (state == LeaseState.AWAITING_EXPIRY && now - claimedAt >= takeoverWaitNanos()) {
+            become(LeaseState.OWNED);
         }
     }
 
     /** Gives the duty up, or takes note that it was lost. */
     public void release() {
-        if (state != LeaseState.FREE) {
-            become(LeaseState.FREE);
+        if (state != LeaseState.UNCLAIMED) {
+            become(LeaseState.UNCLAIMED);
         }
     }
 
     /** Whether an order may be sent at this moment; to be asked before each one. */
     public boolean mayAct(long now) {
-        return state == LeaseState.HOLDING && now - confirmedAt < actNanos;
+        return state == LeaseState.OWNED && now - confirmedAt < actNanos;
     }
 
     /** When the register should be asked again so that the holder never has to pause. */
-    public long confirmBy() {
+    public long confirmByNanos() {
         return confirmedAt + actNanos / 2;
     }
 
@@ -125,7 +125,7 @@
     }
 
     private boolean inPossession() {
-        return state == LeaseState.WAITING_OUT || state == LeaseState.HOLDING;
+        return state == LeaseState.AWAITING_EXPIRY || state == LeaseState.OWNED;
     }
 
     private void become(LeaseState next) {
--- a/coordination/src/main/java/burlarch/coordination/ownership/QuorumContact.java
+++ b/coordination/src/main/java/burlarch/coordination/ownership/QuorumContactTracker.java
@@ -15,9 +15,9 @@
  * here says nothing. Safety rests on the register and on leases, never on this. Not safe for use by threads
  * at the same time.
  */
-public final class QuorumContact {
+public final class QuorumContactTracker {
     /** Acceptors beyond this number are forgotten, those not heard of for longest first. */
-    static final int MOST_ACCEPTORS = 2 * AcceptorSet.MOST_MEMBERS;
+    static final int MAX_ACCEPTORS = 2 * AcceptorSet.MAX_MEMBERS;
 
     private final String ownStorage;
     private final long lastsNanos;
@@ -30,27 +30,27 @@
      * @param ownStorage storage identity of this process's own acceptor, which it always reaches
      * @param lastsNanos how long an acceptor counts after it was heard
      */
-    public QuorumContact(String ownStorage, long lastsNanos) {
+    public QuorumContactTracker(String ownStorage, long lastsNanos) {
         this.ownStorage = ownStorage;
         this.lastsNanos = lastsNanos;
     }
 
     /** A message of the process came that has this storage identity. */
-    public void onHeard(String storage, long nowNanos) {
+    public void onHeardFrom(String storage, long nowNanos) {
         heardAt.remove(storage);
         heardAt.put(storage, nowNanos);
-        if (heardAt.size() > MOST_ACCEPTORS) {
+        if (heardAt.size() > MAX_ACCEPTORS) {
             heardAt.remove(heardAt.keySet().iterator().next());
         }
     }
 
     /** A connection with that process is down: what was heard over it may be old. */
-    public void onLost(String storage) {
+    public void onConnectionLost(String storage) {
         heardAt.remove(storage);
     }
 
     /** Whether a quorum of these acceptors is in contact now. */
-    public boolean holds(AcceptorSet acceptors, long nowNanos) {
+    public boolean hasQuorum(AcceptorSet acceptors, long nowNanos) {
         Set<String> inContact = new HashSet<>();
         inContact.add(ownStorage);
         heardAt.forEach((storage, heard) -> {
--- a/coordination/src/main/java/burlarch/coordination/ownership/ShardOwners.java
+++ b/coordination/src/main/java/burlarch/coordination/ownership/RendezvousAssignment.java
@@ -10,7 +10,7 @@
  * Who looks after which key, by rendezvous hashing: every member scores a hash of itself and the key, and the
  * highest owns it. All that know the same members agree; a member that goes moves only its own keys.
  */
-public final class ShardOwners {
+public final class RendezvousAssignment {
     private static final long FNV_OFFSET = 0xCBF29CE484222325L;
     private static final long FNV_PRIME = 0x100000001B3L;
 
@@ -22,7 +22,7 @@
      * @param members names of those that share the keys
      * @param keys the keys that {@link #keysOf} divides; {@link #ownerOf} answers for any other too
      */
-    public ShardOwners(Collection<String> members, Collection<String> keys) {
+    public RendezvousAssignment(Collection<String> members, Collection<String> keys) {
         this.members = List.copyOf(new TreeSet<>(members));
         this.keys = List.copyOf(keys);
         memberHashes = new long[this.members.size()];
@@ -32,14 +32,14 @@
     }
 
     /** Divides the keys among those of the members that have this role. */
-    public static ShardOwners ofRole(String role, Collection<MemberInfo> members, Collection<String> keys) {
+    public static RendezvousAssignment ofRole(String role, Collection<MemberInfo> members, Collection<String> keys) {
         List<String> names = new ArrayList<>();
         for (MemberInfo member : members) {
             if (member.role().equals(role)) {
                 names.add(member.name());
             }
         }
-        return new ShardOwners(names, keys);
+        return new RendezvousAssignment(names, keys);
     }
 
     /** Name of the key's owner, or null where there is no member. */
@@ -58,7 +58,7 @@
     }
 
     /** A number from 0 to 1 that all agree on for a member and a key. */
-    public static double unit(String member, String key) {
+    public static double score(String member, String key) {
         return (mix(hash(member) ^ hash(key)) >>> 11) * 0x1.0p-53;
     }
 
--- a/coordination/src/main/java/burlarch/coordination/register/Acceptor.java
+++ b/coordination/src/main/java/burlarch/coordination/register/Acceptor.java
@@ -3,7 +3,7 @@
 /**
  * One vote of the register, bound to one disk.
  *
- * <p>It only computes: the driver makes {@link AcceptorStep#state()} durable, then calls {@link #adopt} and
+ * <p>It only computes: the driver makes {@link AcceptorTransition#state()} durable, then calls {@link #onPersisted} and
  * sends the reply. Where the disk refuses, the driver drops the step, and the acceptor is as it was. Steps
  * are taken one at a time: the next message is shown only once the step before was adopted or dropped. A
  * ballot belongs to one proposal, so an equal one is a repeated message and is granted again.
@@ -23,7 +23,7 @@
         this.state = state;
     }
 
-    public String storage() {
+    public String storageId() {
         return storage;
     }
 
@@ -32,39 +32,39 @@
     }
 
     /** Phase one: promises to take no lower ballot, and tells what was accepted last. */
-    public AcceptorStep onPrepare(RegisterMessage.Prepare prepare) {
-        Ballot ballot = prepare.ballot();
-        if (ballot.compareTo(state.promised()) < 0) {
+    public AcceptorTransition onPrepare(RegisterMessage.PrepareRequest prepare) {
+        ProposalNumber ballot = prepare.proposalNumber();
+        if (ballot.compareTo(state.prepared()) < 0) {
             return unchanged(
-                    new RegisterMessage.Promise(prepare.call(), storage, false, state.promised(), Ballot.ZERO, null));
+                    new RegisterMessage.PrepareResponse(prepare.callId(), storage, false, state.prepared(), ProposalNumber.ZERO, null));
         }
         RegisterMessage reply =
-                new RegisterMessage.Promise(prepare.call(), storage, true, ballot, state.accepted(), state.value());
-        if (ballot.equals(state.promised())) {
+                new RegisterMessage.PrepareResponse(prepare.callId(), storage, true, ballot, state.accepted(), state.value());
+        if (ballot.equals(state.prepared())) {
             return unchanged(reply);
         }
-        return new AcceptorStep(new AcceptorState(ballot, state.accepted(), state.value()), true, reply);
+        return new AcceptorTransition(new AcceptorState(ballot, state.accepted(), state.value()), true, reply);
     }
 
     /** Phase two: takes the value unless a higher ballot was promised. */
-    public AcceptorStep onAccept(RegisterMessage.Accept accept) {
-        Ballot ballot = accept.ballot();
-        if (ballot.compareTo(state.promised()) < 0) {
-            return unchanged(new RegisterMessage.Accepted(accept.call(), storage, false, state.promised()));
+    public AcceptorTransition onAccept(RegisterMessage.AcceptRequest accept) {
+        ProposalNumber ballot = accept.proposalNumber();
+        if (ballot.compareTo(state.prepared()) < 0) {
+            return unchanged(new RegisterMessage.AcceptResponse(accept.callId(), storage, false, state.prepared()));
         }
-        RegisterMessage reply = new RegisterMessage.Accepted(accept.call(), storage, true, ballot);
+        RegisterMessage reply = new RegisterMessage.AcceptResponse(accept.callId(), storage, true, ballot);
         if (ballot.equals(state.accepted())) {
             return unchanged(reply);
         }
-        return new AcceptorStep(new AcceptorState(ballot, ballot, accept.value()), true, reply);
+        return new AcceptorTransition(new AcceptorState(ballot, ballot, accept.value()), true, reply);
     }
 
     /** To be called once the state of a step is durable, before its reply is sent. */
-    public void adopt(AcceptorState durable) {
+    public void onPersisted(AcceptorState durable) {
         state = durable;
     }
 
-    private AcceptorStep unchanged(RegisterMessage reply) {
-        return new AcceptorStep(state, false, reply);
+    private AcceptorTransition unchanged(RegisterMessage reply) {
+        return new AcceptorTransition(state, false, reply);
     }
 }
--- /dev/null
+++ b/coordination/src/main/java/burlarch/coordination/register/AcceptorMember.java
@@ -0,0 +1,9 @@
+package burlarch.coordination.register;
+
+/**
+ * One acceptor of the register.
+ *
+ * @param storageId identity of its disk; a disk that comes back empty has a new one and is another acceptor
+ * @param address where its process takes messages of other nodes, IP:PORT
+ */
+public record AcceptorMember(String storageId, String address) {}
--- a/coordination/src/main/java/burlarch/coordination/register/AcceptorReach.java
+++ b/coordination/src/main/java/burlarch/coordination/register/AcceptorReachability.java
@@ -1,6 +1,6 @@
 package burlarch.coordination.register;
 
-import burlarch.coordination.register.AcceptorSetPlan.Candidate;
+import burlarch.coordination.register.AcceptorSetPlanner.Candidate;
 import java.util.ArrayList;
 import java.util.HashSet;
 import java.util.List;
@@ -9,10 +9,10 @@
 /**
  * Which acceptors of a set can be reached from one controller.
  *
- * @param missing those that can't, and why
- * @param quorum whether the others are a quorum
+ * @param unreachable those that can't, and why
+ * @param quorumReachable whether the others are a quorum
  */
-public record AcceptorReach(int size, List<Missing> missing, boolean quorum) {
+public record AcceptorReachability(int size, List<UnreachableAcceptor> unreachable, boolean quorumReachable) {
     private static final long NANOS_A_SECOND = 1_000_000_000L;
 
     /** Why an acceptor can't be reached. */
@@ -22,41 +22,41 @@
         DISK_REPLACED
     }
 
-    /** An acceptor that can't be reached; {@code forNanos} how long by now, 0 where that isn't known. */
-    public record Missing(Member member, Reason reason, long forNanos) {
+    /** An acceptor that can't be reached; {@code unreachableNanos} how long by now, 0 where that isn't known. */
+    public record UnreachableAcceptor(AcceptorMember member, Reason reason, long unreachableNanos) {
         @Override
         public String toString() {
             String text = AcceptorSetChange.text(member);
             return switch (reason) {
                 case NEVER_REACHED -> text + " was not reached yet";
-                case OUT_OF_REACH -> text + " is out of reach for " + forNanos / NANOS_A_SECOND + " s";
+                case OUT_OF_REACH -> text + " is out of reach for " + unreachableNanos / NANOS_A_SECOND + " s";
                 case DISK_REPLACED -> text + " came back without that disk";
             };
         }
     }
 
     /** Judges by the controllers that are known, the own one among them. */
-    public static AcceptorReach of(AcceptorSet set, List<Candidate> candidates, long nowNanos) {
+    public static AcceptorReachability of(AcceptorSet set, List<Candidate> candidates, long nowNanos) {
         Set<String> reached = new HashSet<>();
-        List<Missing> missing = new ArrayList<>();
-        for (Member member : set.all()) {
+        List<UnreachableAcceptor> missing = new ArrayList<>();
+        for (AcceptorMember member : set.votingMembers()) {
             Candidate candidate = at(member.address(), candidates);
-            boolean up = candidate != null && candidate.up();
-            if (up && candidate.member().storage().equals(member.storage())) {
-                reached.add(member.storage());
+            boolean up = candidate != null && candidate.reachable();
+            if (up && candidate.member().storageId().equals(member.storageId())) {
+                reached.add(member.storageId());
             } else if (up) {
-                missing.add(new Missing(member, Reason.DISK_REPLACED, 0));
+                missing.add(new UnreachableAcceptor(member, Reason.DISK_REPLACED, 0));
             } else {
                 missing.add(away(member, candidate, nowNanos));
             }
         }
-        return new AcceptorReach(set.all().size(), missing, set.hasQuorum(reached));
+        return new AcceptorReachability(set.votingMembers().size(), missing, set.hasQuorum(reached));
     }
 
-    private static Missing away(Member member, Candidate candidate, long nowNanos) {
+    private static UnreachableAcceptor away(AcceptorMember member, Candidate candidate, long nowNanos) {
         return candidate == null
-                ? new Missing(member, Reason.NEVER_REACHED, 0)
-                : new Missing(member, Reason.OUT_OF_REACH, nowNanos - candidate.sinceNanos());
+                ? new UnreachableAcceptor(member, Reason.NEVER_REACHED, 0)
+                : new UnreachableAcceptor(member, Reason.OUT_OF_REACH, nowNanos - candidate.sinceNanos());
     }
 
     private static Candidate at(String address, List<Candidate> candidates) {
--- a/coordination/src/main/java/burlarch/coordination/register/AcceptorSet.java
+++ b/coordination/src/main/java/burlarch/coordination/register/AcceptorSet.java
@@ -15,27 +15,27 @@
  */
 public final class AcceptorSet {
     /** The most acceptors that one list may name. */
-    public static final int MOST_MEMBERS = 64;
+    public static final int MAX_MEMBERS = 64;
 
     private static final String JOINS = "+";
     private static final String LEAVES = "-";
 
-    private final List<Member> before = new ArrayList<>();
-    private final List<Member> after = new ArrayList<>();
-    private final List<Member> all = new ArrayList<>();
+    private final List<AcceptorMember> before = new ArrayList<>();
+    private final List<AcceptorMember> after = new ArrayList<>();
+    private final List<AcceptorMember> all = new ArrayList<>();
     private final boolean changing;
 
-    private AcceptorSet(List<Member> members) {
-        if (members.size() > 2 * MOST_MEMBERS) {
+    private AcceptorSet(List<AcceptorMember> members) {
+        if (members.size() > 2 * MAX_MEMBERS) {
             throw new IllegalArgumentException("too many acceptors");
         }
         boolean marked = false;
         Set<String> seen = new HashSet<>();
-        for (Member member : members) {
-            boolean joins = member.storage().startsWith(JOINS);
-            boolean leaves = member.storage().startsWith(LEAVES);
-            Member plain = joins || leaves ? new Member(member.storage().substring(1), member.address()) : member;
-            if (plain.storage().isEmpty() || !seen.add(plain.storage())) {
+        for (AcceptorMember member : members) {
+            boolean joins = member.storageId().startsWith(JOINS);
+            boolean leaves = member.storageId().startsWith(LEAVES);
+            AcceptorMember plain = joins || leaves ? new AcceptorMember(member.storageId().substring(1), member.address()) : member;
+            if (plain.storageId().isEmpty() || !seen.add(plain.storageId())) {
                 throw new IllegalArgumentException("an acceptor without identity, or named twice");
             }
             all.add(plain);
@@ -51,46 +51,46 @@
     }
 
     /** Reads the members of a value. */
-    public static AcceptorSet of(List<Member> members) {
+    public static AcceptorSet of(List<AcceptorMember> members) {
         return new AcceptorSet(members);
     }
 
     /** Members of a value that leads from one settled set to another; addresses are those of {@code to}. */
-    static List<Member> change(List<Member> from, List<Member> to) {
-        if (to.isEmpty() || to.size() > MOST_MEMBERS || of(to).changing) {
+    static List<AcceptorMember> jointMembers(List<AcceptorMember> from, List<AcceptorMember> to) {
+        if (to.isEmpty() || to.size() > MAX_MEMBERS || of(to).changing) {
             throw new IllegalArgumentException("not a settled set of acceptors");
         }
-        List<Member> members = new ArrayList<>();
-        for (Member member : from) {
-            Member kept = find(to, member.storage());
-            members.add(kept != null ? kept : new Member(LEAVES + member.storage(), member.address()));
+        List<AcceptorMember> members = new ArrayList<>();
+        for (AcceptorMember member : from) {
+            AcceptorMember kept = find(to, member.storageId());
+            members.add(kept != null ? kept : new AcceptorMember(LEAVES + member.storageId(), member.address()));
         }
-        for (Member member : to) {
-            if (find(from, member.storage()) == null) {
-                members.add(new Member(JOINS + member.storage(), member.address()));
+        for (AcceptorMember member : to) {
+            if (find(from, member.storageId()) == null) {
+                members.add(new AcceptorMember(JOINS + member.storageId(), member.address()));
             }
         }
         return List.copyOf(members);
     }
 
     /** Whether two lists are in force at once. */
-    public boolean isChanging() {
+    public boolean isJoint() {
         return changing;
     }
 
     /** Everyone who has a vote, under plain identities. */
-    public List<Member> all() {
+    public List<AcceptorMember> votingMembers() {
         return List.copyOf(all);
     }
 
     /** The acceptors once the change is done; all of them in a settled set. */
-    public List<Member> settled() {
+    public List<AcceptorMember> newMembers() {
         return List.copyOf(after);
     }
 
     /** Those of another settled set that have no vote in this one. */
-    List<Member> joining(List<Member> next) {
-        return next.stream().filter(member -> !contains(member.storage())).toList();
+    List<AcceptorMember> joining(List<AcceptorMember> next) {
+        return next.stream().filter(member -> !contains(member.storageId())).toList();
     }
 
     boolean contains(String storage) {
@@ -103,31 +103,31 @@
     }
 
     /** Whether a list names the same disks as this settled set, at whatever addresses. */
-    boolean sameAcceptors(List<Member> members) {
+    boolean hasSameAcceptors(List<AcceptorMember> members) {
         if (changing || members.size() != all.size()) {
             return false;
         }
-        for (Member member : members) {
-            if (!contains(member.storage())) {
+        for (AcceptorMember member : members) {
+            if (!contains(member.storageId())) {
                 return false;
             }
         }
         return true;
     }
 
-    private static boolean hasMajority(List<Member> members, Set<String> storages) {
+    private static boolean hasMajority(List<AcceptorMember> members, Set<String> storages) {
         int count = 0;
-        for (Member member : members) {
-            if (storages.contains(member.storage())) {
+        for (AcceptorMember member : members) {
+            if (storages.contains(member.storageId())) {
                 count++;
             }
         }
         return 2 * count > members.size();
     }
 
-    private static Member find(List<Member> members, String storage) {
-        for (Member member : members) {
-            if (member.storage().equals(storage)) {
+    private static AcceptorMember find(List<AcceptorMember> members, String storage) {
+        for (AcceptorMember member : members) {
+            if (member.storageId().equals(storage)) {
                 return member;
             }
         }
--- a/coordination/src/main/java/burlarch/coordination/register/AcceptorSetChange.java
+++ b/coordination/src/main/java/burlarch/coordination/register/AcceptorSetChange.java
@@ -8,17 +8,17 @@
  *
  * @param size how many acceptors there are then
  */
-public record AcceptorSetChange(List<Member> added, List<Member> removed, int size) {
+public record AcceptorSetChange(List<AcceptorMember> added, List<AcceptorMember> removed, int size) {
     private static final int SHOWN_IDENTITY = 8;
 
     /** From one list of acceptors to another; both as in {@link RegisterValue#members()}. */
-    public static AcceptorSetChange between(List<Member> before, List<Member> after) {
+    public static AcceptorSetChange between(List<AcceptorMember> before, List<AcceptorMember> after) {
         AcceptorSet from = AcceptorSet.of(before);
         AcceptorSet to = AcceptorSet.of(after);
         return new AcceptorSetChange(
-                from.joining(to.settled()),
-                to.joining(from.settled()),
-                to.settled().size());
+                from.joining(to.newMembers()),
+                to.joining(from.newMembers()),
+                to.newMembers().size());
     }
 
     /** Whether any acceptor came or went. */
@@ -36,8 +36,8 @@
     }
 
     /** Address and the end of the disk's identity. */
-    static String text(Member member) {
-        String identity = member.storage();
+    static String text(AcceptorMember member) {
+        String identity = member.storageId();
         String end = identity.substring(Math.max(0, identity.length() - SHOWN_IDENTITY));
         return member.address() + " (disk ..." + end + ")";
     }
--- a/coordination/src/main/java/burlarch/coordination/register/AcceptorSetPlan.java
+++ b/coordination/src/main/java/burlarch/coordination/register/AcceptorSetPlanner.java
@@ -13,20 +13,20 @@
  *
  * <p>Not safe for use by several threads.
  */
-public final class AcceptorSetPlan {
+public final class AcceptorSetPlanner {
     /** Most acceptors. More would cost messages and bear no loss that is asked for. */
-    public static final int MOST_MEMBERS = 9;
+    public static final int MAX_MEMBERS = 9;
     /** A spare that could not be brought in is passed over for so long. */
-    static final long PASS_OVER_NANOS = 1_000_000_000L;
+    static final long FAILED_SPARE_EXCLUSION_NANOS = 1_000_000_000L;
 
     /**
      * A controller as its peers see it.
      *
      * @param member its acceptor
-     * @param up whether it can be reached now
+     * @param reachable whether it can be reached now
      * @param sinceNanos since when that holds
      */
-    public record Candidate(Member member, boolean up, long sinceNanos) {}
+    public record Candidate(AcceptorMember member, boolean reachable, long sinceNanos) {}
 
     private final long removeAfterNanos;
     private final int leastMembers;
@@ -37,16 +37,16 @@
      * @param removeAfterNanos how long a member is out of reach before a spare takes its place
      * @param leastMembers size below which no set is made smaller
      */
-    public AcceptorSetPlan(long removeAfterNanos, int leastMembers) {
+    public AcceptorSetPlanner(long removeAfterNanos, int leastMembers) {
         this.removeAfterNanos = removeAfterNanos;
         this.leastMembers = leastMembers;
     }
 
     /** The set to change to, or nothing where the present one is right. */
-    public Optional<List<Member>> next(List<Member> members, List<Candidate> candidates, long nowNanos) {
+    public Optional<List<AcceptorMember>> nextMembers(List<AcceptorMember> members, List<Candidate> candidates, long nowNanos) {
         forget(candidates, nowNanos);
-        List<Member> spares = spares(members, candidates);
-        List<Member> lost = lostMembers(members, candidates, nowNanos);
+        List<AcceptorMember> spares = spares(members, candidates);
+        List<AcceptorMember> lost = lostMembers(members, candidates, nowNanos);
         boolean odd = members.size() % 2 == 1;
         if (lost.isEmpty()) {
             return grown(members, spares, odd ? 2 : 1);
@@ -62,66 +62,66 @@
     }
 
     /** A change to this set was not done: whoever was to join may be the reason. */
-    public void onFailed(List<Member> members, List<Member> next, long nowNanos) {
-        for (Member joining : AcceptorSet.of(members).joining(next)) {
-            failedAt.put(joining.storage(), nowNanos);
+    public void onChangeFailed(List<AcceptorMember> members, List<AcceptorMember> next, long nowNanos) {
+        for (AcceptorMember joining : AcceptorSet.of(members).joining(next)) {
+            failedAt.put(joining.storageId(), nowNanos);
         }
     }
 
     private void forget(List<Candidate> candidates, long nowNanos) {
         failedAt.entrySet()
-                .removeIf(entry -> nowNanos - entry.getValue() >= PASS_OVER_NANOS
+                .removeIf(entry -> nowNanos - entry.getValue() >= FAILED_SPARE_EXCLUSION_NANOS
                         || candidates.stream()
-                                .noneMatch(one -> one.member().storage().equals(entry.getKey())));
+                                .noneMatch(one -> one.member().storageId().equals(entry.getKey())));
     }
 
-    private static Optional<List<Member>> grown(List<Member> members, List<Member> spares, int count) {
-        if (spares.size() < count || members.size() + count > MOST_MEMBERS) {
+    private static Optional<List<AcceptorMember>> grown(List<AcceptorMember> members, List<AcceptorMember> spares, int count) {
+        if (spares.size() < count || members.size() + count > MAX_MEMBERS) {
             return Optional.empty();
         }
-        List<Member> next = new ArrayList<>(members);
+        List<AcceptorMember> next = new ArrayList<>(members);
         next.addAll(spares.subList(0, count));
         return Optional.of(next);
     }
 
     /** Best by one at the same address: a disk that came back empty. */
-    private static List<Member> exchanged(List<Member> members, Member lost, List<Member> spares) {
-        Member successor = spares.stream()
+    private static List<AcceptorMember> exchanged(List<AcceptorMember> members, AcceptorMember lost, List<AcceptorMember> spares) {
+        AcceptorMember successor = spares.stream()
                 .filter(spare -> spare.address().equals(lost.address()))
                 .findFirst()
                 .orElse(spares.get(0));
-        List<Member> next = without(members, List.of(lost));
+        List<AcceptorMember> next = without(members, List.of(lost));
         next.add(successor);
         return next;
     }
 
-    private static boolean isMember(List<Member> members, Candidate candidate) {
+    private static boolean isMember(List<AcceptorMember> members, Candidate candidate) {
         return members.stream()
-                .anyMatch(member -> member.storage().equals(candidate.member().storage()));
+                .anyMatch(member -> member.storageId().equals(candidate.member().storageId()));
     }
 
-    private List<Member> spares(List<Member> members, List<Candidate> candidates) {
+    private List<AcceptorMember> spares(List<AcceptorMember> members, List<Candidate> candidates) {
         return candidates.stream()
-                .filter(Candidate::up)
+                .filter(Candidate::reachable)
                 .filter(candidate -> !isMember(members, candidate))
                 .map(Candidate::member)
-                .filter(member -> !failedAt.containsKey(member.storage()))
-                .sorted(Comparator.comparing(Member::address))
+                .filter(member -> !failedAt.containsKey(member.storageId()))
+                .sorted(Comparator.comparing(AcceptorMember::address))
                 .toList();
     }
 
     /** Those whose disk is gone first, then those that are long out of reach. */
-    private List<Member> lostMembers(List<Member> members, List<Candidate> candidates, long nowNanos) {
-        List<Member> lost = new ArrayList<>();
-        List<Member> away = new ArrayList<>();
-        for (Member member : members) {
+    private List<AcceptorMember> lostMembers(List<AcceptorMember> members, List<Candidate> candidates, long nowNanos) {
+        List<AcceptorMember> lost = new ArrayList<>();
+        List<AcceptorMember> away = new ArrayList<>();
+        for (AcceptorMember member : members) {
             for (Candidate candidate : candidates) {
                 if (!candidate.member().address().equals(member.address())) {
                     continue;
                 }
-                if (candidate.up() && !candidate.member().storage().equals(member.storage())) {
+                if (candidate.reachable() && !candidate.member().storageId().equals(member.storageId())) {
                     lost.add(member);
-                } else if (!candidate.up() && nowNanos - candidate.sinceNanos() >= removeAfterNanos) {
+                } else if (!candidate.reachable() && nowNanos - candidate.sinceNanos() >= removeAfterNanos) {
                     away.add(member);
                 }
             }
@@ -130,8 +130,8 @@
         return lost;
     }
 
-    private static List<Member> without(List<Member> members, List<Member> removed) {
-        List<Member> next = new ArrayList<>(members);
+    private static List<AcceptorMember> without(List<AcceptorMember> members, List<AcceptorMember> removed) {
+        List<AcceptorMember> next = new ArrayList<>(members);
         next.removeAll(removed);
         return next;
     }
--- a/coordination/src/main/java/burlarch/coordination/register/Decision.java
+++ b/coordination/src/main/java/burlarch/coordination/register/ChangeDecision.java
@@ -1,9 +1,9 @@
 package burlarch.coordination.register;
 
 /** What a change makes of the register's current value. */
-public sealed interface Decision {
+public sealed interface ChangeDecision {
     /** Write {@code next} in place of the current value. It may name another acceptor set. */
-    record Write(RegisterValue next) implements Decision {}
+    record Write(RegisterValue next) implements ChangeDecision {}
 
     /**
      * Leave the value as it is, and report it once it is certain to be chosen.
@@ -13,15 +13,15 @@
      *     that a later value might take; not for a read, nor for a change that is in the value, nor for one
      *     that no value after this one can take, such as one whose base is past
      */
-    record Keep(boolean sealing) implements Decision {}
+    record Keep(boolean sealing) implements ChangeDecision {}
 
     /** Reports the current value. */
-    static Decision keep() {
+    static ChangeDecision keep() {
         return new Keep(false);
     }
 
     /** Reports the current value and bars all that was proposed before. */
-    static Decision seal() {
+    static ChangeDecision seal() {
         return new Keep(true);
     }
 }
--- a/coordination/src/main/java/burlarch/coordination/register/Backoff.java
+++ b/coordination/src/main/java/burlarch/coordination/register/ConflictBackoff.java
@@ -3,14 +3,14 @@
 import java.util.random.RandomGenerator;
 
 /** Pauses between the ballots of proposers that get into each other's way: they double, with jitter. */
-final class Backoff {
+final class ConflictBackoff {
     private static final long FIRST_NANOS = 20_000_000L;
     private static final int MOST_DOUBLINGS = 5;
 
     private final RandomGenerator random;
     private int conflicts;
 
-    Backoff(RandomGenerator random) {
+    ConflictBackoff(RandomGenerator random) {
         this.random = random;
     }
 
--- a/coordination/src/main/java/burlarch/coordination/register/Member.java
+++ /dev/null
@@ -1,9 +0,0 @@
-package burlarch.coordination.register;
-
-/**
- * One acceptor of the register.
- *
- * @param storage identity of its disk; a disk that comes back empty has a new one and is another acceptor
- * @param address where its process takes messages of other nodes, IP:PORT
- */
-public record Member(String storage, String address) {}
--- a/coordination/src/main/java/burlarch/coordination/register/PromiseTally.java
+++ b/coordination/src/main/java/burlarch/coordination/register/PrepareTally.java
@@ -13,23 +13,23 @@
  * <p>The set whose quorum counts is the one that the newest value names; the believed set only until a value
  * was seen.
  */
-final class PromiseTally {
-    private final Map<String, Ballot> acceptedBy = new HashMap<>();
+final class PrepareTally {
+    private final Map<String, ProposalNumber> acceptedBy = new HashMap<>();
     private final boolean mayFound;
     private AcceptorSet set;
-    private Ballot highest;
+    private ProposalNumber highest;
     private RegisterValue value;
 
-    PromiseTally(Belief belief) {
-        mayFound = belief.mayFound();
+    PrepareTally(RegisterView belief) {
+        mayFound = belief.mayWriteFirstValue();
         set = AcceptorSet.of(belief.members());
         value = belief.value();
-        highest = value == null ? Ballot.ZERO : belief.ballot();
+        highest = value == null ? ProposalNumber.ZERO : belief.proposalNumber();
     }
 
     /** Counts a granted promise. */
-    void grant(RegisterMessage.Promise promise) {
-        acceptedBy.put(promise.storage(), promise.accepted());
+    void grant(RegisterMessage.PrepareResponse promise) {
+        acceptedBy.put(promise.storageId(), promise.accepted());
         if (promise.accepted().compareTo(highest) > 0) {
             highest = promise.accepted();
             value = promise.value();
@@ -41,7 +41,7 @@
         return set;
     }
 
-    Ballot highest() {
+    ProposalNumber highest() {
         return highest;
     }
 
@@ -64,19 +64,19 @@
     }
 
     /** Whether all these promised. */
-    boolean answeredAll(List<Member> members) {
-        return members.stream().allMatch(member -> answered(member.storage()));
+    boolean answeredAll(List<AcceptorMember> members) {
+        return members.stream().allMatch(member -> answered(member.storageId()));
     }
 
     /** Whether all these promised, and told that they hold the newest value. */
-    boolean heldByAll(List<Member> members) {
-        return members.stream().allMatch(member -> highest.equals(acceptedBy.get(member.storage())));
+    boolean heldByAll(List<AcceptorMember> members) {
+        return members.stream().allMatch(member -> highest.equals(acceptedBy.get(member.storageId())));
     }
 
     /** Whether the newest value is known to be chosen, as a quorum reported that very ballot. */
     boolean isConfirmed() {
         Set<String> holders = new HashSet<>();
-        for (Map.Entry<String, Ballot> entry : acceptedBy.entrySet()) {
+        for (Map.Entry<String, ProposalNumber> entry : acceptedBy.entrySet()) {
             if (entry.getValue().equals(highest)) {
                 holders.add(entry.getKey());
             }
--- a/coordination/src/main/java/burlarch/coordination/register/Proposal.java
+++ b/coordination/src/main/java/burlarch/coordination/register/Proposal.java
@@ -28,9 +28,9 @@
  * <li>Replies count by the identity of the disk, and only those of acceptors in the set. A disk that comes
  *     back empty has a new identity: what it forgot is never counted on.
  * <li>The first value names the acceptors of the first start, which are the same for all who know any. It is
- *     written only by a proposer that knows of no value: see {@link Belief#mayFound}. One that knows a value,
+ *     written only by a proposer that knows of no value: see {@link RegisterView#mayWriteFirstValue}. One that knows a value,
  *     chosen or not, from its own disk or from a message, begins with that value in place of none ({@link
- *     PromiseTally}), and so asks the acceptors that it names. One that knows only the acceptors of a chosen
+ *     PrepareTally}), and so asks the acceptors that it names. One that knows only the acceptors of a chosen
  *     value begins with these, and waits for a promise that carries a value.
  * <li>A ballot belongs to one proposal: no two proposals have one name, also after a restart.
  * </ol>
@@ -49,7 +49,7 @@
  *
  * <p><b>What an end means.</b> A value that was accepted somewhere but not chosen may be found and completed
  * by any later ballot, until a higher one is chosen. So a change that is refused may have to be sealed, see
- * {@link Decision.Keep}; this proposal seals by itself once it has sent its own write.
+ * {@link ChangeDecision.Keep}; this proposal seals by itself once it has sent its own write.
  *
  * <p>Pure: time comes in nanoseconds, randomness from the outside. Not safe for use by several threads.
  */
@@ -67,22 +67,22 @@
     private final String name;
     private final RegisterChange change;
     private final long deadline;
-    private final Backoff backoff;
-    private final List<Output> outputs = new ArrayList<>();
-    private final Map<String, Member> contacted = new LinkedHashMap<>();
+    private final ConflictBackoff backoff;
+    private final List<ProposalOutput> outputs = new ArrayList<>();
+    private final Map<String, AcceptorMember> contacted = new LinkedHashMap<>();
     private final Set<String> acceptedBy = new HashSet<>();
 
     private Phase phase = Phase.IDLE;
-    private Belief belief;
+    private RegisterView belief;
     private long round;
     private long call;
-    private Ballot ballot;
-    private PromiseTally promises;
+    private ProposalNumber ballot;
+    private PrepareTally promises;
     private WritePlan plan;
     private RegisterMessage request;
-    private Ballot chosenBallot = Ballot.ZERO;
-    private Decision setChange;
-    private List<Member> joining = List.of();
+    private ProposalNumber chosenBallot = ProposalNumber.ZERO;
+    private ChangeDecision setChange;
+    private List<AcceptorMember> joining = List.of();
     private boolean changeSent;
     private boolean refused;
     private long wakeAt;
@@ -97,38 +97,38 @@
      * @param deadline when to give up, on the clock of {@code now}
      */
     public Proposal(
-            String name, long roundHint, Belief belief, RegisterChange change, long deadline, RandomGenerator random) {
+            String name, long roundHint, RegisterView belief, RegisterChange change, long deadline, RandomGenerator random) {
         this.name = name;
-        this.round = Math.max(roundHint, belief.ballot().round());
+        this.round = Math.max(roundHint, belief.proposalNumber().term());
         this.belief = belief;
         this.change = change;
         this.deadline = deadline;
-        this.backoff = new Backoff(random);
+        this.backoff = new ConflictBackoff(random);
         this.call = random.nextLong() >>> 1;
     }
 
     /** Begins; to be called once. */
-    public List<Output> start(long now) {
-        outputs.add(new Output.Timer(deadline));
+    public List<ProposalOutput> start(long now) {
+        outputs.add(new ProposalOutput.SetTimer(deadline));
         prepare(now);
         return take();
     }
 
     /** Takes a reply; those to other proposals, late and repeated ones do no harm. */
-    public List<Output> onMessage(RegisterMessage message, long now) {
+    public List<ProposalOutput> onResponse(RegisterMessage message, long now) {
         if (phase == Phase.IDLE || expires(now)) {
             return take();
         }
-        if (message instanceof RegisterMessage.Promise promise) {
+        if (message instanceof RegisterMessage.PrepareResponse promise) {
             onPromise(promise, now);
-        } else if (message instanceof RegisterMessage.Accepted accepted) {
+        } else if (message instanceof RegisterMessage.AcceptResponse accepted) {
             onAccepted(accepted, now);
         }
         return take();
     }
 
     /** To be called at the times asked for; calls at other times do no harm. */
-    public List<Output> onTimer(long now) {
+    public List<ProposalOutput> onTimer(long now) {
         if (phase == Phase.IDLE || expires(now) || now - wakeAt < 0) {
             return take();
         }
@@ -144,7 +144,7 @@
      * An acceptor that was out of reach may be reached again: those that have not answered yet are asked at
      * once instead of at the next turn. Repeated messages do no harm.
      */
-    public List<Output> onReachable(long now) {
+    public List<ProposalOutput> onAcceptorReachable(long now) {
         boolean asking = phase == Phase.PREPARING || phase == Phase.ACCEPTING;
         if (asking && !expires(now) && !refused) {
             resendNanos = FIRST_RESEND_NANOS / 2;
@@ -154,15 +154,15 @@
     }
 
     /** The highest round met: a hint for the next proposal. */
-    public long round() {
+    public long highestTerm() {
         return round;
     }
 
     private void prepare(long now) {
         phase = Phase.PREPARING;
-        ballot = new Ballot(++round, name);
-        promises = new PromiseTally(belief);
-        begin(new RegisterMessage.Prepare(++call, ballot), promises.set(), now);
+        ballot = new ProposalNumber(++round, name);
+        promises = new PrepareTally(belief);
+        begin(new RegisterMessage.PrepareRequest(++call, ballot), promises.set(), now);
     }
 
     private void accept(WritePlan next, long now) {
@@ -170,49 +170,49 @@
         plan = next;
         changeSent |= next.carriesChange();
         acceptedBy.clear();
-        begin(new RegisterMessage.Accept(++call, ballot, next.value()), writtenSet(), now);
+        begin(new RegisterMessage.AcceptRequest(++call, ballot, next.value()), writtenSet(), now);
     }
 
     private void begin(RegisterMessage message, AcceptorSet set, long now) {
         request = message;
         refused = false;
         contacted.clear();
-        contact(set.all());
+        contact(set.votingMembers());
         resendNanos = FIRST_RESEND_NANOS;
         wake(now + resendNanos);
     }
 
-    private void contact(List<Member> members) {
-        for (Member member : members) {
-            if (contacted.putIfAbsent(member.storage(), member) == null) {
-                outputs.add(new Output.Send(member, request));
+    private void contact(List<AcceptorMember> members) {
+        for (AcceptorMember member : members) {
+            if (contacted.putIfAbsent(member.storageId(), member) == null) {
+                outputs.add(new ProposalOutput.Send(member, request));
             }
         }
     }
 
     private void resend(long now) {
-        for (Member member : contacted.values()) {
+        for (AcceptorMember member : contacted.values()) {
             boolean answered = phase == Phase.PREPARING
-                    ? promises.answered(member.storage())
-                    : acceptedBy.contains(member.storage());
+                    ? promises.answered(member.storageId())
+                    : acceptedBy.contains(member.storageId());
             if (!answered) {
-                outputs.add(new Output.Send(member, request));
+                outputs.add(new ProposalOutput.Send(member, request));
             }
         }
         resendNanos = Math.min(2 * resendNanos, LONGEST_RESEND_NANOS);
         wake(now + resendNanos);
     }
 
-    private void onPromise(RegisterMessage.Promise promise, long now) {
-        round = Math.max(round, promise.promised().round());
-        if (phase != Phase.PREPARING || !isExpected(promise.call(), promise.storage())) {
+    private void onPromise(RegisterMessage.PrepareResponse promise, long now) {
+        round = Math.max(round, promise.prepared().term());
+        if (phase != Phase.PREPARING || !isExpected(promise.callId(), promise.storageId())) {
             return;
         }
         if (!promise.granted()) {
             onRefusal(now);
-        } else if (promise.promised().equals(ballot)) {
+        } else if (promise.prepared().equals(ballot)) {
             promises.grant(promise);
-            contact(promises.set().all());
+            contact(promises.set().votingMembers());
             if (promises.isComplete()) {
                 onQuorumPromised(now);
             }
@@ -222,7 +222,7 @@
     /** May come several times in a ballot: a new set has to promise too before it is written. */
     private void onQuorumPromised(long now) {
         if (promises.value() != null) {
-            belief = Belief.of(promises.highest(), promises.value());
+            belief = RegisterView.of(promises.highest(), promises.value());
         }
         WritePlan next = plan();
         if (next.step() == WritePlan.Step.REPORT) {
@@ -232,16 +232,16 @@
         } else if (promises.cover(AcceptorSet.of(next.value().members()))) {
             accept(next, now);
         } else {
-            contact(AcceptorSet.of(next.value().members()).all());
+            contact(AcceptorSet.of(next.value().members()).votingMembers());
         }
     }
 
     /** Rule 4: those that join have to hold the value that the change is written on. */
     private void changeSet(WritePlan next, long now) {
         AcceptorSet changing = AcceptorSet.of(next.value().members());
-        joining = promises.set().joining(changing.settled());
+        joining = promises.set().joining(changing.newMembers());
         if (!promises.answeredAll(joining) || !promises.cover(changing)) {
-            contact(changing.all());
+            contact(changing.votingMembers());
         } else if (promises.heldByAll(joining)) {
             accept(next, now);
         } else {
@@ -263,15 +263,15 @@
         return WritePlan.on(current, ownChosen || promises.isConfirmed(), !changeSent, change);
     }
 
-    private void onAccepted(RegisterMessage.Accepted accepted, long now) {
-        round = Math.max(round, accepted.promised().round());
-        if (phase != Phase.ACCEPTING || !isExpected(accepted.call(), accepted.storage())) {
+    private void onAccepted(RegisterMessage.AcceptResponse accepted, long now) {
+        round = Math.max(round, accepted.prepared().term());
+        if (phase != Phase.ACCEPTING || !isExpected(accepted.callId(), accepted.storageId())) {
             return;
         }
         if (!accepted.granted()) {
             onRefusal(now);
-        } else if (accepted.promised().equals(ballot)) {
-            acceptedBy.add(accepted.storage());
+        } else if (accepted.prepared().equals(ballot)) {
+            acceptedBy.add(accepted.storageId());
             if (writtenSet().hasQuorum(acceptedBy) && isCopied()) {
                 onChosen(now);
             }
@@ -280,7 +280,7 @@
 
     private boolean isCopied() {
         return plan.step() != WritePlan.Step.COPY
-                || joining.stream().allMatch(member -> acceptedBy.contains(member.storage()));
+                || joining.stream().allMatch(member -> acceptedBy.contains(member.storageId()));
     }
 
     private boolean isExpected(long answeredCall, String storage) {
@@ -294,7 +294,7 @@
         }
         chosenBallot = ballot;
         setChange = plan.step() == WritePlan.Step.CHANGE_SET ? plan.decision() : null;
-        belief = Belief.of(ballot, plan.value());
+        belief = RegisterView.of(ballot, plan.value());
         prepare(now);
     }
 
@@ -315,7 +315,7 @@
 
     private void finish(ProposalResult result) {
         phase = Phase.DONE;
-        outputs.add(new Output.Done(result));
+        outputs.add(new ProposalOutput.Finished(result));
     }
 
     private AcceptorSet writtenSet() {
@@ -324,11 +324,11 @@
 
     private void wake(long at) {
         wakeAt = at;
-        outputs.add(new Output.Timer(at));
+        outputs.add(new ProposalOutput.SetTimer(at));
     }
 
-    private List<Output> take() {
-        List<Output> taken = List.copyOf(outputs);
+    private List<ProposalOutput> take() {
+        List<ProposalOutput> taken = List.copyOf(outputs);
         outputs.clear();
         return taken;
     }
--- a/coordination/src/main/java/burlarch/coordination/register/Output.java
+++ b/coordination/src/main/java/burlarch/coordination/register/ProposalOutput.java
@@ -1,13 +1,13 @@
 package burlarch.coordination.register;
 
 /** What a proposal asks its driver to do. */
-public sealed interface Output {
+public sealed interface ProposalOutput {
     /** Send a message; its loss is allowed. */
-    record Send(Member member, RegisterMessage message) implements Output {}
+    record Send(AcceptorMember member, RegisterMessage message) implements ProposalOutput {}
 
     /** Call {@link Proposal#onTimer} at this time, in nanoseconds of the driver's clock, or later. */
-    record Timer(long at) implements Output {}
+    record SetTimer(long atNanos) implements ProposalOutput {}
 
     /** The proposal has ended; comes once, as the last output. */
-    record Done(ProposalResult result) implements Output {}
+    record Finished(ProposalResult result) implements ProposalOutput {}
 }
--- a/coordination/src/main/java/burlarch/coordination/register/ProposalResult.java
+++ b/coordination/src/main/java/burlarch/coordination/register/ProposalResult.java
@@ -3,13 +3,13 @@
 /** How a proposal ended. */
 public sealed interface ProposalResult {
     /**
-     * {@code value} is chosen at {@code ballot}.
+     * {@code value} is chosen at {@code proposalNumber}.
      *
-     * @param ballot {@link Ballot#ZERO} where the register is still empty
+     * @param proposalNumber {@link ProposalNumber#ZERO} where the register is still empty
      * @param value the register's value, null where it is still empty
      * @param decision the one that led here
      */
-    record Chosen(Ballot ballot, RegisterValue value, Decision decision) implements ProposalResult {}
+    record Chosen(ProposalNumber proposalNumber, RegisterValue value, ChangeDecision decision) implements ProposalResult {}
 
     /** The deadline passed after the change was sent out: it may be chosen, now or later, or never. */
     record Unknown() implements ProposalResult {}
--- a/coordination/src/main/java/burlarch/coordination/register/RegisterChange.java
+++ b/coordination/src/main/java/burlarch/coordination/register/RegisterChange.java
@@ -13,5 +13,5 @@
      * @param current the newest value, with a settled acceptor set; null before the first one, whose members
      *     are then the believed set, whatever the written value names
      */
-    Decision decide(RegisterValue current);
+    ChangeDecision decide(RegisterValue current);
 }
--- a/coordination/src/main/java/burlarch/coordination/register/RegisterMessage.java
+++ b/coordination/src/main/java/burlarch/coordination/register/RegisterMessage.java
@@ -2,22 +2,22 @@
 
 /** What proposers and acceptors say to one another. */
 public sealed interface RegisterMessage {
-    /** Phase one. {@code call} pairs replies with requests and is unique within one proposer. */
-    record Prepare(long call, Ballot ballot) implements RegisterMessage {}
+    /** Phase one. {@code callId} pairs replies with requests and is unique within one proposer. */
+    record PrepareRequest(long callId, ProposalNumber proposalNumber) implements RegisterMessage {}
 
     /**
-     * Answer to {@link Prepare}.
+     * Answer to {@link PrepareRequest}.
      *
-     * @param storage identity of the acceptor's disk
-     * @param granted false where a higher ballot was promised; {@code promised} tells which
-     * @param accepted ballot of {@code value}; {@link Ballot#ZERO} and null where nothing was accepted yet
+     * @param storageId identity of the acceptor's disk
+     * @param granted false where a higher ballot was promised; {@code prepared} tells which
+     * @param accepted ballot of {@code value}; {@link ProposalNumber#ZERO} and null where nothing was accepted yet
      */
-    record Promise(long call, String storage, boolean granted, Ballot promised, Ballot accepted, RegisterValue value)
+    record PrepareResponse(long callId, String storageId, boolean granted, ProposalNumber prepared, ProposalNumber accepted, RegisterValue value)
             implements RegisterMessage {}
 
     /** Phase two. */
-    record Accept(long call, Ballot ballot, RegisterValue value) implements RegisterMessage {}
+    record AcceptRequest(long callId, ProposalNumber proposalNumber, RegisterValue value) implements RegisterMessage {}
 
-    /** Answer to {@link Accept}. */
-    record Accepted(long call, String storage, boolean granted, Ballot promised) implements RegisterMessage {}
+    /** Answer to {@link AcceptRequest}. */
+    record AcceptResponse(long callId, String storageId, boolean granted, ProposalNumber prepared) implements RegisterMessage {}
 }
--- a/coordination/src/main/java/burlarch/coordination/register/RegisterValue.java
+++ b/coordination/src/main/java/burlarch/coordination/register/RegisterValue.java
@@ -9,4 +9,4 @@
  *     {@link AcceptorSet}
  * @param payload opaque to the register
  */
-public record RegisterValue(List<Member> members, byte[] payload) {}
+public record RegisterValue(List<AcceptorMember> members, byte[] payload) {}
--- a/coordination/src/main/java/burlarch/coordination/register/WritePlan.java
+++ b/coordination/src/main/java/burlarch/coordination/register/WritePlan.java
@@ -9,7 +9,7 @@
  * @param decision of the change that this rests on; null where the change was not asked yet
  * @param step what the write leads to
  */
-record WritePlan(RegisterValue value, Decision decision, Step step) {
+record WritePlan(RegisterValue value, ChangeDecision decision, Step step) {
     enum Step {
         /** Nothing to write: the value read is the result. */
         REPORT,
@@ -25,7 +25,7 @@
 
     /** Whether the write brings the proposal's own change before an acceptor. */
     boolean carriesChange() {
-        return decision instanceof Decision.Write;
+        return decision instanceof ChangeDecision.Write;
     }
 
     /**
@@ -37,23 +37,23 @@
      */
     static WritePlan on(RegisterValue current, boolean chosen, boolean mayReport, RegisterChange change) {
         AcceptorSet set = AcceptorSet.of(current.members());
-        if (set.isChanging()) {
+        if (set.isJoint()) {
             return new WritePlan(chosen ? settled(current) : current, null, Step.COMPLETE);
         }
-        Decision decision = change.decide(current);
-        if (decision instanceof Decision.Write write) {
+        ChangeDecision decision = change.decide(current);
+        if (decision instanceof ChangeDecision.Write write) {
             return writing(current, set, write);
         }
-        boolean sealing = ((Decision.Keep) decision).sealing();
+        boolean sealing = ((ChangeDecision.Keep) decision).sealing();
         return chosen && mayReport && !sealing
                 ? new WritePlan(null, decision, Step.REPORT)
                 : new WritePlan(current, decision, Step.FINISH);
     }
 
     /** Plans on an empty register, whose first value names the acceptors of the first start. */
-    static WritePlan onEmpty(List<Member> first, RegisterChange change) {
-        Decision decision = change.decide(null);
-        if (decision instanceof Decision.Write write) {
+    static WritePlan onEmpty(List<AcceptorMember> first, RegisterChange change) {
+        ChangeDecision decision = change.decide(null);
+        if (decision instanceof ChangeDecision.Write write) {
             RegisterValue value = new RegisterValue(first, write.next().payload());
             return new WritePlan(value, decision, Step.FINISH);
         }
@@ -66,20 +66,20 @@
     }
 
     /** Plans the end of one's own change of the set, whose value is chosen and still the newest. */
-    static WritePlan settling(RegisterValue current, Decision decision) {
+    static WritePlan settling(RegisterValue current, ChangeDecision decision) {
         return new WritePlan(settled(current), decision, Step.FINISH);
     }
 
-    private static WritePlan writing(RegisterValue current, AcceptorSet set, Decision.Write write) {
+    private static WritePlan writing(RegisterValue current, AcceptorSet set, ChangeDecision.Write write) {
         RegisterValue next = write.next();
-        if (set.sameAcceptors(next.members())) {
+        if (set.hasSameAcceptors(next.members())) {
             return new WritePlan(next, write, Step.FINISH);
         }
-        RegisterValue both = new RegisterValue(AcceptorSet.change(current.members(), next.members()), next.payload());
+        RegisterValue both = new RegisterValue(AcceptorSet.jointMembers(current.members(), next.members()), next.payload());
         return new WritePlan(both, write, Step.CHANGE_SET);
     }
 
     private static RegisterValue settled(RegisterValue changing) {
-        return new RegisterValue(AcceptorSet.of(changing.members()).settled(), changing.payload());
+        return new RegisterValue(AcceptorSet.of(changing.members()).newMembers(), changing.payload());
     }
 }
--- a/router/src/main/java/burlarch/router/ControllerLinks.java
+++ b/router/src/main/java/burlarch/router/ControllerLinks.java
@@ -1,7 +1,7 @@
 package burlarch.router;
 
 import burlarch.configuration.DeltaMismatch;
-import burlarch.coordination.ownership.ShardOwners;
+import burlarch.coordination.ownership.RendezvousAssignment;
 import burlarch.coordination.registry.Instance;
 import burlarch.coordination.registry.MergedInstanceView;
 import burlarch.settings.Addresses;
@@ -127,7 +127,7 @@
         double most = -1;
         for (PeerConnection connection : routersSeen.keySet()) {
             double near = connection.peerHello().zone().equals(zone) ? 1 : 0;
-            double score = near + ShardOwners.unit(connection.peerHello().nodeName(), router);
+            double score = near + RendezvousAssignment.score(connection.peerHello().nodeName(), router);
             if (score > most) {
                 most = score;
                 best = connection;
--- a/router/src/main/java/burlarch/router/prefixcache/SourceAssignment.java
+++ b/router/src/main/java/burlarch/router/prefixcache/SourceAssignment.java
@@ -1,6 +1,6 @@
 package burlarch.router.prefixcache;
 
-import burlarch.coordination.ownership.ShardOwners;
+import burlarch.coordination.ownership.RendezvousAssignment;
 import java.util.Collection;
 import java.util.Set;
 import java.util.TreeSet;
@@ -48,13 +48,13 @@
      * the source could bear; the best of all is among them but for one case in thousands.
      */
     private boolean mayOwn(String source, int places) {
-        return 1 - ShardOwners.unit(self, source) < (double) followers(places) / routers;
+        return 1 - RendezvousAssignment.score(self, source) < (double) followers(places) / routers;
     }
 
     private boolean isFirst(String source) {
-        double own = ShardOwners.unit(self, source);
+        double own = RendezvousAssignment.score(self, source);
         for (String other : others) {
-            double score = ShardOwners.unit(other, source);
+            double score = RendezvousAssignment.score(other, source);
             if (score > own || score == own && other.compareTo(self) < 0) {
                 return false;
             }
--- a/simulation/src/main/java/burlarch/simulation/coordination/ControllerNode.java
+++ b/simulation/src/main/java/burlarch/simulation/coordination/ControllerNode.java
@@ -4,7 +4,7 @@
 import burlarch.controller.ControllerSettings;
 import burlarch.controller.register.RegisterStorage;
 import burlarch.controller.api.ControlService;
-import burlarch.coordination.register.Ballot;
+import burlarch.coordination.register.ProposalNumber;
 import burlarch.node.NodeRoles;
 import burlarch.simulation.NodeContext;
 import burlarch.simulation.SimulatedNode;
@@ -47,7 +47,7 @@
     private SimulatedMembership membership;
     private ControlEndpoint calls;
     private SimulatedEngineOrders engines;
-    private Ballot reportedBallot = Ballot.ZERO;
+    private ProposalNumber reportedBallot = ProposalNumber.ZERO;
     private long peerUpAt = -1;
     private boolean powerLost;
     private boolean ending;
@@ -230,7 +230,7 @@
     }
 
     /** Ballot of the newest value that this process knows as chosen. */
-    Ballot decidedBallot() {
+    ProposalNumber decidedBallot() {
         return reportedBallot;
     }
 
--- a/simulation/src/main/java/burlarch/simulation/coordination/FleetCheckers.java
+++ b/simulation/src/main/java/burlarch/simulation/coordination/FleetCheckers.java
@@ -1,7 +1,7 @@
 package burlarch.simulation.coordination;
 
 import burlarch.controller.state.SystemState;
-import burlarch.coordination.register.Ballot;
+import burlarch.coordination.register.ProposalNumber;
 import burlarch.simulation.Simulation;
 
 /** All rules of one simulated fleet. */
@@ -27,7 +27,7 @@
         instances = new InstanceChecker(simulation, violations, touch);
     }
 
-    void onChosen(String machine, Ballot ballot, SystemState state) {
+    void onChosen(String machine, ProposalNumber ballot, SystemState state) {
         chain.onChosen(machine, ballot, state);
         operators.checkNoneRejected(state);
     }
