--- a/storage/src/main/java/burlarch/storage/AcceptorRecordCodec.java
+++ b/storage/src/main/java/burlarch/storage/AcceptorRecordCodec.java
@@ -2,8 +2,8 @@
 
 import burlarch.coordination.register.AcceptorSet;
 import burlarch.coordination.register.AcceptorState;
-import burlarch.coordination.register.Ballot;
-import burlarch.coordination.register.Member;
+import burlarch.coordination.register.ProposalNumber;
+import burlarch.coordination.register.AcceptorMember;
 import burlarch.coordination.register.RegisterValue;
 import java.io.ByteArrayInputStream;
 import java.io.ByteArrayOutputStream;
@@ -39,7 +39,7 @@
     private static final int ACCEPTED = 3;
     private static final int NAMED_VALUE = 4;
     /** While a set of acceptors changes, a value names those before and those after. */
-    private static final int MAX_MEMBERS = 2 * AcceptorSet.MOST_MEMBERS;
+    private static final int MAX_MEMBERS = 2 * AcceptorSet.MAX_MEMBERS;
 
     private AcceptorRecordCodec() {}
 
@@ -67,7 +67,7 @@
         DataOutputStream out = new DataOutputStream(bytes);
         if (to.accepted().equals(from.accepted())) {
             out.writeByte(PROMISED);
-            writeBallot(out, to.promised());
+            writeBallot(out, to.prepared());
         } else {
             out.writeByte(ACCEPTED);
             writeState(out, to);
@@ -114,7 +114,7 @@
     }
 
     private static void writeState(DataOutputStream out, AcceptorState state) throws IOException {
-        writeBallot(out, state.promised());
+        writeBallot(out, state.prepared());
         writeBallot(out, state.accepted());
         out.writeBoolean(state.value() != null);
         if (state.value() != null) {
@@ -123,15 +123,15 @@
     }
 
     private static AcceptorState readState(DataInputStream in) throws IOException {
-        Ballot promised = readBallot(in);
-        Ballot accepted = readBallot(in);
+        ProposalNumber promised = readBallot(in);
+        ProposalNumber accepted = readBallot(in);
         return new AcceptorState(promised, accepted, in.readBoolean() ? readValue(in) : null);
     }
 
     private static void writeValue(DataOutputStream out, RegisterValue value) throws IOException {
         out.writeInt(value.members().size());
-        for (Member member : value.members()) {
-            out.writeUTF(member.storage());
+        for (AcceptorMember member : value.members()) {
+            out.writeUTF(member.storageId());
             out.writeUTF(member.address());
         }
         writeBytes(out, value.payload());
@@ -142,20 +142,20 @@
         if (count < 0 || count > MAX_MEMBERS) {
             throw new IOException("a value of " + count + " members");
         }
-        List<Member> members = new ArrayList<>(count);
+        List<AcceptorMember> members = new ArrayList<>(count);
         for (int i = 0; i < count; i++) {
-            members.add(new Member(in.readUTF(), in.readUTF()));
+            members.add(new AcceptorMember(in.readUTF(), in.readUTF()));
         }
         return new RegisterValue(List.copyOf(members), readBytes(in));
     }
 
-    private static void writeBallot(DataOutputStream out, Ballot ballot) throws IOException {
-        out.writeLong(ballot.round());
+    private static void writeBallot(DataOutputStream out, ProposalNumber ballot) throws IOException {
+        out.writeLong(ballot.term());
         out.writeUTF(ballot.proposer());
     }
 
-    private static Ballot readBallot(DataInputStream in) throws IOException {
-        return new Ballot(in.readLong(), in.readUTF());
+    private static ProposalNumber readBallot(DataInputStream in) throws IOException {
+        return new ProposalNumber(in.readLong(), in.readUTF());
     }
 
     private static void writeBytes(DataOutputStream out, byte[] bytes) throws IOException {
--- a/transport/src/main/java/burlarch/transport/FrameCodec.java
+++ b/transport/src/main/java/burlarch/transport/FrameCodec.java
@@ -1,6 +1,6 @@
 package burlarch.transport;
 
-import burlarch.coordination.register.Ballot;
+import burlarch.coordination.register.ProposalNumber;
 import burlarch.coordination.register.RegisterMessage;
 import burlarch.coordination.registry.InstanceState;
 import com.fasterxml.jackson.annotation.JsonSetter;
@@ -66,10 +66,10 @@
         add(12, NodeMessage.PrefixCacheEvents.class);
         add(13, NodeMessage.ConfigurationChange.class);
         add(14, NodeMessage.FetchConfiguration.class);
-        add(32, RegisterMessage.Prepare.class);
-        add(33, RegisterMessage.Promise.class);
-        add(34, RegisterMessage.Accept.class);
-        add(35, RegisterMessage.Accepted.class);
+        add(32, RegisterMessage.PrepareRequest.class);
+        add(33, RegisterMessage.PrepareResponse.class);
+        add(34, RegisterMessage.AcceptRequest.class);
+        add(35, RegisterMessage.AcceptResponse.class);
     }
 
     private void add(int number, Class<?> type) {
@@ -91,7 +91,7 @@
         mapper.configOverride(byte[].class).setSetterInfo(empty);
         mapper.configOverride(List.class).setSetterInfo(empty);
         JsonSetter.Value required = JsonSetter.Value.forValueNulls(Nulls.FAIL);
-        mapper.configOverride(Ballot.class).setSetterInfo(required);
+        mapper.configOverride(ProposalNumber.class).setSetterInfo(required);
         mapper.configOverride(InstanceState.class).setSetterInfo(required);
         return mapper;
     }
--- a/transport/src/main/java/burlarch/transport/MessageOrderValidator.java
+++ b/transport/src/main/java/burlarch/transport/MessageOrderValidator.java
@@ -1,6 +1,6 @@
 package burlarch.transport;
 
-import burlarch.coordination.register.Ballot;
+import burlarch.coordination.register.ProposalNumber;
 
 /**
  * Rejects messages that cannot follow the ones before them on the same connection.
@@ -18,7 +18,7 @@
     private long acknowledgedConfigurationVersion = Long.MIN_VALUE;
     private long instancesRevision = Long.MIN_VALUE;
     private long acknowledgedInstancesRevision = Long.MIN_VALUE;
-    private Ballot committedBallot = Ballot.ZERO;
+    private ProposalNumber committedBallot = ProposalNumber.ZERO;
 
     /**
      * Checks the next message after Hello, and remembers its number.
@@ -41,7 +41,7 @@
             acknowledgedInstancesRevision =
                     requireNotBelow("acknowledged revision", acknowledgedInstancesRevision, ack.revision());
         } else if (message instanceof NodeMessage.Committed committed) {
-            acceptBallot(committed.ballot());
+            acceptBallot(committed.proposalNumber());
         } else if (message instanceof NodeMessage.ControllerStatus status) {
             acceptBallot(status.decided());
         }
@@ -51,7 +51,7 @@
         configurationVersion = requireNotBelow("configuration", configurationVersion, version);
     }
 
-    private void acceptBallot(Ballot next) throws FrameException {
+    private void acceptBallot(ProposalNumber next) throws FrameException {
         if (next.compareTo(committedBallot) < 0) {
             throw new FrameException("late or repeated: ballot " + next + " after " + committedBallot);
         }
--- a/transport/src/main/java/burlarch/transport/NodeMessage.java
+++ b/transport/src/main/java/burlarch/transport/NodeMessage.java
@@ -1,6 +1,6 @@
 package burlarch.transport;
 
-import burlarch.coordination.register.Ballot;
+import burlarch.coordination.register.ProposalNumber;
 import burlarch.coordination.register.RegisterMessage;
 import burlarch.coordination.register.RegisterValue;
 import burlarch.coordination.registry.Instance;
@@ -37,10 +37,10 @@
      * @param value null where the receiver is to take what its own acceptor accepted at that ballot, or to
      *     ask with {@link FetchCommitted}
      */
-    record Committed(@JsonProperty("ballot") Ballot ballot, @JsonProperty("value") RegisterValue value)
+    record Committed(@JsonProperty("ballot") ProposalNumber proposalNumber, @JsonProperty("value") RegisterValue value)
             implements NodeMessage {
         /** Tells of a value that most receivers hold already. */
-        public static Committed withoutValue(Ballot ballot) {
+        public static Committed withoutValue(ProposalNumber ballot) {
             return new Committed(ballot, null);
         }
     }
@@ -49,7 +49,7 @@
      * Controllers to one another, repeatedly: what they know as decided, and other controllers by address.
      */
     record ControllerStatus(
-            @JsonProperty("decided") Ballot decided, @JsonProperty("controllers") List<String> controllers)
+            @JsonProperty("decided") ProposalNumber decided, @JsonProperty("controllers") List<String> controllers)
             implements NodeMessage {}
 
     /** Asks for {@link Committed}. */
--- a/transport/src/main/java/burlarch/transport/WireFieldNames.java
+++ b/transport/src/main/java/burlarch/transport/WireFieldNames.java
@@ -1,7 +1,7 @@
 package burlarch.transport;
 
-import burlarch.coordination.register.Ballot;
-import burlarch.coordination.register.Member;
+import burlarch.coordination.register.ProposalNumber;
+import burlarch.coordination.register.AcceptorMember;
 import burlarch.coordination.register.RegisterMessage;
 import burlarch.coordination.register.RegisterValue;
 import burlarch.coordination.registry.Instance;
@@ -22,13 +22,13 @@
     private static final Map<Class<?>, Class<?>> MIX_INS = new LinkedHashMap<>();
 
     static {
-        MIX_INS.put(Ballot.class, BallotNames.class);
-        MIX_INS.put(Member.class, MemberNames.class);
+        MIX_INS.put(ProposalNumber.class, ProposalNumberNames.class);
+        MIX_INS.put(AcceptorMember.class, AcceptorMemberNames.class);
         MIX_INS.put(RegisterValue.class, RegisterValueNames.class);
-        MIX_INS.put(RegisterMessage.Prepare.class, PrepareNames.class);
-        MIX_INS.put(RegisterMessage.Promise.class, PromiseNames.class);
-        MIX_INS.put(RegisterMessage.Accept.class, AcceptNames.class);
-        MIX_INS.put(RegisterMessage.Accepted.class, AcceptedNames.class);
+        MIX_INS.put(RegisterMessage.PrepareRequest.class, PrepareRequestNames.class);
+        MIX_INS.put(RegisterMessage.PrepareResponse.class, PrepareResponseNames.class);
+        MIX_INS.put(RegisterMessage.AcceptRequest.class, AcceptRequestNames.class);
+        MIX_INS.put(RegisterMessage.AcceptResponse.class, AcceptResponseNames.class);
         MIX_INS.put(Instance.class, InstanceNames.class);
         MIX_INS.put(Instance.ServedModel.class, ServedModelNames.class);
         MIX_INS.put(InstanceState.class, InstanceStateNames.class);
@@ -46,17 +46,17 @@
         return MIX_INS;
     }
 
-    private interface BallotNames {
+    private interface ProposalNumberNames {
         @JsonProperty("round")
-        long round();
+        long term();
 
         @JsonProperty("proposer")
         String proposer();
     }
 
-    private interface MemberNames {
+    private interface AcceptorMemberNames {
         @JsonProperty("storage")
-        String storage();
+        String storageId();
 
         @JsonProperty("address")
         String address();
@@ -64,63 +64,63 @@
 
     private interface RegisterValueNames {
         @JsonProperty("members")
-        List<Member> members();
+        List<AcceptorMember> members();
 
         @JsonProperty("payload")
         byte[] payload();
     }
 
-    private interface PrepareNames {
+    private interface PrepareRequestNames {
         @JsonProperty("call")
-        long call();
+        long callId();
 
         @JsonProperty("ballot")
-        Ballot ballot();
+        ProposalNumber proposalNumber();
     }
 
-    private interface PromiseNames {
+    private interface PrepareResponseNames {
         @JsonProperty("call")
-        long call();
+        long callId();
 
         @JsonProperty("storage")
-        String storage();
+        String storageId();
 
         @JsonProperty("granted")
         boolean granted();
 
         @JsonProperty("promised")
-        Ballot promised();
+        ProposalNumber prepared();
 
         @JsonProperty("accepted")
-        Ballot accepted();
+        ProposalNumber accepted();
 
         @JsonProperty("value")
         RegisterValue value();
     }
 
-    private interface AcceptNames {
+    private interface AcceptRequestNames {
         @JsonProperty("call")
-        long call();
+        long callId();
 
         @JsonProperty("ballot")
-        Ballot ballot();
+        ProposalNumber proposalNumber();
 
         @JsonProperty("value")
         RegisterValue value();
     }
 
-    private interface AcceptedNames {
+    private interface AcceptResponseNames {
         @JsonProperty("call")
-        long call();
+        long callId();
 
         @JsonProperty("storage")
-        String storage();
+        String storageId();
 
         @JsonProperty("granted")
         boolean granted();
 
         @JsonProperty("promised")
-        Ballot promised();
+        ProposalNumber prepared();
     }
 
     private interface InstanceNames {
