--- a/controller/src/main/java/burlarch/controller/api/ControlExchange.java
+++ b/controller/src/main/java/burlarch/controller/api/ControlExchange.java
@@ -16,42 +16,49 @@
 import org.eclipse.jetty.util.thread.Scheduler;
 import org.tinylog.Logger;
 
-/** One call and its one answer, whichever of result, failure and time-out comes first. */
+/**
+ * One HTTP request of the control API and its one response.
+ *
+ * <p>Result, failure and timeout may come on different threads. Invariant <em>one response</em>: the first of them
+ * writes the response, the others do nothing.
+ */
 final class ControlExchange {
     private static final int OK = 200;
     private static final String JSON = "application/json";
     private static final byte[] EMPTY_OBJECT = {'{', '}'};
 
+    /** What becomes of the connection after the response. */
+    enum Connection {
+        KEEP_OPEN,
+        CLOSE
+    }
+
     private final Request request;
     private final Response response;
     private final Callback callback;
-    private final boolean last;
+    private final Connection afterwards;
     private final AtomicBoolean responded = new AtomicBoolean();
 
-    /**
-     * A call that has no answer yet.
-     *
-     * @param last whether its connection ends with the answer
-     */
-    ControlExchange(Request request, Response response, Callback callback, boolean last) {
+    /** An exchange without a response yet. */
+    ControlExchange(Request request, Response response, Callback callback, Connection afterwards) {
         this.request = request;
         this.response = response;
         this.callback = callback;
-        this.last = last;
+        this.afterwards = afterwards;
     }
 
-    /** Answers with what the service makes of it, bytes or nothing, or with 503 once the time is up. */
-    void respondWith(CompletableFuture<?> result, long limitMillis) {
+    /** Responds with the service's result, bytes or nothing, or with 503 after the timeout, which cancels the result. */
+    void respondWith(CompletableFuture<?> result, long timeoutMillis) {
         if (result.isDone()) {
-            finish(result);
+            respond(result);
             return;
         }
-        Scheduler.Task limit = request.getComponents()
+        Scheduler.Task timeout = request.getComponents()
                 .getScheduler()
-                .schedule(() -> onTimeout(result), limitMillis, TimeUnit.MILLISECONDS);
+                .schedule(() -> onTimeout(result), timeoutMillis, TimeUnit.MILLISECONDS);
         result.whenComplete((body, failure) -> {
-            limit.cancel();
-            finish(result);
+            timeout.cancel();
+            respond(result);
         });
     }
 
@@ -60,7 +67,7 @@
         result.cancel(false);
     }
 
-    private void finish(CompletableFuture<?> result) {
+    private void respond(CompletableFuture<?> result) {
         try {
             succeed(result.getNow(null) instanceof byte[] body ? body : EMPTY_OBJECT);
         } catch (CompletionException | CancellationException failure) {
@@ -74,19 +81,19 @@
         }
     }
 
-    /** Answers with a failure: a {@link ControlException} as its kind says, all else as without a clear end. */
+    /** Responds with a failure: a {@link ControlException} by its kind, anything else as {@link ErrorKind#UNCLEAR}. */
     void fail(Throwable failure) {
         if (!responded.compareAndSet(false, true)) {
             return;
         }
-        ControlException told = asControlException(failure);
-        if (told.kind().isRetryable()) {
-            response.getHeaders().put(HttpHeader.RETRY_AFTER, told.kind().retryAfterSeconds());
+        ControlException reported = asControlException(failure);
+        if (reported.kind().isRetryable()) {
+            response.getHeaders().put(HttpHeader.RETRY_AFTER, reported.kind().retryAfterSeconds());
         }
-        if (leavesBodyUnread(told.kind())) {
-            closeAfterwards();
+        if (leavesBodyUnread(reported.kind())) {
+            closeConnection();
         }
-        write(told.kind().status(), ControlJson.error(told));
+        write(reported.kind().status(), ControlJson.error(reported));
     }
 
     private static ControlException asControlException(Throwable failure) {
@@ -97,10 +104,11 @@
         if (cause instanceof ControlException known) {
             return known;
         }
-        Logger.error(cause, "Control call failed");
+        Logger.error(cause, "control call failed unexpectedly");
         return new ControlException(ErrorKind.UNCLEAR);
     }
 
+    /** The connection can't be used again after a response that leaves part of the request's body unread. */
     private static boolean leavesBodyUnread(ErrorKind kind) {
         return switch (kind) {
             case TOO_LARGE, OVERLOADED, BROKEN_OFF -> true;
@@ -108,7 +116,7 @@
         };
     }
 
-    private void closeAfterwards() {
+    private void closeConnection() {
         response.getHeaders().put(HttpHeader.CONNECTION, HttpHeaderValue.CLOSE.asString());
     }
 
@@ -116,8 +124,8 @@
         response.setStatus(status);
         response.getHeaders().put(HttpHeader.CONTENT_TYPE, JSON);
         response.getHeaders().put(HttpHeader.CONTENT_LENGTH, body.length);
-        if (last) {
-            closeAfterwards();
+        if (afterwards == Connection.CLOSE) {
+            closeConnection();
         }
         response.write(true, ByteBuffer.wrap(body), callback);
     }
--- a/controller/src/main/java/burlarch/controller/api/ControlJson.java
+++ b/controller/src/main/java/burlarch/controller/api/ControlJson.java
@@ -1,8 +1,8 @@
 package burlarch.controller.api;
 
+import burlarch.configuration.Problem;
 import burlarch.controller.error.ControlException;
 import burlarch.controller.error.ErrorKind;
-import burlarch.controller.error.Problem;
 import com.fasterxml.jackson.core.JsonProcessingException;
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.ObjectMapper;
@@ -11,7 +11,7 @@
 import java.io.IOException;
 import java.io.UncheckedIOException;
 
-/** The small bodies of the control interface, as trees. */
+/** Reads and writes the small JSON bodies of the control API. */
 final class ControlJson {
     private static final ObjectMapper MAPPER = new ObjectMapper();
     private static final int MAX_PROBLEMS = 16;
@@ -20,9 +20,9 @@
     private ControlJson() {}
 
     /**
-     * The object in a body.
+     * The JSON object in a body.
      *
-     * @throws ControlException if it holds no object
+     * @throws ControlException if the body is not a JSON object
      */
     static JsonNode object(byte[] body) {
         JsonNode tree;
@@ -38,9 +38,9 @@
     }
 
     /**
-     * A text that has to be there.
+     * A required text.
      *
-     * @throws ControlException if it is absent, empty, too long or no text
+     * @throws ControlException if it is absent, empty or too long
      */
     static String requiredText(JsonNode object, String field) {
         String text = optionalText(object, field);
@@ -51,7 +51,7 @@
     }
 
     /**
-     * A text, or a number as text; empty where it is absent.
+     * An optional text, or a number as text; empty if it is absent.
      *
      * @throws ControlException if it is too long
      */
@@ -64,9 +64,9 @@
     }
 
     /**
-     * A whole number that has to be there.
+     * A required whole number.
      *
-     * @throws ControlException if it is absent or no whole number
+     * @throws ControlException if it is absent or not a whole number
      */
     static long wholeNumber(JsonNode object, String field) {
         JsonNode node = object.path(field);
@@ -76,7 +76,7 @@
         return node.asLong();
     }
 
-    /** What is told of a failure: its kind, and the first of its problems by field and reason. */
+    /** The body of a failure: the code of its kind, and the first of its problems by field and reason. */
     static byte[] error(ControlException failure) {
         ObjectNode error = MAPPER.createObjectNode().put("error", failure.kind().code());
         ArrayNode problems = error.putArray("problems");
--- a/controller/src/main/java/burlarch/controller/api/ControlServer.java
+++ b/controller/src/main/java/burlarch/controller/api/ControlServer.java
@@ -13,7 +13,10 @@
 import org.eclipse.jetty.util.IO;
 import org.eclipse.jetty.util.thread.QueuedThreadPool;
 
-/** The HTTP server on the {@code control} address, for the operator and for what announces itself. */
+/**
+ * The HTTP server at the {@code control} address, for operators and instances. Methods may be called on any thread, each
+ * at most once.
+ */
 public final class ControlServer {
     private static final int MAX_THREADS = 6;
     private static final int MIN_THREADS = 2;
@@ -30,27 +33,29 @@
     /**
      * A server that is not started yet.
      *
-     * @param address to listen on; port 0 for any
-     * @param callMillis a call that is not done that long after its last byte is answered 503; below the
-     *     second after which its caller gives up
+     * @param address to listen on; port 0 for any free port
+     * @param callTimeoutMillis how long after the request's last byte a call may take before the response is 503; less
+     *     than the second after which callers give up
      */
-    public ControlServer(InetSocketAddress address, ControlService service, long callMillis) {
+    public ControlServer(InetSocketAddress address, ControlService service, long callTimeoutMillis) {
         QueuedThreadPool threads = new QueuedThreadPool(MAX_THREADS, MIN_THREADS);
         threads.setReservedThreads(0);
         threads.setName("control");
         server = new Server(threads);
-        connector = new ServerConnector(server, ACCEPTORS, SELECTORS, new HttpConnectionFactory(quiet()));
+        connector =
+                new ServerConnector(server, ACCEPTORS, SELECTORS, new HttpConnectionFactory(withoutServerHeaders()));
         connector.setHost(address.getHostString());
         connector.setPort(address.getPort());
         connector.setIdleTimeout(IDLE_TIMEOUT_MILLIS);
         connector.setAcceptQueueSize(BACKLOG);
         server.addConnector(connector);
         server.addBean(new NetworkConnectionLimit(MAX_CONNECTIONS, connector));
-        handler = new ControlHandler(service, new RequestBodyBudget(RequestBodyLimits.MAX_TOTAL_BYTES), callMillis);
+        handler = new ControlHandler(
+                service, new RequestBodyBudget(RequestBodyLimits.MAX_TOTAL_BYTES), callTimeoutMillis);
         server.setHandler(handler);
     }
 
-    private static HttpConfiguration quiet() {
+    private static HttpConfiguration withoutServerHeaders() {
         HttpConfiguration configuration = new HttpConfiguration();
         configuration.setSendServerVersion(false);
         configuration.setSendDateHeader(false);
@@ -58,34 +63,37 @@
     }
 
     /**
-     * Begins to listen.
+     * Starts to listen.
      *
-     * @throws Exception if the address can't be listened on
+     * @throws Exception if the server can't listen on the address
      */
     public void start() throws Exception {
         server.start();
     }
 
-    /** The port that is listened on. Negative while not started. */
+    /** The port that the server listens on; negative while it is not started. */
     public int port() {
         return connector.getLocalPort();
     }
 
-    /** Soon takes no new connections any more; calls on open ones are served and end their connection. */
+    /**
+     * Stops accepting connections soon. Calls on open connections are served, and each connection closes after its next
+     * response.
+     */
     public void stopAccepting() {
         handler.drain();
-        // The connector's own close leaves the socket open where there are no acceptor threads.
+        // Without acceptor threads, the connector's own close leaves the server socket open.
         IO.close((ServerSocketChannel) connector.getTransport());
-        // And it listens on until the selector looks at what it was told to let go.
+        // The socket listens until its selector runs once more, so wake the selector.
         for (ManagedSelector selector : connector.getContainedBeans(ManagedSelector.class)) {
-            selector.submit(woken -> {});
+            selector.submit(ignored -> {});
         }
     }
 
     /**
-     * Ends all connections and threads.
+     * Closes all connections and stops all threads.
      *
-     * @throws Exception if something wouldn't end
+     * @throws Exception if some component does not stop
      */
     public void stop() throws Exception {
         server.stop();
--- a/controller/src/main/java/burlarch/controller/api/ControlService.java
+++ b/controller/src/main/java/burlarch/controller/api/ControlService.java
@@ -4,31 +4,36 @@
 import java.util.concurrent.CompletableFuture;
 
 /**
- * What the control interface calls. Nothing here blocks; calls come on any thread. A future fails with a
- * {@link burlarch.controller.error.ControlException}; any other failure is told as a call without a clear end. A
- * future that isn't done within the interface's limit is cancelled and answered as without a clear end too.
+ * The calls of the control API. Calls come on any thread; no method blocks.
+ *
+ * <p>A future fails with a {@link burlarch.controller.error.ControlException}; any other failure is reported as
+ * {@link burlarch.controller.error.ErrorKind#UNCLEAR}. A future that isn't done within the API's timeout is cancelled,
+ * and reported as unclear too.
  */
 public interface ControlService {
     /**
-     * Done once the configuration is in force, or was before.
+     * Replaces the configuration. Done once the configuration is in force, also if it was before.
      *
-     * @param body JSON as it came; the service owns it
-     * @param ifMatch the version that it builds on, 0 for the first
+     * @param body the JSON as received; the service owns it from now on
+     * @param ifMatch the version that the configuration builds on, 0 for the first one
      */
     CompletableFuture<Void> putConfiguration(byte[] body, long ifMatch);
 
-    /** As {@link #putConfiguration}, for named items of the configuration. */
+    /** Changes named items of the configuration; otherwise as {@link #putConfiguration}. */
     CompletableFuture<Void> patchConfiguration(byte[] body, long ifMatch);
 
-    /** The newest configuration, whole, as JSON, by a quorum. Fails with NOT_FOUND while there is none. */
+    /** The newest complete configuration as JSON, read from a quorum. Fails with NOT_FOUND while there is none. */
     CompletableFuture<byte[]> readConfiguration();
 
-    /** Done once the fleet knows of the version. */
+    /** Names a version of a model's weights. Done once the version is committed. */
     CompletableFuture<Void> nameWeights(String model, long version);
 
-    /** Done once the announcement may be acknowledged: for one that drains, once the others know of it. */
+    /**
+     * An instance's heartbeat. Done once it may be acknowledged: for a draining instance, once the connected routers
+     * know of it.
+     */
     CompletableFuture<Void> announce(Instance instance);
 
-    /** Done once the others know that the instance is gone. */
+    /** An instance ends. Done once the connected routers know of it. */
     CompletableFuture<Void> leave(String id);
 }
--- a/controller/src/main/java/burlarch/controller/api/InstanceAnnouncementParser.java
+++ b/controller/src/main/java/burlarch/controller/api/InstanceAnnouncementParser.java
@@ -10,16 +10,17 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** Reads what an instance says of itself. Fields that are not known are passed over. */
+/** Reads the body of an instance's heartbeat. Unknown fields are ignored. */
 final class InstanceAnnouncementParser {
     private static final int MAX_MODELS = 64;
 
     private InstanceAnnouncementParser() {}
 
     /**
-     * The instance in a heartbeat's body.
+     * The instance that a heartbeat describes.
      *
-     * @throws ControlException if it is no JSON, or lacks its service, address, state or sequence
+     * @throws ControlException if the body is not a JSON object, or if its service, address, state or sequence is
+     *     missing or invalid
      */
     static Instance read(String id, byte[] body) {
         JsonNode json = ControlJson.object(body);
--- a/controller/src/main/java/burlarch/controller/api/OperatorService.java
+++ b/controller/src/main/java/burlarch/controller/api/OperatorService.java
@@ -6,7 +6,6 @@
 import burlarch.controller.distribution.RouterPublisher;
 import burlarch.controller.error.ControlException;
 import burlarch.controller.error.ErrorKind;
-import burlarch.controller.error.Problem;
 import burlarch.controller.instances.InstanceReplicator;
 import burlarch.controller.register.QuorumContactMonitor;
 import burlarch.controller.register.RegisterClient;
@@ -16,24 +15,24 @@
 import burlarch.coordination.registry.Instance;
 import burlarch.coordination.registry.InstanceState;
 import burlarch.transport.EventLoop;
-import java.util.List;
+import java.util.Optional;
 import java.util.concurrent.CompletableFuture;
 import java.util.function.Function;
 import java.util.function.Supplier;
 import org.tinylog.Logger;
 
 /**
- * Calls of the operator and of instances, taken from Jetty's threads to the loop. Without contact to a quorum
- * each ends at once with {@link ErrorKind#NO_QUORUM}, so that the caller turns to another controller; what an
- * instance says of itself is put to use all the same. An instance for which there is no room is told so, by
- * {@link ErrorKind#OVERLOADED}: no router would ever hear of it.
+ * Executes the calls of operators and instances on the controller's event loop. Methods may be called on any thread;
+ * the futures complete on the loop.
+ *
+ * <p>Without contact to a quorum every call fails at once with {@link ErrorKind#NO_QUORUM}, so that the caller turns to
+ * another controller; an instance's announcement is put to use nevertheless. An instance that the full registry can't
+ * take is told so by {@link ErrorKind#OVERLOADED}, because no router would ever hear of it.
  */
 public final class OperatorService implements ControlService {
-    /**
-     * How long routers are waited for before a change or a drain is acknowledged: those cut off won't answer.
-     */
+    /** How long a change or a drain waits for the acknowledgements of routers; a disconnected router never sends one. */
     private static final long ROUTER_ACK_TIMEOUT_NANOS = 300_000_000;
-    /** How long a first configuration waits for the acceptors that the losses to be borne need. */
+    /** How long after its start a controller waits for the number of acceptors that the tolerated losses require. */
     private static final long INITIAL_ACCEPTORS_TIMEOUT_NANOS = 4_000_000_000L;
 
     private final EventLoop loop;
@@ -44,20 +43,20 @@
     private final int requiredAcceptors;
     private final long startedAtNanos;
 
-    /** @param lossesBorne how many acceptors may be lost at once */
+    /** @param toleratedLosses the number of acceptors that may be lost at the same time */
     public OperatorService(
             EventLoop loop,
             RegisterClient register,
             RouterPublisher publisher,
             InstanceReplicator instances,
             QuorumContactMonitor quorum,
-            int lossesBorne) {
+            int toleratedLosses) {
         this.loop = loop;
         this.register = register;
         this.publisher = publisher;
         this.instances = instances;
         this.quorum = quorum;
-        requiredAcceptors = 2 * lossesBorne + 1;
+        requiredAcceptors = 2 * toleratedLosses + 1;
         startedAtNanos = loop.nanoTime();
     }
 
@@ -70,7 +69,7 @@
             return CompletableFuture.failedFuture(rejection(invalid));
         }
         return changeConfiguration(
-                "configuration " + document.version(),
+                "put configuration " + document.version(),
                 ifMatch,
                 document.version(),
                 state -> StateChanges.putConfiguration(state, ifMatch, document, document.digest()));
@@ -85,17 +84,14 @@
             return CompletableFuture.failedFuture(rejection(invalid));
         }
         return changeConfiguration(
-                "patch to " + patch.version(),
+                "patch configuration " + patch.version(),
                 ifMatch,
                 patch.version(),
                 state -> StateChanges.patchConfiguration(state, ifMatch, patch, patch.digest()));
     }
 
     private static ControlException rejection(InvalidConfiguration invalid) {
-        List<Problem> problems = invalid.problems().stream()
-                .map(problem -> new Problem(problem.field(), problem.reason()))
-                .toList();
-        return new ControlException(ErrorKind.INVALID, problems);
+        return new ControlException(ErrorKind.INVALID, invalid.problems());
     }
 
     @Override
@@ -110,13 +106,16 @@
 
     @Override
     public CompletableFuture<Void> nameWeights(String model, long version) {
-        return change("weights " + model + " " + version, state -> StateChanges.nameWeights(state, model, version));
+        return change(
+                "name weights " + model + " " + version, state -> StateChanges.nameWeights(state, model, version));
     }
 
     private CompletableFuture<Void> changeConfiguration(
             String name, long ifMatch, long version, Function<SystemState, ChangeResult> change) {
-        ChangeResult.Unchanged never = StateChanges.rejectionInAnyState(ifMatch, version);
-        return never == null ? change(name, change) : CompletableFuture.failedFuture(never.failure());
+        Optional<ChangeResult.Unchanged> rejection = StateChanges.rejectionInAnyState(ifMatch, version);
+        return rejection.isPresent()
+                ? CompletableFuture.failedFuture(rejection.get().failure())
+                : change(name, change);
     }
 
     private CompletableFuture<Void> change(String name, Function<SystemState, ChangeResult> change) {
@@ -127,11 +126,18 @@
             return register.change(change)
                     .thenCompose(state ->
                             publisher.awaitConfiguration(state.configurationVersion(), ROUTER_ACK_TIMEOUT_NANOS))
-                    .whenComplete((done, failure) ->
-                            Logger.info("{}: {}", name, failure == null ? "in force" : failure.getMessage()));
+                    .whenComplete((done, failure) -> logResult(name, failure));
         });
     }
 
+    private static void logResult(String change, Throwable failure) {
+        if (failure == null) {
+            Logger.info("change committed: change=\"{}\"", change);
+        } else {
+            Logger.info("change not confirmed: change=\"{}\" error=\"{}\"", change, failure.getMessage());
+        }
+    }
+
     private static <T> CompletableFuture<T> noQuorum() {
         return CompletableFuture.failedFuture(new ControlException(ErrorKind.NO_QUORUM));
     }
@@ -140,6 +146,7 @@
         return CompletableFuture.failedFuture(new ControlException(ErrorKind.OVERLOADED));
     }
 
+    /** Shortly after the start the acceptor set may still be growing: a change then could not survive the losses. */
     private boolean tooFewAcceptors() {
         return register.acceptors().votingMembers().size() < requiredAcceptors
                 && loop.nanoTime() - startedAtNanos < INITIAL_ACCEPTORS_TIMEOUT_NANOS;
@@ -148,9 +155,10 @@
     @Override
     public CompletableFuture<Void> announce(Instance instance) {
         return onLoop(() -> {
-            boolean leaves = instance.state() == InstanceState.DRAINING;
-            boolean known = instances.announce(instance);
-            return known ? acknowledge(leaves) : registryFull();
+            if (!instances.announce(instance)) {
+                return registryFull();
+            }
+            return instance.state() == InstanceState.DRAINING ? acknowledgeOnceRoutersKnow() : acknowledge();
         });
     }
 
@@ -158,18 +166,19 @@
     public CompletableFuture<Void> leave(String id) {
         return onLoop(() -> {
             instances.onLeft(id);
-            return acknowledge(true);
+            return acknowledgeOnceRoutersKnow();
         });
     }
 
-    /** @param leaves whether the routers have to know first that no request may be sent any more */
-    private CompletableFuture<Void> acknowledge(boolean leaves) {
-        if (!quorum.hasContact()) {
-            return noQuorum();
-        }
-        return leaves
+    private CompletableFuture<Void> acknowledge() {
+        return quorum.hasContact() ? CompletableFuture.completedFuture(null) : noQuorum();
+    }
+
+    /** Routers have to know first that they may not send the instance any further request. */
+    private CompletableFuture<Void> acknowledgeOnceRoutersKnow() {
+        return quorum.hasContact()
                 ? publisher.awaitInstances(instances.revision(), ROUTER_ACK_TIMEOUT_NANOS)
-                : CompletableFuture.completedFuture(null);
+                : noQuorum();
     }
 
     private <T> CompletableFuture<T> onLoop(Supplier<CompletableFuture<T>> call) {
@@ -183,8 +192,8 @@
                         result.completeExceptionally(failure);
                     }
                 });
-            } catch (RuntimeException e) {
-                result.completeExceptionally(e);
+            } catch (RuntimeException unexpected) {
+                result.completeExceptionally(unexpected);
             }
         });
         return result;
--- a/controller/src/main/java/burlarch/controller/api/RequestBodyLimits.java
+++ b/controller/src/main/java/burlarch/controller/api/RequestBodyLimits.java
@@ -1,12 +1,12 @@
 package burlarch.controller.api;
 
-/** How long the bodies of calls to a controller may be, each and together. */
+/** Limits of the request bodies of the control API, each and in total. */
 final class RequestBodyLimits {
-    /** Longest body of a configuration, bytes. */
+    /** The longest body of a configuration. */
     static final int MAX_CONFIGURATION_BYTES = 8 << 20;
-    /** Longest body of any other call, bytes. */
+    /** The longest body of any other call. */
     static final int MAX_OTHER_BYTES = 64 << 10;
-    /** Most bytes that all open calls hold together. */
+    /** The bytes that all open calls may hold in total. */
     static final long MAX_TOTAL_BYTES = 16 << 20;
 
     private RequestBodyLimits() {}
--- a/controller/src/main/java/burlarch/controller/api/RequestBodyReader.java
+++ b/controller/src/main/java/burlarch/controller/api/RequestBodyReader.java
@@ -5,44 +5,42 @@
 import burlarch.node.http.RequestBodyBudget;
 import java.nio.ByteBuffer;
 import java.util.Arrays;
-import java.util.function.Consumer;
 import org.eclipse.jetty.io.Content;
 import org.eclipse.jetty.server.Request;
 
-/** Collects the body of one request without blocking, within the budget. */
+/**
+ * Reads the body of one request without blocking, within the budget that all calls share. Jetty runs it again whenever
+ * more of the body has arrived, one run at a time.
+ */
 final class RequestBodyReader implements Runnable {
     private static final int INITIAL_BYTES = 4 << 10;
-    private static final int GROWTH = 2;
+    private static final int GROWTH_FACTOR = 2;
+
+    /** Notified once, on the thread that read the last bytes. */
+    interface Listener {
+        /** The complete body; its bytes stay reserved until {@link RequestBodyReader#release}. */
+        void onBody(byte[] body);
+
+        /** The body is too long, exceeds the budget or did not arrive completely; the rest is unread. */
+        void onFailure(ControlException failure);
+    }
 
     private final Request request;
     private final int maxBytes;
     private final RequestBodyBudget budget;
-    private final Consumer<byte[]> onComplete;
-    private final Consumer<Throwable> onFailure;
+    private final Listener listener;
     private byte[] bytes = new byte[0];
     private int length;
 
-    /**
-     * A reader that has not begun.
-     *
-     * @param longest most bytes that are taken
-     * @param whenRead gets the body, which stays within the budget until {@link #release}
-     * @param whenFailed gets a {@link ControlException}, or the failure of a connection that broke
-     */
-    RequestBodyReader(
-            Request request,
-            int longest,
-            RequestBodyBudget budget,
-            Consumer<byte[]> whenRead,
-            Consumer<Throwable> whenFailed) {
+    /** A reader that has not started. */
+    RequestBodyReader(Request request, int maxBytes, RequestBodyBudget budget, Listener listener) {
         this.request = request;
-        this.maxBytes = longest;
+        this.maxBytes = maxBytes;
         this.budget = budget;
-        this.onComplete = whenRead;
-        this.onFailure = whenFailed;
+        this.listener = listener;
     }
 
-    /** Reads what is there and asks to be run again when there is more. */
+    /** Reads what is available and asks to be run again when there is more. */
     @Override
     public void run() {
         try {
@@ -50,22 +48,23 @@
                 throw new ControlException(ErrorKind.TOO_LARGE);
             }
             if (readAvailable()) {
-                onComplete.accept(length == bytes.length ? bytes : Arrays.copyOf(bytes, length));
+                listener.onBody(length == bytes.length ? bytes : Arrays.copyOf(bytes, length));
             } else {
                 request.demand(this);
             }
         } catch (ControlException failure) {
-            onFailure.accept(failure);
+            listener.onFailure(failure);
         }
     }
 
-    /** Gives the bytes back to the budget. To be called once, after which nothing is read any more. */
+    /** Releases the reserved bytes. To be called once; nothing is read afterwards. */
     void release() {
         budget.release(bytes.length);
         bytes = new byte[0];
         length = 0;
     }
 
+    /** Whether the body is complete. */
     private boolean readAvailable() {
         while (true) {
             Content.Chunk chunk = request.read();
@@ -73,8 +72,8 @@
                 return false;
             }
             if (Content.Chunk.isFailure(chunk)) {
-                // No wrong body: its sender may bring the same call whole. The server tells of a wrong
-                // chunk in the same way.
+                // Not an invalid body: its sender may send the same call completely. Jetty reports a malformed chunk
+                // in the same way as a broken connection.
                 throw new ControlException(ErrorKind.BROKEN_OFF);
             }
             boolean last = chunk.isLast();
@@ -90,21 +89,21 @@
     }
 
     private void append(ByteBuffer chunk) {
-        int more = chunk.remaining();
-        if (more > maxBytes - length) {
+        int added = chunk.remaining();
+        if (added > maxBytes - length) {
             throw new ControlException(ErrorKind.TOO_LARGE);
         }
-        if (more > bytes.length - length) {
-            grow(length + more);
+        if (added > bytes.length - length) {
+            grow(length + added);
         }
-        chunk.get(bytes, length, more);
-        length += more;
+        chunk.get(bytes, length, added);
+        length += added;
     }
 
-    private void grow(int least) {
-        long declared = request.getLength();
-        long wanted = Math.max(Math.max(least, INITIAL_BYTES), (long) bytes.length * GROWTH);
-        int size = (int) Math.min(wanted, declared >= least ? declared : maxBytes);
+    private void grow(int requiredBytes) {
+        long declaredBytes = request.getLength();
+        long wantedBytes = Math.max(Math.max(requiredBytes, INITIAL_BYTES), (long) bytes.length * GROWTH_FACTOR);
+        int size = (int) Math.min(wantedBytes, declaredBytes >= requiredBytes ? declaredBytes : maxBytes);
         if (!budget.tryReserve(size - bytes.length)) {
             throw new ControlException(ErrorKind.OVERLOADED);
         }
--- a/controller/src/main/java/burlarch/controller/error/ControlException.java
+++ b/controller/src/main/java/burlarch/controller/error/ControlException.java
@@ -1,10 +1,11 @@
 package burlarch.controller.error;
 
+import burlarch.configuration.Problem;
 import java.util.List;
 
 /**
- * A call that failed in a way that its caller is to be told. Carries no stack trace, being no fault of the
- * code.
+ * A call of the control API failed for a reason that its caller is told. {@link #kind} says what went wrong and whether
+ * the same call may be retried. It has no stack trace, because it reports no fault of the program.
  */
 public final class ControlException extends RuntimeException {
     private static final long serialVersionUID = 1L;
@@ -12,25 +13,29 @@
     private final ErrorKind kind;
     private final transient List<Problem> problems;
 
+    /** A failure that its kind describes completely. */
     public ControlException(ErrorKind kind) {
         this(kind, List.of());
     }
 
+    /** A failure with one problem in the content. */
     public ControlException(ErrorKind kind, String field, String reason) {
         this(kind, List.of(new Problem(field, reason)));
     }
 
+    /** A failure with all problems that were found in the content. */
     public ControlException(ErrorKind kind, List<Problem> problems) {
         super(kind + " " + problems, null, false, false);
         this.kind = kind;
         this.problems = List.copyOf(problems);
     }
 
+    /** What went wrong. */
     public ErrorKind kind() {
         return kind;
     }
 
-    /** What is wrong with the content; empty where the kind says all. */
+    /** The problems in the content; empty where the kind says it all. */
     public List<Problem> problems() {
         return problems;
     }
--- a/controller/src/main/java/burlarch/controller/error/ErrorKind.java
+++ b/controller/src/main/java/burlarch/controller/error/ErrorKind.java
@@ -1,31 +1,45 @@
 package burlarch.controller.error;
 
 /**
- * Every way in which a call to the system's own interfaces may fail, and how that is told over HTTP. The
- * operator gives a call up at 400, 409, 412, 413 and 422, so these stand only for what can never be taken.
+ * Every way in which a call of the control API may fail, and how HTTP reports it.
+ *
+ * <p>An operator's client gives up at 400, 409, 412, 413 and 422. Invariant <em>final statuses are final</em>: these
+ * statuses stand only for calls that no state will ever accept; whatever may still succeed is reported as 503.
+ *
+ * <table>
+ * <caption>What the caller may do</caption>
+ * <tr><th>kind</th><th>status</th><th>the change</th><th>the caller</th></tr>
+ * <tr><td>NO_QUORUM, OVERLOADED, BROKEN_OFF, DRAINING</td><td>503</td><td>was not made by this call, or is not
+ * known to be</td><td>retries, at any controller</td></tr>
+ * <tr><td>UNCLEAR</td><td>503</td><td>may be in force, now or later</td><td>retries the same call; a change that was
+ * applied is acknowledged again</td></tr>
+ * <tr><td>CONFLICT</td><td>412</td><td>is not in force and never will be</td><td>builds on the current version</td></tr>
+ * <tr><td>INVALID, BAD_REQUEST, TOO_LARGE, METHOD, NOT_FOUND</td><td>400, 413, 405, 404</td><td>is not in
+ * force and never will be</td><td>corrects the call</td></tr>
+ * </table>
  */
 public enum ErrorKind {
-    /** No quorum of the core answers: nothing was changed, or it isn't known to be. */
+    /** No quorum of the acceptors responds: nothing was changed, or it isn't known to be. */
     NO_QUORUM("NO_QUORUM", 503, 300),
-    /** The call got no clear end: its change may be in force now or later. */
+    /** The call ended without a result: its change may be in force, now or later. */
     UNCLEAR("UNCLEAR", 503, 200),
-    /** Another version than the one built on is current. */
+    /** The current version is another one than the version that the change builds on. */
     CONFLICT("CONFLICT", 412, ErrorKind.NO_RETRY),
     /** The content breaks a rule of what it describes. */
     INVALID("INVALID", 400, ErrorKind.NO_RETRY),
-    /** Nothing is there under that path or name. */
+    /** There is nothing under that path or name. */
     NOT_FOUND("NOT_FOUND", 404, ErrorKind.NO_RETRY),
-    /** The body is longer than any that is taken. */
+    /** The body is longer than the limit. */
     TOO_LARGE("TOO_LARGE", 413, ErrorKind.NO_RETRY),
-    /** The call didn't come whole: nothing was done, and the same call may succeed. */
+    /** The request's body did not arrive completely: nothing was done, and the same call may succeed. */
     BROKEN_OFF("BROKEN_OFF", 503, 200),
-    /** No room for the call just now. */
+    /** There is no capacity for the call at present. */
     OVERLOADED("OVERLOADED", 503, 300),
-    /** The process is about to end. */
+    /** The process is shutting down. */
     DRAINING("DRAINING", 503, 100),
-    /** The call can't be read. */
+    /** The request can't be parsed. */
     BAD_REQUEST("BAD_REQUEST", 400, ErrorKind.NO_RETRY),
-    /** The path knows no such method. */
+    /** The path does not support the method. */
     METHOD("METHOD", 405, ErrorKind.NO_RETRY);
 
     private static final int NO_RETRY = 0;
@@ -41,24 +55,22 @@
         this.retryAfterMillis = retryAfterMillis;
     }
 
-    /** What the body of the answer names it; never changes, whatever the constant is called. */
+    /** The code in the body of the response; part of the API, so it stays whatever the constant is called. */
     public String code() {
         return code;
     }
 
-    /** The HTTP status that tells of it. */
+    /** The HTTP status of the response. */
     public int status() {
         return status;
     }
 
-    /** Whether the same call may succeed later, so that the answer carries {@code Retry-After}. */
+    /** Whether the same call may succeed later, so that the response carries {@code Retry-After}. */
     public boolean isRetryable() {
         return retryAfterMillis != NO_RETRY;
     }
 
-    /**
-     * The value of {@code Retry-After}: seconds, fractions included. Holds only where {@link #isRetryable()}.
-     */
+    /** The value of {@code Retry-After} in seconds, with fractions; meaningful only if {@link #isRetryable()}. */
     public String retryAfterSeconds() {
         return Double.toString(retryAfterMillis / MILLIS_PER_SECOND);
     }
--- a/controller/src/main/java/burlarch/controller/register/AcceptorSetReconciler.java
+++ b/controller/src/main/java/burlarch/controller/register/AcceptorSetReconciler.java
@@ -1,12 +1,12 @@
 package burlarch.controller.register;
 
 import burlarch.controller.peers.ControllerPeers;
+import burlarch.coordination.register.AcceptorMember;
 import burlarch.coordination.register.AcceptorReachability;
 import burlarch.coordination.register.AcceptorSetChange;
 import burlarch.coordination.register.AcceptorSetPlanner;
 import burlarch.coordination.register.AcceptorSetPlanner.Candidate;
 import burlarch.coordination.register.ProposalNumber;
-import burlarch.coordination.register.AcceptorMember;
 import burlarch.transport.EventLoop;
 import java.util.ArrayList;
 import java.util.List;
--- a/controller/src/main/java/burlarch/controller/register/ProposalExecutor.java
+++ b/controller/src/main/java/burlarch/controller/register/ProposalExecutor.java
@@ -1,14 +1,14 @@
 package burlarch.controller.register;
 
 import burlarch.controller.peers.ControllerPeers;
+import burlarch.coordination.register.Proposal;
 import burlarch.coordination.register.ProposalNumber;
-import burlarch.coordination.register.RegisterView;
 import burlarch.coordination.register.ProposalOutput;
-import burlarch.coordination.register.Proposal;
 import burlarch.coordination.register.ProposalResult;
 import burlarch.coordination.register.RegisterChange;
 import burlarch.coordination.register.RegisterMessage;
 import burlarch.coordination.register.RegisterValue;
+import burlarch.coordination.register.RegisterView;
 import burlarch.transport.EventLoop;
 import burlarch.transport.NodeMessage;
 import burlarch.transport.PeerConnection;
--- a/controller/src/main/java/burlarch/controller/state/AppliedChange.java
+++ b/controller/src/main/java/burlarch/controller/state/AppliedChange.java
@@ -6,34 +6,33 @@
 import java.security.NoSuchAlgorithmException;
 
 /**
- * A change of the configuration, as the register remembers it: by it the same call is known again when its
- * answer was lost and it is sent once more.
+ * The identity of a change of the configuration, by which the register recognizes a call that is sent again because its
+ * response was lost.
  *
- * <p>Two calls are the same change where method, {@code If-Match}, version and content are the same. They
- * then lead to the same configuration on top of the same one, so that nobody could tell which of the two was
- * taken. The method counts since one body may be valid as a whole configuration and as a patch, with other
- * results; the base counts since else a call that builds on another version would be acknowledged for this
- * one, beside the change that was taken on that version.
+ * <p>Two calls are the same change if method, {@code If-Match}, version and content are equal. They then lead from the
+ * same configuration to the same configuration, so that nobody can tell which of the two was applied. The method counts
+ * because one body may be valid both as a complete configuration and as a patch, with different results. The base
+ * version counts because a call that builds on another version must not be acknowledged for this change.
  *
- * @param version that the change brings
- * @param fingerprint the first 64 bits of a SHA-256 of all else: it only has to tell apart changes that bring
- *     one version, and two of those are alike by chance once in 2^64
+ * @param version the version that the change creates
+ * @param fingerprint the first 64 bits of a SHA-256 of everything else; it only has to distinguish changes that create
+ *     the same version, and two of those collide by chance once in 2^64
  */
 public record AppliedChange(long version, long fingerprint) {
     private static final String PUT = "PUT";
     private static final String PATCH = "PATCH";
 
     /**
-     * The change that a whole configuration is.
+     * The identity of a complete configuration.
      *
-     * @param ifMatch the version that it builds on
+     * @param ifMatch the version that the change builds on
      * @param digest of the document's content
      */
     public static AppliedChange put(long ifMatch, long version, String digest) {
         return new AppliedChange(version, fingerprint(PUT, ifMatch, digest));
     }
 
-    /** The change that a patch is. Parameters as for {@link #put}. */
+    /** The identity of a patch. Parameters as for {@link #put}. */
     public static AppliedChange patch(long ifMatch, long version, String digest) {
         return new AppliedChange(version, fingerprint(PATCH, ifMatch, digest));
     }
--- a/controller/src/main/java/burlarch/controller/state/AppliedChanges.java
+++ b/controller/src/main/java/burlarch/controller/state/AppliedChanges.java
@@ -9,30 +9,30 @@
 import java.util.List;
 
 /**
- * The newest changes of the configuration that were taken. Immutable.
+ * The newest applied changes of the configuration, by which a repeated call is recognized. Immutable.
  *
- * <p><b>Invariant.</b> Versions only rise along the values of the register, and only the oldest change is
- * ever forgotten. So all that was taken with a version above {@link #forgottenVersion()} stands here, and
- * nothing here is below it: of those versions it is known what was taken and what was not; of the others
- * nothing is.
+ * <p><b>Invariant: an applied change is recognized again.</b> Versions only increase along the values of the register,
+ * and only the oldest change is ever forgotten. Therefore every change that was applied with a version above
+ * {@link #forgottenVersion()} is here, and no change here has a lower version. For versions above it the answer
+ * "applied" or "not applied" is certain; for the others nothing is known.
  *
- * <p>On the wire it is one text of bytes: the forgotten version, then for each change how far its version is
- * above the one before, both in groups of seven bits, and the fingerprint's eight bytes. A change takes nine
- * bytes, or some more where versions are far apart.
+ * <p>The encoding is one byte string: the forgotten version; then for each change the difference of its version from
+ * the previous one, and the eight bytes of its fingerprint. Numbers are variable-length, seven bits a byte. A change
+ * takes nine bytes, or some more if versions are far apart.
  */
 public final class AppliedChanges {
-    /** How many changes are remembered; the oldest gives way. About 37 KB then travel with each value. */
+    /** The most changes that are remembered; the oldest is forgotten first. They add about 37 KB to each value. */
     public static final int MAX_CHANGES = 4096;
-    /** Nothing was taken yet. */
+    /** No change was applied yet. */
     public static final AppliedChanges NONE = forgottenUpTo(0);
 
-    /** What is known of a change. */
+    /** What is known about a change. */
     public enum Recall {
-        /** It was taken. */
+        /** It was applied. */
         APPLIED,
-        /** It was not taken: its version was brought by another change, or by none. */
+        /** It was not applied: another change created its version, or none did. */
         NOT_APPLIED,
-        /** Its version is among those that are forgotten: it may have been taken. */
+        /** Its version is forgotten: it may have been applied. */
         FORGOTTEN
     }
 
@@ -51,7 +51,7 @@
         this.fingerprints = fingerprints;
     }
 
-    /** Nothing is known of this version and those below it, and nothing was taken above it. */
+    /** Nothing is known about this version and lower ones, and no change was applied above it. */
     public static AppliedChanges forgottenUpTo(long version) {
         return new AppliedChanges(version, new long[0], new long[0]);
     }
@@ -61,26 +61,26 @@
         if (change.version() <= forgottenVersion) {
             return Recall.FORGOTTEN;
         }
-        int place = Arrays.binarySearch(versions, change.version());
-        return place >= 0 && fingerprints[place] == change.fingerprint() ? Recall.APPLIED : Recall.NOT_APPLIED;
+        int index = Arrays.binarySearch(versions, change.version());
+        return index >= 0 && fingerprints[index] == change.fingerprint() ? Recall.APPLIED : Recall.NOT_APPLIED;
     }
 
-    /** These and a newer one, without the oldest where there is no room for both. */
+    /** These changes and a newer one; the oldest is forgotten if there are too many. */
     public AppliedChanges with(AppliedChange change) {
         if (change.version() <= newestVersion()) {
-            throw new IllegalArgumentException("versions rise: " + change.version());
+            throw new IllegalArgumentException("version does not increase: " + change.version());
         }
         int from = versions.length < MAX_CHANGES ? 0 : 1;
         long forgotten = from == 0 ? forgottenVersion : versions[0];
-        int kept = versions.length - from;
-        long[] newVersions = Arrays.copyOfRange(versions, from, from + kept + 1);
-        long[] newFingerprints = Arrays.copyOfRange(fingerprints, from, from + kept + 1);
-        newVersions[kept] = change.version();
-        newFingerprints[kept] = change.fingerprint();
+        int retained = versions.length - from;
+        long[] newVersions = Arrays.copyOfRange(versions, from, from + retained + 1);
+        long[] newFingerprints = Arrays.copyOfRange(fingerprints, from, from + retained + 1);
+        newVersions[retained] = change.version();
+        newFingerprints[retained] = change.fingerprint();
         return new AppliedChanges(forgotten, newVersions, newFingerprints);
     }
 
-    /** Of versions up to this one, nothing is known; 0 where all is. */
+    /** The highest version about which nothing is known; 0 if everything is known. */
     public long forgottenVersion() {
         return forgottenVersion;
     }
@@ -89,7 +89,7 @@
         return versions.length == 0 ? forgottenVersion : versions[versions.length - 1];
     }
 
-    /** Those that are remembered, oldest first. */
+    /** The remembered changes, oldest first. */
     public List<AppliedChange> changes() {
         List<AppliedChange> changes = new ArrayList<>(versions.length);
         for (int i = 0; i < versions.length; i++) {
@@ -98,7 +98,7 @@
         return changes;
     }
 
-    /** How many are remembered. */
+    /** The number of remembered changes. */
     public int size() {
         return versions.length;
     }
@@ -120,7 +120,7 @@
     /**
      * Reads what {@link #toBytes} wrote.
      *
-     * @throws IllegalArgumentException for other bytes
+     * @throws IllegalArgumentException for any other bytes
      */
     @JsonCreator(mode = JsonCreator.Mode.DELEGATING)
     static AppliedChanges fromBytes(byte[] text) {
@@ -135,12 +135,12 @@
                 versions[count] = before + getNumber(bytes);
                 fingerprints[count] = bytes.getLong();
                 if (versions[count] <= before) {
-                    throw new IllegalArgumentException("versions don't rise");
+                    throw new IllegalArgumentException("versions do not increase");
                 }
             }
             return new AppliedChanges(forgotten, Arrays.copyOf(versions, count), Arrays.copyOf(fingerprints, count));
-        } catch (BufferUnderflowException | ArrayIndexOutOfBoundsException cutShort) {
-            throw new IllegalArgumentException("cut short", cutShort);
+        } catch (BufferUnderflowException | ArrayIndexOutOfBoundsException truncated) {
+            throw new IllegalArgumentException("truncated", truncated);
         }
     }
 
@@ -162,6 +162,6 @@
                 return number;
             }
         }
-        throw new IllegalArgumentException("a number is too long");
+        throw new IllegalArgumentException("number too long");
     }
 }
--- a/controller/src/main/java/burlarch/controller/state/ChangeResult.java
+++ b/controller/src/main/java/burlarch/controller/state/ChangeResult.java
@@ -1,16 +1,25 @@
 package burlarch.controller.state;
 
+import burlarch.configuration.Problem;
 import burlarch.controller.error.ControlException;
 import burlarch.controller.error.ErrorKind;
-import burlarch.controller.error.Problem;
 import java.util.List;
 
-/** What a change makes of a state. */
+/** The result of applying one change to one {@link SystemState}. */
 public sealed interface ChangeResult {
-    /** The state that the change leads to. */
+    /**
+     * The change applies.
+     *
+     * @param state the state with the change in it
+     */
     record Changed(SystemState state) implements ChangeResult {}
 
-    /** The state stays. {@code problems} is empty but for {@link UnchangedReason#INVALID}. */
+    /**
+     * The state stays as it is.
+     *
+     * @param reason why
+     * @param problems the rules that the change breaks; empty unless the reason is {@link UnchangedReason#INVALID}
+     */
     record Unchanged(UnchangedReason reason, List<Problem> problems) implements ChangeResult {
         static final Unchanged ALREADY_APPLIED = new Unchanged(UnchangedReason.ALREADY_APPLIED, List.of());
         static final Unchanged CONFLICT = new Unchanged(UnchangedReason.CONFLICT, List.of());
@@ -21,7 +30,7 @@
         }
 
         /**
-         * The refusal as a failure of the call.
+         * The failure that the caller of the change is told.
          *
          * @throws IllegalStateException for {@link UnchangedReason#ALREADY_APPLIED}, which is a success
          */
@@ -30,26 +39,26 @@
                 case CONFLICT -> new ControlException(ErrorKind.CONFLICT);
                 case UNCLEAR -> new ControlException(ErrorKind.UNCLEAR);
                 case INVALID -> new ControlException(ErrorKind.INVALID, problems);
-                case ALREADY_APPLIED -> throw new IllegalStateException("taken");
+                case ALREADY_APPLIED -> throw new IllegalStateException("an applied change is no failure");
             };
         }
     }
 
     /** Why a state stays as it is. */
     enum UnchangedReason {
-        /** That very change, or one that makes it needless, is in the state already: a success. */
+        /** The state holds this very change, or one that makes it unnecessary: a success. */
         ALREADY_APPLIED,
-        /** Another version is current than the one that the change builds on. */
+        /** The current version is another one than the version that the change builds on. */
         CONFLICT,
         /** The change breaks a rule. */
         INVALID,
         /**
-         * The change may have been taken and forgotten, or may yet be taken when the version that it builds
-         * on is: neither can be promised.
+         * The change may have been applied and forgotten, or may still be applied once the version that it builds on
+         * is committed: neither success nor rejection can be promised.
          */
         UNCLEAR;
 
-        /** Whether it promises that the change is not in force and never will be. */
+        /** Whether the reason promises that the change is not in force and never will be. */
         boolean isRejection() {
             return this == CONFLICT || this == INVALID;
         }
--- a/controller/src/main/java/burlarch/controller/state/Lease.java
+++ b/controller/src/main/java/burlarch/controller/state/Lease.java
@@ -3,9 +3,9 @@
 import com.fasterxml.jackson.annotation.JsonProperty;
 
 /**
- * Who owns a key. The names of its fields in stored states are fixed by annotations.
+ * The lease of one singleton role, as the register records it. The annotations fix the field names in stored states.
  *
- * @param holder the owner's name
- * @param token fencing token, above those of all earlier owners of any key
+ * @param holder name of the process that holds the role, unique for each start of a process
+ * @param token fencing token, higher than that of every earlier holder of any role
  */
 public record Lease(@JsonProperty("holder") String holder, @JsonProperty("token") long token) {}
--- a/controller/src/main/java/burlarch/controller/state/StateChangeProposal.java
+++ b/controller/src/main/java/burlarch/controller/state/StateChangeProposal.java
@@ -5,8 +5,8 @@
 import burlarch.controller.state.ChangeResult.Changed;
 import burlarch.controller.state.ChangeResult.Unchanged;
 import burlarch.controller.state.ChangeResult.UnchangedReason;
-import burlarch.coordination.register.ChangeDecision;
 import burlarch.coordination.register.AcceptorMember;
+import burlarch.coordination.register.ChangeDecision;
 import burlarch.coordination.register.ProposalResult;
 import burlarch.coordination.register.RegisterChange;
 import burlarch.coordination.register.RegisterValue;
@@ -14,12 +14,12 @@
 import java.util.function.Function;
 
 /**
- * A change of the state as a change of the register: the step that a proposal applies to each value that it
- * meets, and what the proposal's end means for whoever asked.
+ * A change of the state as a change of the register: the function that a proposal applies to each value that it reads,
+ * and the meaning of the proposal's result for the caller.
  *
- * <p><b>Invariant.</b> {@link #outcome} tells of a success or a refusal only by a value that is chosen. The
- * values of the register are one chain, along which versions rise and what was taken is remembered, so
- * neither answer can become wrong later.
+ * <p><b>Invariant: results only from chosen values.</b> {@link #outcome} reports a success or a rejection only on the
+ * grounds of a value that is chosen. The values of the register form one chain along which versions increase and
+ * applied changes are remembered, so neither report can become wrong later.
  */
 public final class StateChangeProposal implements RegisterChange {
     private final Function<SystemState, ChangeResult> change;
@@ -33,18 +33,18 @@
     public ChangeDecision decide(RegisterValue current) {
         ChangeResult result = change.apply(stateOf(current));
         if (result instanceof Changed changed) {
-            // The first value names the proposal's believed acceptors, whatever stands here.
+            // The proposal fills in the acceptors of the first value, whatever is given here.
             List<AcceptorMember> members = current == null ? List.of() : current.members();
             return new ChangeDecision.Write(new RegisterValue(members, SystemStateCodec.encode(changed.state())));
         }
-        UnchangedReason answer = ((Unchanged) result).reason();
-        return answer.isRejection() ? ChangeDecision.seal() : ChangeDecision.keep();
+        UnchangedReason reason = ((Unchanged) result).reason();
+        return reason.isRejection() ? ChangeDecision.seal() : ChangeDecision.keep();
     }
 
     /**
-     * The state that holds the change, also where it held it before.
+     * The state that holds the change, also if it was applied before.
      *
-     * @throws ControlException where the change is refused, or where it is unclear whether it is taken
+     * @throws ControlException if the change is rejected, or if it is unclear whether it is applied
      */
     public SystemState outcome(ProposalResult result) {
         if (!(result instanceof ProposalResult.Chosen chosen)) {
@@ -55,7 +55,7 @@
         if (chosen.decision() instanceof ChangeDecision.Write) {
             return state;
         }
-        // Nothing was written, so the chosen value is the one that was decided on.
+        // Nothing was written, so the chosen value is the one that the decision was made on.
         Unchanged unchanged = (Unchanged) change.apply(state);
         if (unchanged.reason() != UnchangedReason.ALREADY_APPLIED) {
             throw unchanged.failure();
@@ -63,7 +63,7 @@
         return state;
     }
 
-    /** The state in a value of the register; the empty one in none. */
+    /** The state in a value of the register; the empty state if there is no value. */
     public static SystemState stateOf(RegisterValue value) {
         return value == null ? SystemState.EMPTY : SystemStateCodec.decode(value.payload());
     }
--- a/controller/src/main/java/burlarch/controller/state/StateChanges.java
+++ b/controller/src/main/java/burlarch/controller/state/StateChanges.java
@@ -3,15 +3,14 @@
 import burlarch.configuration.ConfigurationDocument;
 import burlarch.configuration.ConfigurationPatch;
 import burlarch.configuration.InvalidConfiguration;
-import burlarch.controller.error.Problem;
 import burlarch.controller.state.ChangeResult.Changed;
 import burlarch.controller.state.ChangeResult.Unchanged;
 import burlarch.controller.state.ChangeResult.UnchangedReason;
-import java.util.List;
+import java.util.Optional;
 
 /**
- * The changes that the register's state may take, as pure functions, so that the register can apply one again
- * on a newer state. What was taken is known again before all else, also under changes that were built on it.
+ * The changes of a {@link SystemState}, as pure functions: a proposal may apply the same change again to a newer state.
+ * A change that was applied before is recognized before everything else, also when later changes build on it.
  */
 public final class StateChanges {
     private static final int MAX_NAME_LENGTH = 256;
@@ -19,16 +18,16 @@
     private StateChanges() {}
 
     /**
-     * Brings a whole configuration.
+     * Replaces the complete configuration.
      *
-     * @param ifMatch the version that it builds on, 0 for the first
+     * @param ifMatch the version that the change builds on, 0 for the first configuration
      * @param digest of the document, see {@link AppliedChange}
      */
     public static ChangeResult putConfiguration(
             SystemState state, long ifMatch, ConfigurationDocument document, String digest) {
         AppliedChange change = AppliedChange.put(ifMatch, document.version(), digest);
-        Unchanged refusal = rejection(state, ifMatch, change);
-        return refusal != null ? refusal : withConfiguration(state, change, document);
+        Optional<Unchanged> unchanged = reasonNotToApply(state, ifMatch, change);
+        return unchanged.isPresent() ? unchanged.get() : withConfiguration(state, change, document);
     }
 
     private static ChangeResult withConfiguration(
@@ -44,9 +43,9 @@
     public static ChangeResult patchConfiguration(
             SystemState state, long ifMatch, ConfigurationPatch patch, String digest) {
         AppliedChange change = AppliedChange.patch(ifMatch, patch.version(), digest);
-        Unchanged refusal = rejection(state, ifMatch, change);
-        if (refusal != null) {
-            return refusal;
+        Optional<Unchanged> unchanged = reasonNotToApply(state, ifMatch, change);
+        if (unchanged.isPresent()) {
+            return unchanged.get();
         }
         if (!state.hasConfiguration()) {
             return Unchanged.invalid("", "there is no configuration to change yet");
@@ -55,56 +54,49 @@
             ConfigurationDocument base = ConfigurationDocument.read(state.configuration());
             return withConfiguration(state, change, patch.applyTo(base));
         } catch (InvalidConfiguration invalid) {
-            return new Unchanged(UnchangedReason.INVALID, problems(invalid));
+            return new Unchanged(UnchangedReason.INVALID, invalid.problems());
         }
     }
 
-    private static List<Problem> problems(InvalidConfiguration invalid) {
-        return invalid.problems().stream()
-                .map(one -> new Problem(one.field(), one.reason()))
-                .toList();
-    }
-
-    /**
-     * What can be said of a change without looking at any state: a problem where no state will ever take it.
-     *
-     * @return null where it depends on the state
-     */
-    public static Unchanged rejectionInAnyState(long ifMatch, long version) {
+    /** The rejection of a change that no state will ever accept; empty if the result depends on the state. */
+    public static Optional<Unchanged> rejectionInAnyState(long ifMatch, long version) {
         if (ifMatch < 0) {
-            return Unchanged.invalid("If-Match", "must not be below 0");
+            return Optional.of(Unchanged.invalid("If-Match", "must not be below 0"));
         }
         if (version <= ifMatch) {
-            return Unchanged.invalid("config_version", "must be above " + ifMatch + ", which it builds on");
+            return Optional.of(
+                    Unchanged.invalid("config_version", "must be above " + ifMatch + ", which it builds on"));
         }
-        return null;
+        return Optional.empty();
     }
 
     /**
-     * Why the state doesn't take a change, or null where it does. A refusal (conflict or invalid) has to hold
-     * for all later states too, as the same call may still be on its way to another controller. So a change
-     * is refused only where its base is past; one whose base was not chosen yet may still be taken.
+     * Why the state does not take a change; empty if it does.
+     *
+     * <p>A rejection (conflict or invalid) must hold for all later states too, because the same call may still be on
+     * its way to another controller. So a change is rejected only if its base version is in the past; if its base is
+     * not committed yet, the change may still be applied, and the result is unclear.
      */
-    private static Unchanged rejection(SystemState state, long ifMatch, AppliedChange change) {
-        Unchanged never = rejectionInAnyState(ifMatch, change.version());
-        if (never != null) {
-            return never;
+    private static Optional<Unchanged> reasonNotToApply(SystemState state, long ifMatch, AppliedChange change) {
+        Optional<Unchanged> rejection = rejectionInAnyState(ifMatch, change.version());
+        if (rejection.isPresent()) {
+            return rejection;
         }
         return switch (state.appliedChanges().recall(change)) {
-            case APPLIED -> Unchanged.ALREADY_APPLIED;
-            case FORGOTTEN -> Unchanged.UNCLEAR;
-            case NOT_APPLIED -> rejectionByBase(state, ifMatch);
+            case APPLIED -> Optional.of(Unchanged.ALREADY_APPLIED);
+            case FORGOTTEN -> Optional.of(Unchanged.UNCLEAR);
+            case NOT_APPLIED -> reasonByBase(state, ifMatch);
         };
     }
 
-    private static Unchanged rejectionByBase(SystemState state, long ifMatch) {
+    private static Optional<Unchanged> reasonByBase(SystemState state, long ifMatch) {
         if (ifMatch > state.configurationVersion()) {
-            return Unchanged.UNCLEAR;
+            return Optional.of(Unchanged.UNCLEAR);
         }
-        return ifMatch < state.configurationVersion() ? Unchanged.CONFLICT : null;
+        return ifMatch < state.configurationVersion() ? Optional.of(Unchanged.CONFLICT) : Optional.empty();
     }
 
-    /** Names new weights of a model. A version that isn't above the model's newest changes nothing. */
+    /** Names a new version of a model's weights. A version that isn't above the model's newest one changes nothing. */
     public static ChangeResult nameWeights(SystemState state, String model, long version) {
         if (!isName(model)) {
             return Unchanged.invalid("model", "must be a name");
@@ -123,8 +115,8 @@
     }
 
     /**
-     * Makes the holder the owner of a key, under a new fencing token unless it is the owner already. The
-     * caller waits the former owner's lease out first.
+     * Gives a role's lease to a holder, under a new fencing token unless the holder has it already. The new holder must
+     * wait out the former holder's lease before it acts.
      */
     public static ChangeResult takeOwnership(SystemState state, String key, String holder) {
         if (!isName(key) || !isName(holder)) {
--- a/controller/src/main/java/burlarch/controller/state/SystemState.java
+++ b/controller/src/main/java/burlarch/controller/state/SystemState.java
@@ -6,16 +6,17 @@
 import java.util.Map;
 
 /**
- * All that the core agrees upon; the payload of the register. Immutable, but for the bytes of the
- * configuration, which nobody may write to. Names on the wire are short, as each change sends the whole.
+ * Everything that the controllers agree on; the payload of the register. Immutable, except that the configuration's
+ * bytes are not copied: nobody may write to them. Field names in stored bytes are short, because each change sends the
+ * complete state.
  *
- * @param configurationVersion 0 while there is none
- * @param configuration the whole document, JSON; empty while there is none
- * @param appliedChanges the newest changes that were taken; in a value of an older release, which has none, all are
- *     forgotten
- * @param weights newest named version of weights by model
- * @param owners owner by key
- * @param nextToken the next owner's fencing token; only rises
+ * @param configurationVersion version of the configuration; 0 while there is none
+ * @param configuration the complete document as JSON; empty while there is none
+ * @param appliedChanges the newest applied changes of the configuration; a value written by an older release has none,
+ *     so that all of its changes count as forgotten
+ * @param weights newest named version of the weights, by model
+ * @param owners lease by the key of its role
+ * @param nextToken fencing token of the next lease; never decreases
  */
 @JsonIgnoreProperties(ignoreUnknown = true)
 public record SystemState(
@@ -25,11 +26,11 @@
         @JsonProperty("w") Map<String, Long> weights,
         @JsonProperty("o") Map<String, Lease> owners,
         @JsonProperty("n") long nextToken) {
-    /** The longest configuration that is taken, so that one message and one record on disk hold it. */
+    /** The longest accepted configuration, so that one message and one record on disk can hold it. */
     public static final int MAX_CONFIGURATION_BYTES = 5 << 20;
-    /** Most models that have named weights, and most keys that have an owner. */
+    /** The most models with named weights, and the most roles with a lease. */
     public static final int MAX_NAMES = 1024;
-    /** The state of a fleet that nobody has configured yet. */
+    /** The state of a fleet without a configuration. */
     public static final SystemState EMPTY = new SystemState(0, new byte[0], AppliedChanges.NONE, Map.of(), Map.of(), 1);
 
     public SystemState {
@@ -39,7 +40,7 @@
         owners = owners == null ? Map.of() : Map.copyOf(owners);
     }
 
-    /** Whether a configuration was ever taken. */
+    /** Whether a configuration was ever applied. */
     public boolean hasConfiguration() {
         return configurationVersion > 0;
     }
--- a/controller/src/main/java/burlarch/controller/state/SystemStateCodec.java
+++ b/controller/src/main/java/burlarch/controller/state/SystemStateCodec.java
@@ -10,21 +10,22 @@
 import java.util.zip.DataFormatException;
 
 /**
- * The state as bytes: one byte for the form, then CBOR, compressed, since each change of the register sends
- * and stores the whole state at every acceptor. Equal states have equal bytes. CBOR as it is, which begins
- * with another byte, is read too: it stands on disks from before.
+ * Encodes a state: one byte that names the format, then compressed CBOR. It is compressed because each change of the
+ * register sends and stores the complete state at every acceptor. Equal states have equal bytes. Plain CBOR, which
+ * starts with another byte, is decoded too: older releases have stored it.
  */
 public final class SystemStateCodec {
     private static final ObjectMapper MAPPER =
             new ObjectMapper(new CBORFactory()).enable(SerializationFeature.ORDER_MAP_ENTRIES_BY_KEYS);
 
     private static final byte COMPRESSED = 1;
-    /** The longest state before it is compressed: the longest configuration, and all that is beside it. */
+    /** The longest state before compression: the longest configuration and everything beside it. */
     private static final int MAX_STATE_BYTES = 2 * SystemState.MAX_CONFIGURATION_BYTES;
 
     private SystemStateCodec() {}
 
     /** The register value that stores the state: a format byte, then compressed CBOR. */
+    /** The bytes of a state. */
     public static byte[] encode(SystemState state) {
         try {
             byte[] compressed = CompressedBytes.compress(MAPPER.writeValueAsBytes(state));
@@ -38,9 +39,9 @@
     }
 
     /**
-     * The state in a register's payload; {@link SystemState#EMPTY} for none.
+     * The state in a payload of the register; {@link SystemState#EMPTY} if there is no payload.
      *
-     * @throws UncheckedIOException for bytes that {@link #encode} didn't make
+     * @throws UncheckedIOException if {@link #encode} did not write the bytes
      */
     public static SystemState decode(byte[] payload) {
         if (payload == null || payload.length == 0) {
