--- a/emulator/src/test/java/burlarch/emulator/layers/FleetLayersTest.java
+++ b/emulator/src/test/java/burlarch/emulator/layers/FleetLayersTest.java
@@ -163,6 +163,46 @@
                 .check(ALL);
     }
 
+    /** Clients and instances are faced by packages that know neither each other nor who forwards between them. */
+    @Test
+    void dependenciesOfTheRoutersPackagesRunOneWay() {
+        Architectures.layeredArchitecture()
+                .consideringOnlyDependenciesInLayers()
+                .layer("program")
+                .definedBy("burlarch.router")
+                .layer("forwarding")
+                .definedBy("burlarch.router.forwarding")
+                .layer("server")
+                .definedBy("burlarch.router.server")
+                .layer("upstream")
+                .definedBy("burlarch.router.upstream")
+                .layer("control")
+                .definedBy("burlarch.router.control")
+                .layer("prefixcache")
+                .definedBy("burlarch.router.prefixcache")
+                .layer("lifecycle")
+                .definedBy("burlarch.router.lifecycle")
+                .layer("http")
+                .definedBy("burlarch.router.http")
+                .whereLayer("program")
+                .mayNotBeAccessedByAnyLayer()
+                .whereLayer("forwarding")
+                .mayOnlyBeAccessedByLayers("program")
+                .whereLayer("control")
+                .mayOnlyBeAccessedByLayers("program")
+                .whereLayer("prefixcache")
+                .mayOnlyBeAccessedByLayers("program")
+                .whereLayer("server")
+                .mayOnlyBeAccessedByLayers("program", "forwarding")
+                .whereLayer("upstream")
+                .mayOnlyBeAccessedByLayers("program", "forwarding")
+                .whereLayer("lifecycle")
+                .mayOnlyBeAccessedByLayers("program", "forwarding", "server")
+                .whereLayer("http")
+                .mayOnlyBeAccessedByLayers("forwarding", "server", "upstream")
+                .check(ALL);
+    }
+
     @Test
     void admissionHoldsNoIoNoClockAndNoThread() {
         only("burlarch.admission..").check(ALL);
--- /dev/null
+++ b/router/src/main/java/burlarch/router/control/ControllerLinks.java
@@ -0,0 +1,249 @@
+package burlarch.router.control;
+
+import burlarch.configuration.DeltaMismatch;
+import burlarch.coordination.ownership.RendezvousAssignment;
+import burlarch.coordination.registry.Instance;
+import burlarch.coordination.registry.MergedInstanceView;
+import burlarch.settings.Addresses;
+import burlarch.transport.NodeMessage;
+import burlarch.transport.NodeMessage.ConfigurationAck;
+import burlarch.transport.NodeMessage.ConfigurationChange;
+import burlarch.transport.NodeMessage.ConfigurationUpdate;
+import burlarch.transport.NodeMessage.FetchConfiguration;
+import burlarch.transport.NodeMessage.FleetUpdate;
+import burlarch.transport.NodeMessage.InstancesAck;
+import burlarch.transport.NodeMessage.InstancesUpdate;
+import burlarch.transport.NodeMessage.PrefixCacheEvents;
+import burlarch.transport.PeerConnection;
+import burlarch.transport.PeerConnectionListener;
+import burlarch.transport.PeerConnections;
+import java.util.Collection;
+import java.util.HashMap;
+import java.util.HashSet;
+import java.util.LinkedHashSet;
+import java.util.List;
+import java.util.Map;
+import java.util.Optional;
+import java.util.Set;
+import org.tinylog.Logger;
+
+/**
+ * Links of a router to all controllers. The newest configuration wins, the instances of all controllers are
+ * merged, and what has been put into effect is acknowledged. It keeps the invariants <em>no step back</em> (a
+ * configuration is taken only if its version is higher) and <em>acknowledged means in force</em> (an
+ * acknowledgement is sent only after the handler has returned). Runs on the event loop.
+ */
+public final class ControllerLinks implements PeerConnectionListener {
+    /**
+     * Maximum number of known controllers. Beyond it the first in order is dropped that is neither connected
+     * nor named by the update at hand.
+     */
+    static final int MAX_CONTROLLERS = 32;
+
+    /** Puts updates into effect; each call returns once the update is in effect. */
+    public interface UpdateHandler {
+        /** @return whether the configuration could be read and is in force */
+        boolean onConfiguration(long version, byte[] json);
+
+        /** The instances have changed; {@code instances} holds all that are known. */
+        void onInstances(MergedInstanceView instances);
+
+        /** The controllers report how many routers are connected to them. */
+        void onRouterCount(int live);
+
+        /** A controller is unreachable; what was sent to it last may be lost. */
+        void onControllerLost();
+
+        /** Another router has published updates of its prefix-cache sources. */
+        void onPrefixCacheBatch(byte[] batch);
+    }
+
+    private final UpdateHandler handler;
+    private final MergedInstanceView mergedInstances = new MergedInstanceView();
+    /** The connected controllers, and how many routers each of them has reported last. */
+    private final Map<PeerConnection, Integer> reportedRouters = new HashMap<>();
+    /** Addresses of known controllers; those that were named or lost last are at the end. */
+    private final Set<String> controllers = new LinkedHashSet<>();
+
+    private PeerConnections transport;
+    /** Connections on which the complete configuration was requested and has not arrived yet. */
+    private final Set<PeerConnection> awaitingCompleteDocument = new HashSet<>();
+
+    private ConfigurationInForce configuration = ConfigurationInForce.NONE;
+    /** The instances in effect; null until a controller has sent some. */
+    private List<Instance> instances;
+
+    /** Links without a transport; see {@link #start}. */
+    public ControllerLinks(UpdateHandler handler) {
+        this.handler = handler;
+    }
+
+    /** Connects to the seed controllers; to be called once, before any connection is up. */
+    public void start(PeerConnections ownTransport, Collection<String> seeds) {
+        transport = ownTransport;
+        addControllers(seeds);
+    }
+
+    /** Connects to the controllers that were not known before. */
+    public void addControllers(Collection<String> addresses) {
+        for (String address : addresses) {
+            if (!moveToEnd(address) && makeRoom(addresses)) {
+                controllers.add(address);
+                transport.connect(Addresses.parse(address));
+            }
+        }
+    }
+
+    /** Returns whether the address is known. */
+    private boolean moveToEnd(String address) {
+        return controllers.remove(address) && controllers.add(address);
+    }
+
+    private boolean makeRoom(Collection<String> named) {
+        if (controllers.size() < MAX_CONTROLLERS) {
+            return true;
+        }
+        Set<String> needed = new HashSet<>(named);
+        reportedRouters
+                .keySet()
+                .forEach(connection -> needed.add(connection.peerHello().address()));
+        for (String address : controllers) {
+            if (!needed.contains(address)) {
+                controllers.remove(address);
+                transport.disconnect(Addresses.parse(address));
+                return true;
+            }
+        }
+        return false;
+    }
+
+    /** Whether more than half of the known controllers are connected. */
+    public boolean hasQuorumContact() {
+        return 2 * reportedRouters.size() > controllers.size();
+    }
+
+    /** Whether a configuration is in force and instances were received: requests can be served. */
+    public boolean isInformed() {
+        return configuration.version() > 0 && instances != null;
+    }
+
+    /**
+     * The connected controller through which a router publishes its prefix-cache updates: by rendezvous
+     * hashing, and one of the router's own zone if there is one. Empty if no controller is connected.
+     */
+    public Optional<PeerConnection> publishingController(String router, String zone) {
+        PeerConnection best = null;
+        double bestScore = -1;
+        for (PeerConnection connection : reportedRouters.keySet()) {
+            double sameZone = connection.peerHello().zone().equals(zone) ? 1 : 0;
+            double score =
+                    sameZone + RendezvousAssignment.score(connection.peerHello().nodeName(), router);
+            if (score > bestScore) {
+                bestScore = score;
+                best = connection;
+            }
+        }
+        return Optional.ofNullable(best);
+    }
+
+    @Override
+    public void onConnected(PeerConnection connection) {
+        Logger.info("controller connected: node={}", connection.peerHello().nodeName());
+        reportedRouters.put(connection, 1);
+        acknowledgeConfiguration(connection);
+    }
+
+    @Override
+    public void onMessage(PeerConnection connection, NodeMessage message) {
+        if (message instanceof ConfigurationUpdate update) {
+            onConfiguration(connection, new ConfigurationInForce(update.version(), update.json()));
+        } else if (message instanceof ConfigurationChange change) {
+            onConfigurationChange(connection, change);
+        } else if (message instanceof InstancesUpdate update) {
+            mergedInstances.onUpdate(connection.peerHello().nodeName(), update.whole(), update.instances());
+            applyInstances();
+            connection.send(new InstancesAck(update.revision()));
+        } else if (message instanceof FleetUpdate update) {
+            addControllers(update.controllers());
+            reportedRouters.put(connection, update.routers());
+            applyRouterCount();
+        } else if (message instanceof PrefixCacheEvents events) {
+            handler.onPrefixCacheBatch(events.batch());
+        }
+    }
+
+    /** Every controller sends each change: only the first one has an effect. */
+    private void applyInstances() {
+        List<Instance> newer = mergedInstances.instances();
+        if (!newer.equals(instances)) {
+            instances = newer;
+            handler.onInstances(mergedInstances);
+        }
+    }
+
+    private void onConfigurationChange(PeerConnection connection, ConfigurationChange change) {
+        if (change.isCompleteDocument()) {
+            awaitingCompleteDocument.remove(connection);
+        }
+        if (change.version() <= configuration.version()) {
+            acknowledgeConfiguration(connection);
+            return;
+        }
+        try {
+            onConfiguration(connection, configuration.apply(change));
+        } catch (DeltaMismatch mismatch) {
+            Logger.warn(
+                    "configuration change rejected: controller={} base={} version={} inForce={} error={}",
+                    connection.peerHello().nodeName(),
+                    change.base(),
+                    change.version(),
+                    configuration.version(),
+                    mismatch.getMessage());
+            requestCompleteDocument(connection, change);
+        }
+    }
+
+    /** Requests it once. A broken complete document is not requested again, as it would come the same. */
+    private void requestCompleteDocument(PeerConnection connection, ConfigurationChange rejected) {
+        if (!rejected.isCompleteDocument() && awaitingCompleteDocument.add(connection)) {
+            connection.send(new FetchConfiguration());
+        }
+    }
+
+    private void onConfiguration(PeerConnection connection, ConfigurationInForce newer) {
+        if (newer.version() > configuration.version()) {
+            if (!handler.onConfiguration(newer.version(), newer.document())) {
+                return;
+            }
+            configuration = newer;
+            Logger.info("configuration in force: version={}", configuration.version());
+            reportedRouters.keySet().forEach(this::acknowledgeConfiguration);
+        } else {
+            acknowledgeConfiguration(connection);
+        }
+    }
+
+    private void acknowledgeConfiguration(PeerConnection connection) {
+        connection.send(new ConfigurationAck(configuration.version()));
+    }
+
+    @Override
+    public void onDisconnected(PeerConnection connection) {
+        Logger.info("controller disconnected: node={}", connection.peerHello().nodeName());
+        awaitingCompleteDocument.remove(connection);
+        moveToEnd(connection.peerHello().address());
+        if (reportedRouters.remove(connection) != null) {
+            mergedInstances.onControllerLost(connection.peerHello().nodeName());
+            applyInstances();
+            handler.onControllerLost();
+        }
+    }
+
+    private void applyRouterCount() {
+        int highest = 1;
+        for (int reported : reportedRouters.values()) {
+            highest = Math.max(highest, reported);
+        }
+        handler.onRouterCount(highest);
+    }
+}
--- a/router/src/main/java/burlarch/router/SynchronizedPlanner.java
+++ b/router/src/main/java/burlarch/router/forwarding/SynchronizedPlanner.java
@@ -1,4 +1,4 @@
-package burlarch.router;
+package burlarch.router.forwarding;
 
 import burlarch.configuration.Configuration;
 import burlarch.routing.AttemptOutcome;
@@ -7,23 +7,25 @@
 import burlarch.routing.RouteRequest;
 import burlarch.routing.ServerLoad;
 
-/** Calls the planner under the lock that all its callers share. */
-final class SynchronizedPlanner {
+/** Calls the planner under the lock that all its callers share. May be called on any thread. */
+public final class SynchronizedPlanner {
     private final Planner planner;
     private final Object lock;
 
-    SynchronizedPlanner(Planner planner, Object lock) {
+    /** @param lock guards the planner; every other caller of the planner holds it too */
+    public SynchronizedPlanner(Planner planner, Object lock) {
         this.planner = planner;
         this.lock = lock;
     }
 
-    void configuration(Configuration configuration) {
+    /** A configuration comes into force. */
+    public void onConfiguration(Configuration configuration) {
         synchronized (lock) {
             planner.onConfiguration(configuration, System.nanoTime());
         }
     }
 
-    /** Places an attempt; one that is to be sent counts as sent from here on. */
+    /** Places an attempt; one that is to be sent counts as sent from now on. */
     Placement place(RouteRequest request, int attempt) {
         synchronized (lock) {
             long now = System.nanoTime();
@@ -35,19 +37,19 @@
         }
     }
 
-    void first(RouteRequest request, Placement.Send send) {
+    void onFirstEvent(RouteRequest request, Placement.Send send) {
         synchronized (lock) {
             planner.onFirstEvent(request, send, System.nanoTime());
         }
     }
 
-    void ended(RouteRequest request, Placement.Send send, AttemptOutcome outcome, ServerLoad load) {
+    void onEnded(RouteRequest request, Placement.Send send, AttemptOutcome outcome, ServerLoad load) {
         synchronized (lock) {
             planner.onEnded(request, send, outcome, load, System.nanoTime());
         }
     }
 
-    void weights(String instance, String model, long version) {
+    void onWeightsVersion(String instance, String model, long version) {
         synchronized (lock) {
             planner.onWeightsVersion(instance, model, version, System.nanoTime());
         }
--- /dev/null
+++ b/router/src/main/java/burlarch/router/lifecycle/InFlightRequests.java
@@ -0,0 +1,50 @@
+package burlarch.router.lifecycle;
+
+import java.util.Collection;
+import java.util.HashSet;
+import java.util.Set;
+import org.eclipse.jetty.io.Connection;
+import org.eclipse.jetty.io.EndPoint;
+
+/**
+ * The client connections with a request in flight: from its head until the last byte of its response is
+ * written. A connection carries one request at a time, so the set is bounded by the number of connections. May
+ * be called on any thread; guarded by this.
+ */
+public final class InFlightRequests {
+    private final Set<EndPoint> inFlight = new HashSet<>();
+
+    /** The head of a request has been received. */
+    public synchronized void begin(EndPoint endPoint) {
+        inFlight.add(endPoint);
+    }
+
+    /** The response is written, or its connection is closed. */
+    public synchronized void end(EndPoint endPoint) {
+        inFlight.remove(endPoint);
+    }
+
+    /** Number of requests without a complete response. */
+    public synchronized int count() {
+        return inFlight.size();
+    }
+
+    /**
+     * Closes the connections that are idle between two requests; a new connection may still send its first
+     * request. A request that arrives on one of them at the same moment finds its connection closed when it
+     * begins.
+     */
+    synchronized void closeIdleConnections(Collection<EndPoint> connected) {
+        for (EndPoint endPoint : connected) {
+            if (!inFlight.contains(endPoint) && isIdleBetweenRequests(endPoint)) {
+                endPoint.close();
+            }
+        }
+    }
+
+    /** Whether a request was answered on the connection and no byte of a next one has been read. */
+    private static boolean isIdleBetweenRequests(EndPoint endPoint) {
+        Connection connection = endPoint.getConnection();
+        return connection != null && connection.getMessagesIn() > 0 && endPoint.isFillInterested();
+    }
+}
--- a/router/src/main/java/burlarch/router/prefixcache/KvUpdateBatchCodec.java
+++ b/router/src/main/java/burlarch/router/prefixcache/KvUpdateBatchCodec.java
@@ -12,23 +12,23 @@
 import java.util.Map;
 
 /**
- * What routers pass on to one another, as bytes: a version, the salts as texts, then for each piece of news
- * its source, epoch, place and events. Numbers are varints of seven bits a byte, the low ones first; ids of
- * parts have four bytes where these suffice and eight otherwise. The model of an event is left out: the salt
- * names it.
+ * Binary format of the updates that routers publish to one another: a version, the salts as texts, then for
+ * each update its source, epoch, offsets and events. Numbers are varints of seven bits a byte, the low ones
+ * first; ids of parts have four bytes if these suffice and eight otherwise. The model of an event is left out:
+ * the salt identifies it. Stateless.
  */
 public final class KvUpdateBatchCodec {
     private static final int VERSION = 1;
-    private static final int LIST = 1;
+    private static final int SNAPSHOT = 1;
     private static final int LOST = 2;
     private static final int ADDED = 1;
     private static final int WIDE = 2;
     private static final int FLAG_BITS = 2;
-    private static final int MOST_TEXT_BYTES = 1_024;
+    private static final int MAX_TEXT_BYTES = 1_024;
 
     private KvUpdateBatchCodec() {}
 
-    /** Bytes that are no batch of this version. */
+    /** The bytes are no batch of this version; nothing of them may be used. */
     public static final class MalformedBatchException extends Exception {
         private static final long serialVersionUID = 1;
 
@@ -45,31 +45,31 @@
         out.number(salts.size());
         salts.keySet().forEach(out::text);
         out.number(batch.size());
-        for (KvUpdate news : batch) {
-            encode(news, salts, out);
+        for (KvUpdate update : batch) {
+            encode(update, salts, out);
         }
         return out.toByteArray();
     }
 
     private static Map<String, Integer> salts(List<KvUpdate> batch) {
         Map<String, Integer> salts = new LinkedHashMap<>();
-        for (KvUpdate news : batch) {
-            for (KvEvent event : news.events().events()) {
+        for (KvUpdate update : batch) {
+            for (KvEvent event : update.events().events()) {
                 salts.putIfAbsent(event.salt(), salts.size());
             }
         }
         return salts;
     }
 
-    private static void encode(KvUpdate news, Map<String, Integer> salts, Output out) {
-        KvEvents kept = news.events();
-        out.write((news.snapshot() ? LIST : 0) | (kept.lost() ? LOST : 0));
-        out.text(kept.source());
-        out.number(kept.epoch());
-        out.number(news.since());
-        out.number(news.next() - news.since());
-        out.number(kept.events().size());
-        for (KvEvent event : kept.events()) {
+    private static void encode(KvUpdate update, Map<String, Integer> salts, Output out) {
+        KvEvents events = update.events();
+        out.write((update.snapshot() ? SNAPSHOT : 0) | (events.lost() ? LOST : 0));
+        out.text(events.source());
+        out.number(events.epoch());
+        out.number(update.since());
+        out.number(update.next() - update.since());
+        out.number(events.events().size());
+        for (KvEvent event : events.events()) {
             boolean wide = event.part() >>> Integer.SIZE != 0;
             int flags = (event.added() ? ADDED : 0) | (wide ? WIDE : 0);
             out.number((long) salts.get(event.salt()) << FLAG_BITS | flags);
@@ -78,34 +78,38 @@
         }
     }
 
-    /** Reads what {@link #encode} made. */
+    /**
+     * Decodes what {@link #encode} has produced.
+     *
+     * @throws MalformedBatchException if the bytes are truncated, malformed or of another version
+     */
     public static List<KvUpdate> decode(byte[] bytes) throws MalformedBatchException {
         Input in = new Input(bytes);
         try {
             return decode(in);
         } catch (IndexOutOfBoundsException e) {
-            throw new MalformedBatchException("cut off after " + bytes.length + " bytes");
+            throw new MalformedBatchException("truncated after " + bytes.length + " bytes");
         }
     }
 
     private static List<KvUpdate> decode(Input in) throws MalformedBatchException {
         if (in.next() != VERSION) {
-            throw new MalformedBatchException("another version");
+            throw new MalformedBatchException("unknown version");
         }
         int count = in.count();
         String[] salts = new String[count];
         for (int i = 0; i < count; i++) {
             salts[i] = in.text();
         }
-        int pieces = in.count();
-        List<KvUpdate> batch = new ArrayList<>(pieces);
-        for (int i = 0; i < pieces; i++) {
-            batch.add(news(in, salts));
+        int updates = in.count();
+        List<KvUpdate> batch = new ArrayList<>(updates);
+        for (int i = 0; i < updates; i++) {
+            batch.add(update(in, salts));
         }
         return batch;
     }
 
-    private static KvUpdate news(Input in, String[] salts) throws MalformedBatchException {
+    private static KvUpdate update(Input in, String[] salts) throws MalformedBatchException {
         int flags = in.next();
         String source = in.text();
         long epoch = in.number();
@@ -119,8 +123,8 @@
             long part = in.fixed((head & WIDE) != 0 ? Long.BYTES : Integer.BYTES);
             events.add(new KvEvent((head & ADDED) != 0, salt, part, (int) in.number(), ""));
         }
-        KvEvents kept = new KvEvents(source, epoch, (flags & LOST) != 0, events);
-        return new KvUpdate(kept, (flags & LIST) != 0, since, next);
+        KvEvents decoded = new KvEvents(source, epoch, (flags & LOST) != 0, events);
+        return new KvUpdate(decoded, (flags & SNAPSHOT) != 0, since, next);
     }
 
     private static final class Output extends ByteArrayOutputStream {
@@ -154,36 +158,36 @@
 
     /** Every read beyond the end throws IndexOutOfBoundsException. */
     private static final class Input {
-        private static final int MOST_SHIFT = 63;
+        private static final int MAX_SHIFT = 63;
 
         private final byte[] bytes;
-        private int at;
+        private int offset;
 
         Input(byte[] bytes) {
             this.bytes = bytes;
         }
 
         int next() {
-            return bytes[at++] & 0xff;
+            return bytes[offset++] & 0xff;
         }
 
         long number() throws MalformedBatchException {
             long value = 0;
-            for (int shift = 0; shift <= MOST_SHIFT; shift += 7) {
+            for (int shift = 0; shift <= MAX_SHIFT; shift += 7) {
                 int read = next();
                 value |= (long) (read & 0x7F) << shift;
                 if (read < 0x80) {
                     return value;
                 }
             }
-            throw new MalformedBatchException("a number without end");
+            throw new MalformedBatchException("number too long");
         }
 
-        /** Of things that take a byte each at the least. */
+        /** A count of items that take at least one byte each. */
         int count() throws MalformedBatchException {
             long count = number();
-            if (count < 0 || count > bytes.length - at) {
-                throw new MalformedBatchException("a count of " + count);
+            if (count < 0 || count > bytes.length - offset) {
+                throw new MalformedBatchException("count out of range: " + count);
             }
             return (int) count;
         }
@@ -198,11 +202,11 @@
 
         String text() throws MalformedBatchException {
             int length = count();
-            if (length > MOST_TEXT_BYTES) {
-                throw new MalformedBatchException("a text of " + length + " bytes");
+            if (length > MAX_TEXT_BYTES) {
+                throw new MalformedBatchException("text too long: bytes=" + length);
             }
-            String text = new String(bytes, at, length, UTF_8);
-            at += length;
+            String text = new String(bytes, offset, length, UTF_8);
+            offset += length;
             return text;
         }
     }
--- a/router/src/main/java/burlarch/router/prefixcache/OutgoingBatch.java
+++ b/router/src/main/java/burlarch/router/prefixcache/OutgoingBatch.java
@@ -4,33 +4,37 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** News that waits to be passed on together. It leaves when it is old or much; what is more is not kept. */
+/**
+ * Updates that wait to be published together. A batch is sent when its oldest update has waited for
+ * {@link #DELAY_NANOS} or when it is full. Not thread-safe.
+ */
 public final class OutgoingBatch {
-    /** How long the oldest piece waits, nanoseconds. */
+    /** How long the oldest update waits. */
     public static final long DELAY_NANOS = 50_000_000;
 
-    private static final int FULL_EVENTS = 64;
+    /** A batch with that many updates, or that many events in them, is full. */
+    private static final int FULL_COUNT = 64;
 
     private List<KvUpdate> waiting = new ArrayList<>();
-    private int events;
+    private int eventCount;
 
-    /** @return whether it is the first that waits, so that the time begins with it */
-    public boolean add(KvUpdate news) {
-        waiting.add(news);
-        events += news.events().events().size();
+    /** @return whether the update is the first of its batch, so that the delay starts with it */
+    public boolean add(KvUpdate update) {
+        waiting.add(update);
+        eventCount += update.events().events().size();
         return waiting.size() == 1;
     }
 
-    /** Whether it is to leave at once. */
+    /** Whether the batch must be sent at once. */
     public boolean isFull() {
-        return events >= FULL_EVENTS || waiting.size() >= FULL_EVENTS;
+        return eventCount >= FULL_COUNT || waiting.size() >= FULL_COUNT;
     }
 
-    /** What waits, which is then gone from here; empty where nothing does. */
+    /** Removes and returns the updates that wait; empty if there are none. */
     public List<KvUpdate> take() {
         List<KvUpdate> taken = waiting;
         waiting = new ArrayList<>();
-        events = 0;
+        eventCount = 0;
         return taken;
     }
 }
--- a/router/src/main/java/burlarch/router/prefixcache/SourceAssignment.java
+++ b/router/src/main/java/burlarch/router/prefixcache/SourceAssignment.java
@@ -6,25 +6,24 @@
 import java.util.TreeSet;
 
 /**
- * Which sources a router reads itself. Each source holds few calls at once. While it can hold one of every
- * router, all read it. Beyond, one router does, by rendezvous over those that live, and passes on what it
- * read. No other stands by: all know how far a source was read, so the next owner goes on from there and
- * loses nothing.
+ * Which sources a router reads itself. Each source holds only a few calls at once. As long as it can hold one
+ * of every router, all routers read it. Otherwise a single router reads it, chosen by rendezvous hashing over
+ * the live routers, and publishes what it has read. It needs no standby: all routers know up to which offset
+ * the source was read, so the next reader continues from there and misses nothing. Immutable.
  */
 public final class SourceAssignment {
-    /**
-     * Places at a source that are left to others, and to calls that have not ended yet when the next one
-     * begins.
-     */
-    private static final int PLACES_LEFT = 2;
+    /** Calls that are left to others, and to calls that have not ended when the next one begins. */
+    private static final int RESERVED_CALLS = 2;
 
     private final String self;
     private final int routers;
     private final Set<String> others;
 
     /**
-     * @param routers how many live, this one included, as far as is known
-     * @param others names of the other live routers that are known; fewer than those at times
+     * The assignment for one set of routers.
+     *
+     * @param routers number of live routers, this one included, as far as is known
+     * @param others names of the other live routers that are known; at times fewer than that number
      */
     public SourceAssignment(String self, int routers, Collection<String> others) {
         this.self = self;
@@ -33,25 +32,34 @@
         this.others.remove(self);
     }
 
-    /** Whether the source has one owner rather than being read by all. */
-    public boolean isShared(int places) {
-        return routers > followers(places);
+    /**
+     * Whether a single router reads a source for all.
+     *
+     * @param callLimit how many calls the source holds at once
+     */
+    public boolean isShared(int callLimit) {
+        return routers > maxReaders(callLimit);
     }
 
-    /** Whether this router reads the source. */
-    public boolean isReader(String source, int places) {
-        return !isShared(places) || mayOwn(source, places) && isFirst(source);
+    /**
+     * Whether this router reads the source.
+     *
+     * @param callLimit how many calls the source holds at once
+     */
+    public boolean isReader(String source, int callLimit) {
+        return !isShared(callLimit) || mayBeReader(source, callLimit) && hasHighestScore(source);
     }
 
     /**
-     * A router that knows few others yet would own nearly all. Those alone may that are among the few that
-     * the source could bear; the best of all is among them but for one case in thousands.
+     * Limits the sources of a router that knows few others yet and would otherwise read nearly all. Only those
+     * routers may read a source whose score is among the best that the source could bear; the best one of all
+     * is among them except in one case in thousands.
      */
-    private boolean mayOwn(String source, int places) {
-        return 1 - RendezvousAssignment.score(self, source) < (double) followers(places) / routers;
+    private boolean mayBeReader(String source, int callLimit) {
+        return 1 - RendezvousAssignment.score(self, source) < (double) maxReaders(callLimit) / routers;
     }
 
-    private boolean isFirst(String source) {
+    private boolean hasHighestScore(String source) {
         double own = RendezvousAssignment.score(self, source);
         for (String other : others) {
             double score = RendezvousAssignment.score(other, source);
@@ -62,7 +70,7 @@
         return true;
     }
 
-    private static int followers(int places) {
-        return Math.max(1, places - PLACES_LEFT);
+    private static int maxReaders(int callLimit) {
+        return Math.max(1, callLimit - RESERVED_CALLS);
     }
 }
--- a/router/src/main/java/burlarch/router/prefixcache/SourceOffsets.java
+++ b/router/src/main/java/burlarch/router/prefixcache/SourceOffsets.java
@@ -8,86 +8,92 @@
 import java.util.Set;
 
 /**
- * How far each source's events are known, whoever read them: what comes twice is dropped, and what comes
- * after a gap is marked so. Two readers of one source at a time do no harm.
+ * Up to which offset the events of each source are known, whichever router has read them. It drops duplicates
+ * and marks updates that follow a gap, so it is safe that two routers read one source for a while. No I/O, no
+ * clock, not thread-safe.
  */
 public final class SourceOffsets {
-    /** Sources beyond this number are not checked. */
-    private static final int MOST_SOURCES = 8_192;
+    /** Updates of further sources are neither checked for duplicates nor for gaps. */
+    private static final int MAX_SOURCES = 8_192;
 
-    private final Map<String, Known> known = new HashMap<>();
+    private final Map<String, SourceState> sources = new HashMap<>();
 
-    private static final class Known {
+    private static final class SourceState {
         private long epoch;
         private long next;
         private long formerEpoch;
         private boolean restarted;
 
-        Known(long epoch, long next) {
+        SourceState(long epoch, long next) {
             this.epoch = epoch;
             this.next = next;
         }
 
-        void restart(long newer) {
+        void onRestart(long newEpoch) {
             formerEpoch = epoch;
             restarted = true;
-            epoch = newer;
+            epoch = newEpoch;
             next = 0;
         }
     }
 
-    /** What of it is to be taken in, or null where it is known already. */
-    public KvUpdate accept(KvUpdate news) {
-        Known source = known.get(news.events().source());
+    /**
+     * Checks an update against the offset of its source, and advances the offset.
+     *
+     * @return the update to apply, with events marked as lost if it follows a gap; null if it is a duplicate
+     */
+    public KvUpdate accept(KvUpdate update) {
+        SourceState source = sources.get(update.events().source());
         if (source == null) {
-            return first(news);
+            return acceptFirst(update);
         }
-        if (news.events().epoch() != source.epoch) {
-            if (source.restarted && news.events().epoch() == source.formerEpoch) {
+        if (update.events().epoch() != source.epoch) {
+            if (source.restarted && update.events().epoch() == source.formerEpoch) {
                 return null;
             }
-            source.restart(news.events().epoch());
-            return advance(source, news, !news.snapshot() && news.since() > 0);
+            source.onRestart(update.events().epoch());
+            return advance(source, update, !update.snapshot() && update.since() > 0);
         }
-        if (news.snapshot()) {
-            return news.next() < source.next ? null : advance(source, news, false);
+        if (update.snapshot()) {
+            return update.next() < source.next ? null : advance(source, update, false);
         }
-        boolean nothingNew = news.next() <= source.next && !news.events().lost();
-        return nothingNew ? null : advance(source, news, news.since() > source.next);
+        boolean duplicate = update.next() <= source.next && !update.events().lost();
+        return duplicate ? null : advance(source, update, update.since() > source.next);
     }
 
-    private KvUpdate first(KvUpdate news) {
-        if (known.size() < MOST_SOURCES) {
-            known.put(news.events().source(), new Known(news.events().epoch(), news.next()));
+    private KvUpdate acceptFirst(KvUpdate update) {
+        if (sources.size() < MAX_SOURCES) {
+            sources.put(
+                    update.events().source(), new SourceState(update.events().epoch(), update.next()));
         }
-        return marked(news, !news.snapshot() && news.since() > 0);
+        return withGap(update, !update.snapshot() && update.since() > 0);
     }
 
-    private static KvUpdate advance(Known source, KvUpdate news, boolean gap) {
-        source.next = Math.max(source.next, news.next());
-        return marked(news, gap);
+    private static KvUpdate advance(SourceState source, KvUpdate update, boolean gap) {
+        source.next = Math.max(source.next, update.next());
+        return withGap(update, gap);
     }
 
-    private static KvUpdate marked(KvUpdate news, boolean gap) {
-        KvEvents kept = news.events();
-        if (!gap || kept.lost()) {
-            return news;
+    private static KvUpdate withGap(KvUpdate update, boolean gap) {
+        KvEvents events = update.events();
+        if (!gap || events.lost()) {
+            return update;
         }
         return new KvUpdate(
-                new KvEvents(kept.source(), kept.epoch(), true, kept.events()),
-                news.snapshot(),
-                news.since(),
-                news.next());
+                new KvEvents(events.source(), events.epoch(), true, events.events()),
+                update.snapshot(),
+                update.since(),
+                update.next());
     }
 
-    /** How far the source is known, or null where it is not. */
+    /** Up to which offset the source is known; null if it is unknown. */
     public KvOffset offsetOf(String source) {
-        Known position = known.get(source);
-        return position == null ? null : new KvOffset(position.epoch, position.next);
+        SourceState state = sources.get(source);
+        return state == null ? null : new KvOffset(state.epoch, state.next);
     }
 
-    /** Forgets all sources but these. */
-    public void retain(Set<String> sources) {
-        known.keySet().retainAll(sources);
+    /** Forgets all other sources. */
+    public void retain(Set<String> names) {
+        sources.keySet().retainAll(names);
     }
 }
--- a/router/src/main/java/burlarch/router/prefixcache/package-info.java
+++ b/router/src/main/java/burlarch/router/prefixcache/package-info.java
@@ -1,5 +1,11 @@
 /**
- * Reading of events shared by many routers: who reads which source, in which form it is passed on, and what
- * of it is new to a receiver. No I/O, no clock, no threads.
+ * Subscription of routers to the prefix-cache events of engines and stores ("sources"): which router reads
+ * which source, how updates are published to the other routers, and how duplicates and gaps are recognised.
+ *
+ * <p>Threads: {@link burlarch.router.prefixcache.SourceSubscriptions} and the batches live on the event loop;
+ * updates of own sources arrive on threads of the HTTP client. State:
+ * {@link burlarch.router.prefixcache.PrefixIndexUpdater} owns the offsets, guarded by the planner's lock;
+ * {@code SourceSubscriptions} owns which sources are read. Nothing is stored: after a restart a router reads
+ * each source from its oldest event.
  */
 package burlarch.router.prefixcache;
--- a/router/src/main/java/burlarch/router/ClientConnectionFactory.java
+++ b/router/src/main/java/burlarch/router/server/ClientConnectionFactory.java
@@ -1,4 +1,4 @@
-package burlarch.router;
+package burlarch.router.server;
 
 import org.eclipse.jetty.http.HttpException;
 import org.eclipse.jetty.http.HttpGenerator;
@@ -10,12 +10,17 @@
 import org.eclipse.jetty.server.internal.HttpConnection;
 
 /**
- * Makes connections that leave the framing of chunks to {@link ClientResponse}, and take no request for whole
- * that its client's end has cut. Jetty's own framing sends the line end behind a chunk with the next one
- * only: a client that waits for it would see each event too late.
+ * Creates client connections that differ from Jetty's in two points.
+ *
+ * <ul>
+ *   <li>The chunked framing is left to {@link ClientResponse}. Jetty sends the line end of a chunk together
+ *       with the next chunk: a client that waits for it would receive each event too late.
+ *   <li>A request whose body was cut off by the end of input is never taken for complete.
+ * </ul>
  */
-final class ClientConnectionFactory extends HttpConnectionFactory {
-    ClientConnectionFactory(HttpConfiguration configuration) {
+public final class ClientConnectionFactory extends HttpConnectionFactory {
+    /** A factory whose connections follow that configuration, also when it changes later. */
+    public ClientConnectionFactory(HttpConfiguration configuration) {
         super(configuration);
     }
 
@@ -31,7 +36,7 @@
 
         @Override
         protected RequestHandler newRequestHandler() {
-            return new WholeRequests();
+            return new CompleteRequests();
         }
 
         @Override
@@ -40,11 +45,11 @@
         }
 
         /**
-         * Tells of each request that the end of input cut within its body. Jetty's own takes a chunked body
-         * for whole where only the last line end is missing, and may end one in silence behind a chunk's
-         * bytes.
+         * Reports each request that the end of input has cut off within its body. Jetty takes a chunked body
+         * for complete if only the last line end is missing, and may end one silently after the bytes of a
+         * chunk.
          */
-        private final class WholeRequests extends RequestHandler {
+        private final class CompleteRequests extends RequestHandler {
             @Override
             public boolean messageComplete() {
                 if (getParser().isAtEOF()) {
@@ -65,7 +70,7 @@
         }
     }
 
-    /** Announces chunks in the head, and takes the body as framed already. */
+    /** Announces chunks in the head, and expects a body that is already framed. */
     private static final class UnframedGenerator extends HttpGenerator {
         @Override
         public boolean isChunking() {
--- a/router/src/main/java/burlarch/router/ClientDisconnectWatcher.java
+++ b/router/src/main/java/burlarch/router/server/ClientDisconnectWatcher.java
@@ -1,5 +1,6 @@
-package burlarch.router;
+package burlarch.router.server;
 
+import java.io.IOException;
 import java.nio.ByteBuffer;
 import org.eclipse.jetty.io.AbstractEndPoint;
 import org.eclipse.jetty.io.Connection;
@@ -9,35 +10,36 @@
 import org.eclipse.jetty.util.thread.Invocable;
 
 /**
- * Notices that a client closes its connection while its request is being handled, when nobody else reads.
- * Bytes of a next request are handed to the connection, which takes them up after the answer.
+ * Detects that a client closes its connection while its request is being handled and nobody else reads. Bytes
+ * of a next request are handed to the connection, which processes them after the response. Its callbacks come
+ * on Jetty's threads; guarded by this.
  */
 final class ClientDisconnectWatcher implements Callback {
-    private static final int BYTES = 4096;
+    private static final int BUFFER_BYTES = 4096;
 
     private final EndPoint endPoint;
-    private final Runnable onGone;
+    private final Runnable onDisconnect;
     private boolean active;
 
-    ClientDisconnectWatcher(EndPoint endPoint, Runnable onGone) {
+    ClientDisconnectWatcher(EndPoint endPoint, Runnable onDisconnect) {
         this.endPoint = endPoint;
-        this.onGone = onGone;
+        this.onDisconnect = onDisconnect;
     }
 
-    /** Begins to watch; call it once the request is read whole. */
+    /** Starts to watch; to be called once the request has been read completely. */
     synchronized void start() {
         active = endPoint instanceof AbstractEndPoint && endPoint.tryFillInterested(this);
     }
 
-    /** As {@link #start}, but tells at once, by returning true, that the client has already left. */
-    synchronized boolean startAfterLook() {
+    /** As {@link #start}, but returns true if the client has already left. */
+    synchronized boolean startAndCheck() {
         if (!(endPoint instanceof AbstractEndPoint)) {
             return false;
         }
-        return hasLeft();
+        return hasDisconnected();
     }
 
-    /** Stops it; must come before the answer's last write, as the connection then reads itself. */
+    /** Stops watching; must precede the last write of the response, as the connection reads itself after it. */
     void stop() {
         synchronized (this) {
             if (!active) {
@@ -50,21 +52,21 @@
 
     @Override
     public void succeeded() {
-        boolean gone;
+        boolean disconnected;
         synchronized (this) {
             if (!active) {
                 return;
             }
             active = false;
-            gone = hasLeft();
+            disconnected = hasDisconnected();
         }
-        if (gone) {
-            onGone.run();
+        if (disconnected) {
+            onDisconnect.run();
         }
     }
 
-    private boolean hasLeft() {
-        ByteBuffer buffer = BufferUtil.allocate(BYTES);
+    private boolean hasDisconnected() {
+        ByteBuffer buffer = BufferUtil.allocate(BUFFER_BYTES);
         try {
             int filled = endPoint.fill(buffer);
             if (filled == 0) {
@@ -73,7 +75,7 @@
                 ((Connection.UpgradeTo) endPoint.getConnection()).onUpgradeTo(buffer);
             }
             return filled < 0;
-        } catch (java.io.IOException failure) {
+        } catch (IOException failure) {
             return true;
         }
     }
@@ -86,7 +88,7 @@
             }
             active = false;
         }
-        onGone.run();
+        onDisconnect.run();
     }
 
     @Override
--- /dev/null
+++ b/router/src/main/java/burlarch/router/server/ClientResponse.java
@@ -0,0 +1,176 @@
+package burlarch.router.server;
+
+import burlarch.router.http.ChunkedFraming;
+import burlarch.router.http.Headers;
+import burlarch.router.lifecycle.DrainState;
+import burlarch.router.lifecycle.InFlightRequests;
+import java.nio.ByteBuffer;
+import java.util.Set;
+import org.eclipse.jetty.http.HttpField;
+import org.eclipse.jetty.http.HttpFields;
+import org.eclipse.jetty.http.HttpHeader;
+import org.eclipse.jetty.io.EndPoint;
+import org.eclipse.jetty.io.QuietException;
+import org.eclipse.jetty.server.Request;
+import org.eclipse.jetty.server.Response;
+import org.eclipse.jetty.util.BufferUtil;
+import org.eclipse.jetty.util.Callback;
+
+/**
+ * The response to one request of a client: the forwarded response of an instance, or one of the router's own.
+ * It ends at most once, by {@link #finish}, {@link #respond} or {@link #abort}; the first of them wins. The
+ * calls come one after another. Owned by its exchange.
+ */
+public final class ClientResponse {
+    /** What happens to the client's connection after a response of the router's own. */
+    public enum ConnectionAfter {
+        /** The connection may carry another request, unless the router drains. */
+        REUSABLE,
+        /** The response announces that the connection closes. */
+        CLOSED
+    }
+
+    private final Request request;
+    private final Response response;
+    private final Callback callback;
+    private final InFlightRequests requests;
+    private final DrainState drain;
+    private final EndPoint endPoint;
+    private ClientDisconnectWatcher watcher;
+    private boolean chunked;
+    private boolean ended;
+
+    ClientResponse(Request request, Response response, Callback callback, InFlightRequests requests, DrainState drain) {
+        this.request = request;
+        this.response = response;
+        this.callback = callback;
+        this.requests = requests;
+        this.drain = drain;
+        this.endPoint = request.getConnectionMetaData().getConnection().getEndPoint();
+        requests.begin(endPoint);
+    }
+
+    /** Runs {@code onDisconnect} if the client closes its connection before the response has ended. */
+    public void watchDisconnect(Runnable onDisconnect) {
+        watcher = new ClientDisconnectWatcher(endPoint, onDisconnect);
+        watcher.start();
+    }
+
+    /**
+     * As {@link #watchDisconnect}, for a request that has waited: its client may have left while nobody
+     * watched.
+     *
+     * @return whether the client is still connected
+     */
+    public boolean watchDisconnectAfterWait(Runnable onDisconnect) {
+        watcher = new ClientDisconnectWatcher(endPoint, onDisconnect);
+        return !watcher.startAndCheck();
+    }
+
+    /** Whether the client's connection is still open on this side. */
+    public boolean isConnected() {
+        return endPoint.isOpen();
+    }
+
+    /** Sets status and headers of an instance's response; they are sent with the first write. */
+    public void forwardHead(int status, HttpFields fields) {
+        response.setStatus(status);
+        HttpFields.Mutable headers = response.getHeaders();
+        Set<String> connectionOptions = Headers.connectionOptions(fields);
+        for (HttpField field : fields) {
+            if (Headers.isForwardedToClient(field.getName(), connectionOptions)) {
+                headers.add(field);
+            }
+        }
+        announceCloseIfDraining(headers);
+        chunked = status != 204 && status != 304 && !headers.contains(HttpHeader.CONTENT_LENGTH);
+        if (chunked) {
+            // Set explicitly: a body must not end with the connection, as a truncated one would look complete.
+            headers.put(HttpHeader.TRANSFER_ENCODING, "chunked");
+        }
+    }
+
+    /** Sends bytes of the body at once. The content must not change until {@code written} completes. */
+    public void write(ByteBuffer content, Callback written) {
+        response.write(false, chunked ? ChunkedFraming.chunk(content) : content, written);
+    }
+
+    /**
+     * Ends the response as complete.
+     *
+     * @param lastBytes of a body with a Content-Length
+     */
+    public void finish(ByteBuffer lastBytes) {
+        if (endOnce()) {
+            response.write(true, chunked ? ChunkedFraming.lastChunk() : lastBytes, onWritten());
+        }
+    }
+
+    /**
+     * Ends the response with a status of the router's own and no body.
+     *
+     * @param retryAfter value of Retry-After, or null
+     */
+    public void respond(int status, String retryAfter, ConnectionAfter connection) {
+        if (!endOnce()) {
+            return;
+        }
+        response.setStatus(status);
+        HttpFields.Mutable headers = response.getHeaders();
+        String id = request.getHeaders().get(Headers.REQUEST_ID);
+        if (id != null) {
+            headers.put(Headers.REQUEST_ID, id);
+        }
+        if (retryAfter != null) {
+            headers.put(Headers.RETRY_AFTER, retryAfter);
+        }
+        if (connection == ConnectionAfter.CLOSED) {
+            headers.put(HttpHeader.CONNECTION, "close");
+        }
+        announceCloseIfDraining(headers);
+        headers.put(HttpHeader.CONTENT_LENGTH, 0);
+        response.write(true, BufferUtil.EMPTY_BUFFER, onWritten());
+    }
+
+    /** Closes the client's connection, so that a truncated response does not look complete. */
+    public void abort(Throwable cause) {
+        if (endOnce()) {
+            endPoint.close(cause);
+            onWritten().failed(new QuietException.Exception(cause));
+        }
+    }
+
+    private void announceCloseIfDraining(HttpFields.Mutable headers) {
+        if (drain.closesConnections()) {
+            headers.put(HttpHeader.CONNECTION, "close");
+        }
+    }
+
+    /** The request is in flight until its response is written or its connection is closed. */
+    private Callback onWritten() {
+        return new Callback.Nested(callback) {
+            @Override
+            public void succeeded() {
+                requests.end(endPoint);
+                super.succeeded();
+            }
+
+            @Override
+            public void failed(Throwable cause) {
+                requests.end(endPoint);
+                super.failed(cause);
+            }
+        };
+    }
+
+    private boolean endOnce() {
+        if (ended) {
+            return false;
+        }
+        ended = true;
+        if (watcher != null) {
+            watcher.stop();
+        }
+        return true;
+    }
+}
--- a/router/src/main/java/burlarch/router/EmptyErrorHandler.java
+++ b/router/src/main/java/burlarch/router/server/EmptyErrorHandler.java
@@ -1,4 +1,4 @@
-package burlarch.router;
+package burlarch.router.server;
 
 import org.eclipse.jetty.http.HttpFields;
 import org.eclipse.jetty.http.HttpHeader;
@@ -7,8 +7,8 @@
 import org.eclipse.jetty.util.BufferUtil;
 import org.eclipse.jetty.util.Callback;
 
-/** Answers what is no proper request with its status alone, as the last answer of the connection. */
-final class EmptyErrorHandler implements Request.Handler {
+/** Responds to a malformed request with a status and no body, and closes the connection. */
+public final class EmptyErrorHandler implements Request.Handler {
     @Override
     public boolean handle(Request request, Response response, Callback callback) {
         HttpFields.Mutable headers = response.getHeaders();
--- /dev/null
+++ b/router/src/main/java/burlarch/router/server/RequestReader.java
@@ -0,0 +1,90 @@
+package burlarch.router.server;
+
+import burlarch.configuration.Configuration.Route;
+import burlarch.configuration.Configuration.Tenant;
+import burlarch.configuration.RouteTable;
+import burlarch.router.http.Headers;
+import burlarch.router.http.HintHeaders;
+import burlarch.routing.RouteRequest;
+import org.eclipse.jetty.http.HttpFields;
+import org.eclipse.jetty.http.HttpHeader;
+import org.eclipse.jetty.http.HttpURI;
+
+/** Finds route, tenant, deadline and hints of a request by its head and the configuration in force. */
+public final class RequestReader {
+    private static final long MAX_DEADLINE_MILLIS = 3_600_000;
+    private static final long NANOS_PER_MILLI = 1_000_000;
+    private static final Result BAD_REQUEST = new Rejected(400);
+    private static final Result UNAUTHORIZED = new Rejected(401);
+    private static final Result NOT_FOUND = new Rejected(404);
+
+    private RequestReader() {}
+
+    /** What the configuration says of a request. */
+    public sealed interface Result {}
+
+    /** The request is to be forwarded. */
+    public record Accepted(RouteRequest request) implements Result {}
+
+    /** The request is to be answered with that status. */
+    public record Rejected(int status) implements Result {}
+
+    /**
+     * Reads a request.
+     *
+     * @param receivedNanos when the head was received, by {@link System#nanoTime}
+     */
+    public static Result read(RouteTable table, HttpURI uri, HttpFields fields, long receivedNanos) {
+        String id = Headers.singleValue(fields, Headers.REQUEST_ID);
+        String target = uri.getPathQuery();
+        if (id == null || id.isEmpty() || uri.getFragment() != null || !isForwardable(target)) {
+            return BAD_REQUEST;
+        }
+        Route route = table.match(hostName(fields.get(HttpHeader.HOST)), uri.getPath());
+        if (route == null) {
+            return NOT_FOUND;
+        }
+        String key = Headers.singleValue(fields, Headers.CREDENTIAL);
+        Tenant tenant = key == null ? null : table.tenantOf(key);
+        if (tenant == null && table.requiresKey() && !route.isPublic()) {
+            return UNAUTHORIZED;
+        }
+        int[] usage = HintHeaders.tokenUsage(fields.get("X-Token-Usage"));
+        long deadlineMillis =
+                Math.min(Headers.parseNumber(fields.get(Headers.DEADLINE), MAX_DEADLINE_MILLIS), route.timeoutMillis());
+        return new Accepted(new RouteRequest(
+                id,
+                route,
+                tenant,
+                fields.get("X-Model"),
+                usage[0],
+                usage[1],
+                HintHeaders.promptParts(fields.get("X-Prefix-Hash")),
+                fields.contains(Headers.LAST_EVENT_ID),
+                receivedNanos,
+                receivedNanos + deadlineMillis * NANOS_PER_MILLI));
+    }
+
+    /** The host without its port; the route table matches names in lower case. */
+    private static String hostName(String host) {
+        if (host == null) {
+            return "";
+        }
+        int colon = host.lastIndexOf(':');
+        return colon < 0 ? host : host.substring(0, colon);
+    }
+
+    /** Whether a target can be forwarded byte for byte: visible ASCII only, starting with a slash. */
+    private static boolean isForwardable(String target) {
+        if (target == null) {
+            return false;
+        }
+        for (int i = 0; i < target.length(); i++) {
+            char c = target.charAt(i);
+            if (c <= ' ' || c >= 0x7f) {
+                return false;
+            }
+        }
+        return target.startsWith("/");
+    }
+}
--- a/router/src/main/java/burlarch/router/OrderlyCloseEndPoint.java
+++ b/router/src/main/java/burlarch/router/upstream/OrderlyCloseEndPoint.java
@@ -1,4 +1,4 @@
-package burlarch.router;
+package burlarch.router.upstream;
 
 import java.io.IOException;
 import java.nio.ByteBuffer;
@@ -10,26 +10,27 @@
 import org.eclipse.jetty.util.thread.Scheduler;
 
 /**
- * An end point that tells an orderly end of input from all others. Jetty's own takes a reset, and a close
- * from this side, for an end of input, which would complete an answer that ends with its connection.
+ * An end point that distinguishes an orderly end of input from every other one. Jetty's own reports a reset,
+ * and a close from this side, as an end of input, which would complete a response that ends with its
+ * connection.
  */
 final class OrderlyCloseEndPoint extends SocketChannelEndPoint {
-    /** Whether the peer has ended its side of the connection in order. */
-    private volatile boolean ended;
+    /** Whether the peer has closed its side of the connection in order. */
+    private volatile boolean inputEnded;
 
     OrderlyCloseEndPoint(SocketChannel channel, ManagedSelector selector, SelectionKey key, Scheduler scheduler) {
         super(channel, selector, key, scheduler);
     }
 
     /**
-     * Reads what has come.
+     * Reads the bytes that are available.
      *
-     * @return bytes added to the buffer, 0 where there are none yet, -1 after an orderly end only
+     * @return number of bytes added to the buffer, 0 if none are available, -1 only after an orderly end
      * @throws IOException if the connection was reset, or closed from this side
      */
     @Override
     public int fill(ByteBuffer buffer) throws IOException {
-        if (ended) {
+        if (inputEnded) {
             return -1;
         }
         int position = BufferUtil.flipToFill(buffer);
@@ -42,7 +43,7 @@
         if (filled > 0) {
             notIdle();
         } else if (filled < 0) {
-            ended = true;
+            inputEnded = true;
             shutdownInput();
         }
         return filled;
--- a/router/src/main/java/burlarch/router/ResponseParser.java
+++ b/router/src/main/java/burlarch/router/upstream/ResponseParser.java
@@ -1,5 +1,6 @@
-package burlarch.router;
+package burlarch.router.upstream;
 
+import burlarch.router.http.KeepAliveTimeout;
 import java.io.EOFException;
 import java.io.IOException;
 import java.nio.ByteBuffer;
@@ -9,57 +10,57 @@
 import org.eclipse.jetty.http.HttpParser;
 import org.eclipse.jetty.http.HttpVersion;
 
-/** Parses the answers of one connection, one after another. Used by one thread at a time. */
+/** Parses the responses of one connection, one after another. Used by one thread at a time. */
 final class ResponseParser implements HttpParser.ResponseHandler {
-    private static final int MOST_HEAD_BYTES = 16384;
+    private static final int MAX_HEAD_BYTES = 16384;
     private static final int FIRST_FINAL_STATUS = 200;
 
-    /** Takes the head of a final answer. */
-    interface HeadTaker {
-        /** {@code length} of the body, -1 where the head does not tell it. */
-        void onHead(int status, HttpFields fields, long length);
+    /** Receives the head of each final response. */
+    interface HeadListener {
+        /** {@code contentLength} of the body in bytes; -1 if the head does not state it. */
+        void onHead(int status, HttpFields fields, long contentLength);
     }
 
-    private final HttpParser parser = new HttpParser((HttpParser.ResponseHandler) this, MOST_HEAD_BYTES);
-    private final HeadTaker heads;
+    private final HttpParser parser = new HttpParser((HttpParser.ResponseHandler) this, MAX_HEAD_BYTES);
+    private final HeadListener heads;
     private HttpFields.Mutable fields;
     private int status;
     private ByteBuffer content;
     private boolean complete;
-    private Throwable broken;
-    private KeepAliveTimeout keepAlive = KeepAliveTimeout.UNTOLD;
+    private Throwable failure;
+    private KeepAliveTimeout keepAlive = KeepAliveTimeout.UNSPECIFIED;
 
-    ResponseParser(HeadTaker heads) {
+    ResponseParser(HeadListener heads) {
         this.heads = heads;
     }
 
-    /** The next bytes answer a new request. */
+    /** The next bytes belong to the response to a new request. */
     void begin(boolean headMethod) {
         parser.reset();
         parser.setHeadResponse(headMethod);
         complete = false;
     }
 
-    /** Parses up to content, the end of the answer, a fault, or the end of the bytes. */
+    /** Parses up to content, the end of the response, a failure, or the end of the bytes. */
     void parse(ByteBuffer bytes) {
         parser.parseNext(bytes);
     }
 
-    /** No more bytes come. */
-    void atEnd() {
+    /** No more bytes will come. */
+    void onEndOfInput() {
         parser.atEOF();
     }
 
-    boolean isAtEnd() {
+    boolean isAtEndOfInput() {
         return parser.isAtEOF();
     }
 
-    /** Bytes of the body that wait for their taker, or null. */
+    /** Bytes of the body that wait to be processed, or null. */
     ByteBuffer content() {
         return content;
     }
 
-    void contentTaken() {
+    void onContentProcessed() {
         content = null;
     }
 
@@ -67,12 +68,12 @@
         return complete;
     }
 
-    /** Why there is no whole answer, or null. */
-    Throwable broken() {
-        return broken;
+    /** Why there will be no complete response, or null. */
+    Throwable failure() {
+        return failure;
     }
 
-    /** What the last answer said of its connection. */
+    /** What the last response stated of its connection. */
     KeepAliveTimeout keepAlive() {
         return keepAlive;
     }
@@ -82,7 +83,7 @@
         status = code;
         fields = HttpFields.build();
         if (version != HttpVersion.HTTP_1_1) {
-            broken = new IOException("answer in another version of the protocol");
+            failure = new IOException("response in another version of the protocol");
         }
     }
 
@@ -93,8 +94,8 @@
 
     @Override
     public boolean headerComplete() {
-        if (status >= FIRST_FINAL_STATUS && broken == null) {
-            keepAlive = KeepAliveTimeout.of(fields);
+        if (status >= FIRST_FINAL_STATUS && failure == null) {
+            keepAlive = KeepAliveTimeout.parse(fields);
             heads.onHead(status, fields, Math.max(-1, parser.getContentLength()));
         }
         return false;
@@ -117,8 +118,8 @@
             parser.reset();
             return true;
         }
-        if (parser.isAtEOF() && keepAlive.reusable()) {
-            broken = new EOFException("server closed an answer of untold length");
+        if (parser.isAtEOF() && keepAlive.isReusable()) {
+            failure = new EOFException("server closed a response of unknown length");
         }
         complete = true;
         return true;
@@ -126,11 +127,11 @@
 
     @Override
     public void earlyEOF() {
-        broken = new EOFException("server closed early");
+        failure = new EOFException("server closed early");
     }
 
     @Override
-    public void badMessage(HttpException failure) {
-        broken = new IOException("bytes that are no answer: " + failure.getReason());
+    public void badMessage(HttpException cause) {
+        failure = new IOException("malformed response: " + cause.getReason());
     }
 }
--- /dev/null
+++ b/router/src/main/java/burlarch/router/upstream/SendState.java
@@ -0,0 +1,69 @@
+package burlarch.router.upstream;
+
+import java.util.EnumSet;
+import java.util.Set;
+
+/**
+ * What is known of one send of a request to an instance. A send that ends as {@link #PARTLY_SENT},
+ * {@link #SENT} or {@link #ANSWERED_IN_PART} ends with an unknown outcome: the instance may have executed the
+ * request or may yet do so.
+ *
+ * <table>
+ * <caption>Transitions; all others are illegal</caption>
+ * <tr><th>state</th><th>may have run</th><th>next states</th></tr>
+ * <tr><td>NOT_SENT</td><td>no</td><td>PARTLY_SENT, SENT, REJECTED, ANSWERED_IN_PART</td></tr>
+ * <tr><td>PARTLY_SENT</td><td>yes</td><td>SENT, REJECTED, ANSWERED_IN_PART</td></tr>
+ * <tr><td>SENT</td><td>yes</td><td>REJECTED, ANSWERED_IN_PART</td></tr>
+ * <tr><td>ANSWERED_IN_PART</td><td>yes</td><td>ANSWERED</td></tr>
+ * <tr><td>REJECTED</td><td>no</td><td>none</td></tr>
+ * <tr><td>ANSWERED</td><td>yes</td><td>none</td></tr>
+ * </table>
+ */
+public enum SendState {
+    /** No byte was handed to a socket. */
+    NOT_SENT(false),
+    /** Some bytes may be on the wire. An instance may execute a request by its head alone. */
+    PARTLY_SENT(true),
+    /** Every byte was handed to the socket; no final response has begun. */
+    SENT(true),
+    /** The head of a response with the request's id states that it was not executed and never will be. */
+    REJECTED(false),
+    /** The head of a response with the request's id was received, not its end. */
+    ANSWERED_IN_PART(true),
+    /** A complete response with the request's id was received. */
+    ANSWERED(true);
+
+    private final boolean mayHaveRun;
+
+    SendState(boolean mayHaveRun) {
+        this.mayHaveRun = mayHaveRun;
+    }
+
+    /** Whether the instance may have begun to execute the request. */
+    public boolean mayHaveRun() {
+        return mayHaveRun;
+    }
+
+    /**
+     * The only transition function.
+     *
+     * @return {@code next}
+     * @throws IllegalStateException if {@code next} cannot follow this state
+     */
+    public SendState transitionTo(SendState next) {
+        if (!successors().contains(next)) {
+            throw new IllegalStateException(next + " after " + this);
+        }
+        return next;
+    }
+
+    private Set<SendState> successors() {
+        return switch (this) {
+            case NOT_SENT -> EnumSet.of(PARTLY_SENT, SENT, REJECTED, ANSWERED_IN_PART);
+            case PARTLY_SENT -> EnumSet.of(SENT, REJECTED, ANSWERED_IN_PART);
+            case SENT -> EnumSet.of(REJECTED, ANSWERED_IN_PART);
+            case ANSWERED_IN_PART -> EnumSet.of(ANSWERED);
+            case REJECTED, ANSWERED -> EnumSet.noneOf(SendState.class);
+        };
+    }
+}
--- a/router/src/main/java/burlarch/router/UpstreamClient.java
+++ b/router/src/main/java/burlarch/router/upstream/UpstreamClient.java
@@ -1,5 +1,6 @@
-package burlarch.router;
+package burlarch.router.upstream;
 
+import burlarch.router.http.Headers;
 import java.io.IOException;
 import java.net.InetSocketAddress;
 import java.net.StandardSocketOptions;
@@ -15,8 +16,8 @@
 import org.eclipse.jetty.util.IO;
 import org.eclipse.jetty.util.thread.Scheduler;
 
-/** Sends requests to servers, over resting connections where there are any. */
-final class UpstreamClient {
+/** Sends calls to instances, over idle connections where there are any. May be called on any thread. */
+public final class UpstreamClient {
     private static final long SWEEP_MILLIS = 250;
 
     private final UpstreamConnectionPool pool;
@@ -25,19 +26,22 @@
     private final Selector selector;
     private volatile boolean stopped;
 
-    UpstreamClient(Executor executor, Scheduler scheduler, long connectTimeoutMillis) {
+    /** A client that has not been started. */
+    public UpstreamClient(Executor executor, Scheduler scheduler, long connectTimeoutMillis) {
         this.pool = new UpstreamConnectionPool(executor);
         this.scheduler = scheduler;
         this.selector = new Selector(executor, scheduler);
         selector.setConnectTimeout(connectTimeoutMillis);
     }
 
-    void start() throws Exception {
+    /** Starts the selector. */
+    public void start() throws Exception {
         selector.start();
         scheduleSweep();
     }
 
-    void stop() throws Exception {
+    /** Closes all idle connections and stops the selector. */
+    public void stop() throws Exception {
         stopped = true;
         pool.close();
         selector.stop();
@@ -48,20 +52,20 @@
     }
 
     private void sweep() {
-        pool.sweep(System.nanoTime());
+        pool.closeExpired(System.nanoTime());
         if (!stopped) {
             scheduleSweep();
         }
     }
 
-    /** Sends a call. Its listener may hear of it before this returns. */
-    void send(UpstreamCall call) {
-        UpstreamConnection resting = pool.take(call.address(), System.nanoTime());
-        while (resting != null) {
-            if (resting.send(call)) {
+    /** Sends a call. Its listener may be called before this returns. */
+    public void send(UpstreamCall call) {
+        UpstreamConnection idle = pool.take(call.address(), System.nanoTime());
+        while (idle != null) {
+            if (idle.send(call)) {
                 return;
             }
-            resting = pool.take(call.address(), System.nanoTime());
+            idle = pool.take(call.address(), System.nanoTime());
         }
         connect(call);
     }
@@ -84,17 +88,17 @@
         }
     }
 
-    /** IP:PORT without a look-up of names. */
+    /** Parses IP:PORT without a name lookup. */
     private static InetSocketAddress parse(String address) throws IOException {
         int colon = address.lastIndexOf(':');
-        long port = Headers.number(address.substring(colon + 1), -1);
+        long port = Headers.parseNumber(address.substring(colon + 1), -1);
         if (colon <= 0 || port < 1 || port > 65535) {
             throw new IOException("no address: " + address);
         }
         return new InetSocketAddress(address.substring(0, colon), (int) port);
     }
 
-    /** Brings connections up and tells them when there is something to read. */
+    /** Establishes connections and notifies them when there is something to read. */
     private final class Selector extends SelectorManager {
         Selector(Executor executor, Scheduler scheduler) {
             super(executor, scheduler, 1);
--- /dev/null
+++ b/router/src/main/java/burlarch/router/upstream/UpstreamConnectionPool.java
@@ -0,0 +1,114 @@
+package burlarch.router.upstream;
+
+import java.util.ArrayDeque;
+import java.util.ArrayList;
+import java.util.HashMap;
+import java.util.Iterator;
+import java.util.List;
+import java.util.Map;
+import java.util.concurrent.Executor;
+
+/**
+ * Idle connections to instances, by address. The one used last is taken first, so that the others expire. May
+ * be called on any thread; guarded by this. Connections are closed outside of the monitor.
+ */
+final class UpstreamConnectionPool {
+    /** Maximum number of idle connections to one address. */
+    private static final int MAX_IDLE_PER_ADDRESS = 256;
+
+    private static final long NANOS_PER_MILLI = 1_000_000;
+
+    private record IdleConnection(UpstreamConnection connection, long expiresNanos) {
+        boolean hasExpired(long nowNanos) {
+            return expiresNanos - nowNanos <= 0;
+        }
+    }
+
+    private final Executor executor;
+    private final Map<String, ArrayDeque<IdleConnection>> idleByAddress = new HashMap<>();
+    private boolean closed;
+
+    UpstreamConnectionPool(Executor executor) {
+        this.executor = executor;
+    }
+
+    Executor executor() {
+        return executor;
+    }
+
+    /** A connection that has not expired, or null. */
+    UpstreamConnection take(String address, long nowNanos) {
+        List<UpstreamConnection> expired = new ArrayList<>(0);
+        UpstreamConnection taken = take(address, nowNanos, expired);
+        expired.forEach(UpstreamConnection::closeIfIdle);
+        return taken;
+    }
+
+    private synchronized UpstreamConnection take(String address, long nowNanos, List<UpstreamConnection> expired) {
+        ArrayDeque<IdleConnection> stack = idleByAddress.get(address);
+        while (stack != null && !stack.isEmpty()) {
+            IdleConnection idle = stack.pop();
+            if (!idle.hasExpired(nowNanos)) {
+                return idle.connection();
+            }
+            expired.add(idle.connection());
+        }
+        return null;
+    }
+
+    /** Keeps a connection that has become idle, or closes it if there are too many. */
+    void onIdle(UpstreamConnection connection) {
+        long expiresNanos = System.nanoTime() + connection.keepAlive().idleMillis() * NANOS_PER_MILLI;
+        synchronized (this) {
+            ArrayDeque<IdleConnection> stack =
+                    idleByAddress.computeIfAbsent(connection.address(), a -> new ArrayDeque<>());
+            if (!closed && stack.size() < MAX_IDLE_PER_ADDRESS) {
+                stack.push(new IdleConnection(connection, expiresNanos));
+                return;
+            }
+        }
+        connection.closeIfIdle();
+    }
+
+    /** Removes a connection that has closed. */
+    synchronized void onClosed(UpstreamConnection connection) {
+        ArrayDeque<IdleConnection> stack = idleByAddress.get(connection.address());
+        if (stack != null) {
+            stack.removeIf(idle -> idle.connection() == connection);
+        }
+    }
+
+    /** Closes the connections that have been idle for too long. */
+    void closeExpired(long nowNanos) {
+        removeExpired(nowNanos).forEach(UpstreamConnection::closeIfIdle);
+    }
+
+    private synchronized List<UpstreamConnection> removeExpired(long nowNanos) {
+        List<UpstreamConnection> expired = new ArrayList<>(0);
+        for (Iterator<ArrayDeque<IdleConnection>> all = idleByAddress.values().iterator(); all.hasNext(); ) {
+            ArrayDeque<IdleConnection> stack = all.next();
+            for (Iterator<IdleConnection> each = stack.iterator(); each.hasNext(); ) {
+                IdleConnection idle = each.next();
+                if (idle.hasExpired(nowNanos)) {
+                    expired.add(idle.connection());
+                    each.remove();
+                }
+            }
+            if (stack.isEmpty()) {
+                all.remove();
+            }
+        }
+        return expired;
+    }
+
+    /** Closes all idle connections, and from now on each one that becomes idle. */
+    void close() {
+        List<UpstreamConnection> idle = new ArrayList<>();
+        synchronized (this) {
+            closed = true;
+            idleByAddress.values().forEach(stack -> stack.forEach(each -> idle.add(each.connection())));
+            idleByAddress.clear();
+        }
+        idle.forEach(UpstreamConnection::closeIfIdle);
+    }
+}
--- a/router/src/test/java/burlarch/router/DrainTest.java
+++ b/router/src/test/java/burlarch/router/DrainTest.java
@@ -5,6 +5,7 @@
 import static burlarch.router.RouterFixture.request;
 import static org.assertj.core.api.Assertions.assertThat;
 
+import burlarch.router.lifecycle.DrainSchedule;
 import java.util.concurrent.CompletableFuture;
 import java.util.concurrent.CountDownLatch;
 import java.util.concurrent.TimeUnit;
--- /dev/null
+++ b/router/src/test/java/burlarch/router/RequestsBeforeConfigurationTest.java
@@ -0,0 +1,33 @@
+package burlarch.router;
+
+import static burlarch.router.FakeEngine.ascii;
+import static burlarch.router.FakeEngine.whole;
+import static burlarch.router.RouterFixture.request;
+import static org.assertj.core.api.Assertions.assertThat;
+
+import org.junit.jupiter.api.Test;
+
+/** Requests that arrive before the router knows where requests go. */
+class RequestsBeforeConfigurationTest {
+    @Test
+    void requestBeforeTheFirstConfigurationWaitsForIt() throws Exception {
+        try (FakeEngine engine = new FakeEngine((in, socket, out) -> out.write(ascii(whole(in, "", "x"))));
+                RouterFixture fixture = new RouterFixture(false, engine);
+                RawClient client = fixture.client()) {
+            client.send(request("POST", "/once/a", "id", "", "body"));
+            fixture.inform();
+            assertThat(client.answer().status()).isEqualTo(200);
+            assertThat(engine.next().body()).isEqualTo(ascii("body"));
+        }
+    }
+
+    @Test
+    void requestIsRefusedWhereNoConfigurationComes() throws Exception {
+        try (RouterFixture fixture = new RouterFixture(false);
+                RawClient client = fixture.client()) {
+            RawClient.Answer answer = client.ask(request("POST", "/once/a", "id", "", "body"));
+            assertThat(answer.status()).isEqualTo(503);
+            assertThat(answer.header("Retry-After")).isNotNull();
+        }
+    }
+}
--- a/router/src/test/java/burlarch/router/ControllerLinksTest.java
+++ b/router/src/test/java/burlarch/router/control/ControllerLinksTest.java
@@ -1,4 +1,4 @@
-package burlarch.router;
+package burlarch.router.control;
 
 import static org.assertj.core.api.Assertions.assertThat;
 
--- a/router/src/test/java/burlarch/router/IgnoringUpdateHandler.java
+++ b/router/src/test/java/burlarch/router/control/IgnoringUpdateHandler.java
@@ -1,4 +1,4 @@
-package burlarch.router;
+package burlarch.router.control;
 
 import burlarch.coordination.registry.MergedInstanceView;
 
--- /dev/null
+++ b/router/src/test/java/burlarch/router/forwarding/ExchangeStateTest.java
@@ -0,0 +1,120 @@
+package burlarch.router.forwarding;
+
+import static org.assertj.core.api.Assertions.assertThat;
+import static org.assertj.core.api.Assertions.assertThatThrownBy;
+
+import burlarch.router.forwarding.ExchangeState.Event;
+import burlarch.router.forwarding.ExchangeState.NextAttempt;
+import burlarch.router.upstream.SendState;
+import java.util.EnumSet;
+import java.util.Set;
+import org.junit.jupiter.api.Test;
+import org.junit.jupiter.params.ParameterizedTest;
+import org.junit.jupiter.params.provider.CsvSource;
+import org.junit.jupiter.params.provider.EnumSource;
+
+/**
+ * The table of what may follow a send, row by row: a request that is not retryable never runs twice, and 503
+ * is never the response to a request that may have run.
+ */
+class ExchangeStateTest {
+    private static final Set<SendState> NOT_RUN = EnumSet.of(SendState.NOT_SENT, SendState.REJECTED);
+
+    private static ExchangeState after(SendState... ends) {
+        return afterSends(ExchangeState.RECEIVING.on(Event.REQUEST_RECEIVED), ends);
+    }
+
+    private static ExchangeState respondingAfter(SendState... ends) {
+        return afterSends(ExchangeState.RECEIVING.on(Event.REQUEST_RECEIVED).on(Event.RESPONSE_STARTED), ends);
+    }
+
+    private static ExchangeState afterSends(ExchangeState first, SendState... ends) {
+        ExchangeState state = first;
+        for (SendState end : ends) {
+            state = state.on(Event.ofEndedSend(end));
+        }
+        return state;
+    }
+
+    private static NextAttempt possible(boolean attemptsLeft, boolean canResume) {
+        if (!attemptsLeft) {
+            return NextAttempt.NONE;
+        }
+        return canResume ? NextAttempt.FROM_START_OR_RESUMED : NextAttempt.FROM_START;
+    }
+
+    @ParameterizedTest
+    @CsvSource({
+        "NOT_SENT,         RETRYABLE,     RETRY,               RESPOND_UNAVAILABLE, RESPOND_UNAVAILABLE",
+        "REJECTED,         RETRYABLE,     RETRY,               RESPOND_UNAVAILABLE, RESPOND_UNAVAILABLE",
+        "PARTLY_SENT,      RETRYABLE,     RETRY,               RESPOND_BAD_GATEWAY, RESPOND_GATEWAY_TIMEOUT",
+        "SENT,             RETRYABLE,     RETRY,               RESPOND_BAD_GATEWAY, RESPOND_GATEWAY_TIMEOUT",
+        "ANSWERED_IN_PART, RETRYABLE,     RETRY,               RESPOND_BAD_GATEWAY, RESPOND_GATEWAY_TIMEOUT",
+        "NOT_SENT,         NOT_RETRYABLE, RETRY,               RESPOND_UNAVAILABLE, RESPOND_UNAVAILABLE",
+        "REJECTED,         NOT_RETRYABLE, RETRY,               RESPOND_UNAVAILABLE, RESPOND_UNAVAILABLE",
+        "PARTLY_SENT,      NOT_RETRYABLE, RESPOND_BAD_GATEWAY, RESPOND_BAD_GATEWAY, RESPOND_GATEWAY_TIMEOUT",
+        "SENT,             NOT_RETRYABLE, RESPOND_BAD_GATEWAY, RESPOND_BAD_GATEWAY, RESPOND_GATEWAY_TIMEOUT",
+        "ANSWERED_IN_PART, NOT_RETRYABLE, RESPOND_BAD_GATEWAY, RESPOND_BAD_GATEWAY, RESPOND_GATEWAY_TIMEOUT"
+    })
+    void nothingForwardedYet(
+            SendState last,
+            RetrySafety safety,
+            ExchangeAction withAttempts,
+            ExchangeAction withoutAttempts,
+            ExchangeAction atDeadline) {
+        ExchangeState state = after(last);
+
+        assertThat(state.afterSend(safety, NextAttempt.FROM_START)).isEqualTo(withAttempts);
+        assertThat(state.afterSend(safety, NextAttempt.NONE)).isEqualTo(withoutAttempts);
+        assertThat(state.withoutSend()).isEqualTo(withoutAttempts);
+        assertThat(state.atDeadline()).isEqualTo(atDeadline);
+    }
+
+    @ParameterizedTest
+    @CsvSource({
+        "RETRYABLE,     true,  true,  RESUME",
+        "RETRYABLE,     true,  false, ABORT",
+        "RETRYABLE,     false, true,  ABORT",
+        "NOT_RETRYABLE, true,  true,  ABORT",
+        "NOT_RETRYABLE, true,  false, ABORT"
+    })
+    void partOfAResponseForwarded(
+            RetrySafety safety, boolean attemptsLeft, boolean canResume, ExchangeAction expected) {
+        ExchangeState state = respondingAfter(SendState.ANSWERED_IN_PART);
+
+        assertThat(state.afterSend(safety, possible(attemptsLeft, canResume))).isEqualTo(expected);
+        assertThat(state.withoutSend()).isEqualTo(ExchangeAction.ABORT);
+        assertThat(state.atDeadline()).isEqualTo(ExchangeAction.ABORT);
+    }
+
+    /** A rejection is a promise for all sends, not only for the last one. */
+    @ParameterizedTest
+    @EnumSource(SendState.class)
+    void oneSendOfUnknownOutcomeRulesOutARejection(SendState unknown) {
+        if (NOT_RUN.contains(unknown)) {
+            return;
+        }
+        for (SendState other : NOT_RUN) {
+            assertThat(after(unknown, other).withoutSend()).isEqualTo(ExchangeAction.RESPOND_BAD_GATEWAY);
+            assertThat(after(other, unknown).atDeadline()).isEqualTo(ExchangeAction.RESPOND_GATEWAY_TIMEOUT);
+            assertThat(after(other, unknown).afterSend(RetrySafety.NOT_RETRYABLE, possible(true, true)))
+                    .isEqualTo(ExchangeAction.RESPOND_BAD_GATEWAY);
+        }
+    }
+
+    @Test
+    void endIsFinalAndIllegalEventsAreRefused() {
+        for (Event event : Event.values()) {
+            assertThat(ExchangeState.ENDED.on(event)).isEqualTo(ExchangeState.ENDED);
+        }
+        for (ExchangeState state : ExchangeState.values()) {
+            assertThat(state.on(Event.ENDED)).isEqualTo(ExchangeState.ENDED);
+        }
+        assertThatThrownBy(() -> ExchangeState.RECEIVING.on(Event.RESPONSE_STARTED))
+                .isInstanceOf(IllegalStateException.class);
+        assertThatThrownBy(() -> ExchangeState.NOT_RUN.on(Event.REQUEST_RECEIVED))
+                .isInstanceOf(IllegalStateException.class);
+        assertThatThrownBy(() -> ExchangeState.RESPONDING.on(Event.RESPONSE_STARTED))
+                .isInstanceOf(IllegalStateException.class);
+    }
+}
--- a/router/src/test/java/burlarch/router/DrainScheduleTest.java
+++ b/router/src/test/java/burlarch/router/lifecycle/DrainScheduleTest.java
@@ -1,4 +1,4 @@
-package burlarch.router;
+package burlarch.router.lifecycle;
 
 import static org.assertj.core.api.Assertions.assertThat;
 
--- /dev/null
+++ b/router/src/test/java/burlarch/router/lifecycle/StartupGateTest.java
@@ -0,0 +1,59 @@
+package burlarch.router.lifecycle;
+
+import static org.assertj.core.api.Assertions.assertThat;
+
+import java.util.ArrayList;
+import java.util.List;
+import java.util.concurrent.atomic.AtomicInteger;
+import org.eclipse.jetty.util.thread.ScheduledExecutorScheduler;
+import org.junit.jupiter.api.Test;
+
+class StartupGateTest {
+    @Test
+    void waitingRequestsRunInOrderOfArrivalAndLaterOnesAtOnce() throws Exception {
+        ScheduledExecutorScheduler scheduler = new ScheduledExecutorScheduler("gate", true);
+        scheduler.start();
+        try {
+            StartupGate gate = new StartupGate(scheduler);
+            List<Integer> passed = new ArrayList<>();
+            gate.pass(() -> passed.add(1));
+            gate.pass(() -> passed.add(2));
+            assertThat(passed).isEmpty();
+            gate.open();
+            assertThat(passed).containsExactly(1, 2);
+            gate.pass(() -> passed.add(3));
+            assertThat(passed).containsExactly(1, 2, 3);
+        } finally {
+            scheduler.stop();
+        }
+    }
+
+    @Test
+    void requestsBeyondTheBoundDoNotWait() throws Exception {
+        ScheduledExecutorScheduler scheduler = new ScheduledExecutorScheduler("gate", true);
+        scheduler.start();
+        try {
+            StartupGate gate = new StartupGate(scheduler);
+            AtomicInteger passed = new AtomicInteger();
+            for (int i = 0; i <= StartupGate.MAX_WAITING; i++) {
+                gate.pass(new Counting(passed));
+            }
+            assertThat(passed.get()).isEqualTo(1);
+        } finally {
+            scheduler.stop();
+        }
+    }
+
+    private static final class Counting implements Runnable {
+        private final AtomicInteger count;
+
+        Counting(AtomicInteger count) {
+            this.count = count;
+        }
+
+        @Override
+        public void run() {
+            count.incrementAndGet();
+        }
+    }
+}
--- a/simulation/src/main/java/burlarch/simulation/coordination/ComponentOverrides.java
+++ b/simulation/src/main/java/burlarch/simulation/coordination/ComponentOverrides.java
@@ -3,7 +3,7 @@
 import burlarch.controller.ControllerRuntime;
 import burlarch.controller.api.ControlService;
 import burlarch.engine.EngineControlClient;
-import burlarch.router.ControllerLinks;
+import burlarch.router.control.ControllerLinks;
 import burlarch.simulation.NodeContext;
 import burlarch.storage.Disk;
 import burlarch.transport.EventLoop;
--- a/simulation/src/main/java/burlarch/simulation/coordination/ControllerNode.java
+++ b/simulation/src/main/java/burlarch/simulation/coordination/ControllerNode.java
@@ -2,8 +2,8 @@
 
 import burlarch.controller.ControllerRuntime;
 import burlarch.controller.ControllerSettings;
-import burlarch.controller.register.RegisterStorage;
 import burlarch.controller.api.ControlService;
+import burlarch.controller.register.RegisterStorage;
 import burlarch.coordination.register.ProposalNumber;
 import burlarch.node.NodeRoles;
 import burlarch.simulation.NodeContext;
--- a/simulation/src/main/java/burlarch/simulation/coordination/RouterNode.java
+++ b/simulation/src/main/java/burlarch/simulation/coordination/RouterNode.java
@@ -5,7 +5,7 @@
 import burlarch.coordination.registry.MergedInstanceView;
 import burlarch.node.MembershipService;
 import burlarch.node.NodeRoles;
-import burlarch.router.ControllerLinks;
+import burlarch.router.control.ControllerLinks;
 import burlarch.simulation.NodeContext;
 import burlarch.simulation.SimulatedNode;
 import burlarch.simulation.link.SimulatedLinks;
--- a/simulation/src/test/java/burlarch/simulation/coordination/PlantedStreamFaults.java
+++ b/simulation/src/test/java/burlarch/simulation/coordination/PlantedStreamFaults.java
@@ -4,7 +4,7 @@
 import burlarch.coordination.registry.InstanceRegistry;
 import burlarch.coordination.registry.InstanceState;
 import burlarch.coordination.registry.MergedInstanceView;
-import burlarch.router.ControllerLinks;
+import burlarch.router.control.ControllerLinks;
 import burlarch.transport.NodeMessage;
 import burlarch.transport.NodeMessage.InstancesUpdate;
 import burlarch.transport.PeerConnection;
--- a/simulation/src/test/java/burlarch/simulation/operators/ControllerModel.java
+++ b/simulation/src/test/java/burlarch/simulation/operators/ControllerModel.java
@@ -1,19 +1,19 @@
 package burlarch.simulation.operators;
 
+import burlarch.controller.error.ControlException;
 import burlarch.controller.state.ChangeResult;
 import burlarch.controller.state.StateChangeProposal;
 import burlarch.controller.state.SystemState;
 import burlarch.coordination.register.Acceptor;
+import burlarch.coordination.register.AcceptorMember;
 import burlarch.coordination.register.AcceptorTransition;
-import burlarch.coordination.register.RegisterView;
 import burlarch.coordination.register.ChangeDecision;
-import burlarch.coordination.register.AcceptorMember;
-import burlarch.coordination.register.ProposalOutput;
 import burlarch.coordination.register.Proposal;
+import burlarch.coordination.register.ProposalOutput;
 import burlarch.coordination.register.ProposalResult;
 import burlarch.coordination.register.RegisterChange;
 import burlarch.coordination.register.RegisterMessage;
-import burlarch.controller.error.ControlException;
+import burlarch.coordination.register.RegisterView;
 import burlarch.simulation.NodeContext;
 import burlarch.simulation.SimulatedNode;
 import burlarch.simulation.Simulation;
