--- a/controller/src/main/java/burlarch/controller/state/SystemStateCodec.java
+++ b/controller/src/main/java/burlarch/controller/state/SystemStateCodec.java
@@ -1,6 +1,8 @@
 package burlarch.controller.state;
 
 import burlarch.configuration.CompressedBytes;
+import com.fasterxml.jackson.annotation.JsonAutoDetect.Visibility;
+import com.fasterxml.jackson.annotation.PropertyAccessor;
 import com.fasterxml.jackson.core.JsonProcessingException;
 import com.fasterxml.jackson.databind.ObjectMapper;
 import com.fasterxml.jackson.databind.SerializationFeature;
@@ -15,8 +17,11 @@
  * starts with another byte, is decoded too: older releases have stored it.
  */
 public final class SystemStateCodec {
-    private static final ObjectMapper MAPPER =
-            new ObjectMapper(new CBORFactory()).enable(SerializationFeature.ORDER_MAP_ENTRIES_BY_KEYS);
+    private static final ObjectMapper MAPPER = new ObjectMapper(new CBORFactory())
+            .enable(SerializationFeature.ORDER_MAP_ENTRIES_BY_KEYS)
+            // Only what is annotated is a field: a method that is called like a getter must not add one.
+            .setVisibility(PropertyAccessor.GETTER, Visibility.NONE)
+            .setVisibility(PropertyAccessor.IS_GETTER, Visibility.NONE);
 
     private static final byte COMPRESSED = 1;
     /** The longest state before compression: the longest configuration and everything beside it. */
--- /dev/null
+++ b/controller/src/test/java/burlarch/controller/register/StoredMembersGoldenTest.java
@@ -0,0 +1,82 @@
+package burlarch.controller.register;
+
+import static org.assertj.core.api.Assertions.assertThat;
+
+import burlarch.coordination.register.ProposalNumber;
+import burlarch.coordination.register.RegisterView;
+import burlarch.coordination.register.AcceptorMember;
+import burlarch.golden.GoldenFiles;
+import burlarch.storage.AcceptorStore;
+import burlarch.storage.FileSystemDisk;
+import java.io.IOException;
+import java.nio.file.Files;
+import java.nio.file.Path;
+import java.util.List;
+import org.junit.jupiter.api.Test;
+import org.junit.jupiter.api.io.TempDir;
+
+/** The disk of a controller as the release before wrote it, with the values beside the acceptor's state. */
+class StoredMembersGoldenTest {
+    private static final GoldenFiles DISK = new GoldenFiles("disk");
+    private static final String SEGMENT = "segment-1";
+    private static final String ADDRESS = "10.0.0.1:7001";
+    private static final List<String> SEEDS = List.of(ADDRESS, "10.0.0.2:7001");
+    private static final List<AcceptorMember> CHOSEN =
+            List.of(new AcceptorMember("first-10.0.0.1:7001", ADDRESS), new AcceptorMember("s-3", "10.0.0.3:7001"));
+    private static final RegisterView CHOSEN_SET = RegisterView.ofChosenAcceptors(new ProposalNumber(7, "controller-1"), CHOSEN);
+
+    @TempDir
+    Path folder;
+
+    @Test
+    void theDiskOfAFirstStartIsWrittenAsTheReleaseBeforeDid() throws IOException {
+        fillFirstStart(folder);
+
+        assertThat(Files.readAllBytes(folder.resolve(SEGMENT))).isEqualTo(DISK.bytes("first-start"));
+    }
+
+    @Test
+    void theDiskOfAFirstStartOfTheReleaseBeforeIsRead() throws IOException {
+        Files.write(folder.resolve(SEGMENT), DISK.bytes("first-start"));
+
+        RegisterStorage storage =
+                RegisterStorage.open(new FileSystemDisk(folder), ADDRESS, List.of("9.9.9.9:1"), false, () -> "new");
+        try (AcceptorStore store = storage.store()) {
+            assertThat(store.identity()).isEqualTo("first-10.0.0.1:7001");
+            assertThat(storage.initialView().members())
+                    .containsExactly(
+                            new AcceptorMember("first-10.0.0.1:7001", ADDRESS),
+                            new AcceptorMember("first-10.0.0.2:7001", "10.0.0.2:7001"));
+        }
+    }
+
+    @Test
+    void theDiskThatKnowsAChosenSetIsWrittenAsTheReleaseBeforeDid() throws IOException {
+        fillKnownAcceptors(folder);
+
+        assertThat(Files.readAllBytes(folder.resolve(SEGMENT))).isEqualTo(DISK.bytes("known-acceptors"));
+    }
+
+    @Test
+    void aChosenSetOnADiskOfTheReleaseBeforeIsRead() throws IOException {
+        Files.write(folder.resolve(SEGMENT), DISK.bytes("known-acceptors"));
+
+        RegisterStorage storage = RegisterStorage.open(new FileSystemDisk(folder), ADDRESS, SEEDS, false, () -> "new");
+        try (AcceptorStore store = storage.store()) {
+            assertThat(storage.initialView().members()).isEqualTo(CHOSEN);
+            assertThat(StoredAcceptorSet.load(store).proposalNumber()).isEqualTo(CHOSEN_SET.proposalNumber());
+        }
+    }
+
+    static void fillFirstStart(Path folder) throws IOException {
+        RegisterStorage.open(new FileSystemDisk(folder), ADDRESS, SEEDS, true, () -> "new")
+                .store()
+                .close();
+    }
+
+    static void fillKnownAcceptors(Path folder) throws IOException {
+        try (AcceptorStore store = AcceptorStore.open(new FileSystemDisk(folder), () -> "s-1")) {
+            StoredAcceptorSet.save(store, CHOSEN_SET);
+        }
+    }
+}
--- /dev/null
+++ b/router/src/test/java/burlarch/router/prefixcache/SourceAssignmentGoldenTest.java
@@ -0,0 +1,35 @@
+package burlarch.router.prefixcache;
+
+import static org.assertj.core.api.Assertions.assertThat;
+
+import burlarch.golden.GoldenFiles;
+import java.util.ArrayList;
+import java.util.List;
+import org.junit.jupiter.api.Test;
+
+/** All routers must agree on who reads a source, also those of the release before. */
+class SourceAssignmentGoldenTest {
+    private static final GoldenFiles OWNERSHIP = new GoldenFiles("ownership");
+    private static final List<String> ROUTERS = List.of("r1", "r2", "r3", "r4", "r5", "r6");
+    private static final int PLACES = 5;
+
+    @Test
+    void readersAreThoseOfTheReleaseBefore() {
+        assertThat(readers()).isEqualTo(OWNERSHIP.lines("readers.txt"));
+    }
+
+    /** Each line a source and the routers that read it. */
+    static List<String> readers() {
+        List<String> lines = new ArrayList<>();
+        for (int i = 0; i < 12; i++) {
+            StringBuilder line = new StringBuilder("engine-" + i);
+            for (String router : ROUTERS) {
+                if (new SourceAssignment(router, ROUTERS.size(), ROUTERS).isReader("engine-" + i, PLACES)) {
+                    line.append(' ').append(router);
+                }
+            }
+            lines.add(line.toString());
+        }
+        return lines;
+    }
+}
--- a/transport/src/main/java/burlarch/transport/FrameCodec.java
+++ b/transport/src/main/java/burlarch/transport/FrameCodec.java
@@ -3,8 +3,10 @@
 import burlarch.coordination.register.ProposalNumber;
 import burlarch.coordination.register.RegisterMessage;
 import burlarch.coordination.registry.InstanceState;
+import com.fasterxml.jackson.annotation.JsonAutoDetect.Visibility;
 import com.fasterxml.jackson.annotation.JsonSetter;
 import com.fasterxml.jackson.annotation.Nulls;
+import com.fasterxml.jackson.annotation.PropertyAccessor;
 import com.fasterxml.jackson.core.JsonProcessingException;
 import com.fasterxml.jackson.databind.DeserializationFeature;
 import com.fasterxml.jackson.databind.ObjectMapper;
@@ -85,6 +87,9 @@
         mapper.disable(SerializationFeature.EAGER_SERIALIZER_FETCH);
         mapper.disable(DeserializationFeature.FAIL_ON_UNKNOWN_PROPERTIES);
         mapper.enable(DeserializationFeature.FAIL_ON_TRAILING_TOKENS);
+        // Only what is annotated is a field: a method that is called like a getter must not add one.
+        mapper.setVisibility(PropertyAccessor.GETTER, Visibility.NONE);
+        mapper.setVisibility(PropertyAccessor.IS_GETTER, Visibility.NONE);
         WireFieldNames.apply(mapper);
         JsonSetter.Value empty = JsonSetter.Value.forValueNulls(Nulls.AS_EMPTY, Nulls.FAIL);
         mapper.configOverride(String.class).setSetterInfo(empty);
