--- a/engine-client/src/main/java/burlarch/engine/KvEventCompactor.java
+++ b/engine-client/src/main/java/burlarch/engine/KvEventCompactor.java
@@ -26,7 +26,7 @@
         List<KvEvent> latest = new ArrayList<>(events.size());
         for (int i = events.size() - 1; i >= 0; i--) {
             KvEvent event = events.get(i);
-            if (told.add(new Part(event.salt(), event.part()))) {
+            if (told.add(new Part(event.salt(), event.segment()))) {
                 latest.add(event);
             }
         }
--- a/router/src/main/java/burlarch/router/RouterProgram.java
+++ b/router/src/main/java/burlarch/router/RouterProgram.java
@@ -127,7 +127,7 @@
 
     private static void setBudgetShares(Planner planner, Object plannerLock, int shares) {
         synchronized (plannerLock) {
-            planner.onRouters(shares, System.nanoTime());
+            planner.onLiveRouters(shares, System.nanoTime());
         }
     }
 
--- a/router/src/main/java/burlarch/router/forwarding/AttemptSequence.java
+++ b/router/src/main/java/burlarch/router/forwarding/AttemptSequence.java
@@ -82,7 +82,7 @@
                 request.model(),
                 request.promptTokens(),
                 request.maxOutputTokens(),
-                request.parts(),
+                request.segments(),
                 true,
                 request.receivedNanos(),
                 request.deadlineNanos());
--- a/router/src/main/java/burlarch/router/forwarding/SynchronizedPlanner.java
+++ b/router/src/main/java/burlarch/router/forwarding/SynchronizedPlanner.java
@@ -29,7 +29,7 @@
     Placement place(RouteRequest request, int attempt) {
         synchronized (lock) {
             long now = System.nanoTime();
-            Placement placement = planner.place(request, attempt, now);
+            Placement placement = planner.plan(request, attempt, now);
             if (placement instanceof Placement.Send send) {
                 planner.onSent(request, send, now);
             }
--- a/router/src/main/java/burlarch/router/http/HintHeaders.java
+++ b/router/src/main/java/burlarch/router/http/HintHeaders.java
@@ -1,6 +1,6 @@
 package burlarch.router.http;
 
-import burlarch.routing.RouteRequest.PromptPart;
+import burlarch.routing.RouteRequest.PromptSegment;
 import burlarch.routing.ServerLoad;
 import java.util.ArrayList;
 import java.util.List;
@@ -30,16 +30,16 @@
     }
 
     /** Parts of a prompt in the form ID:TOKENS, separated by commas, ids in hexadecimal. */
-    public static List<PromptPart> promptParts(String value) {
+    public static List<PromptSegment> promptParts(String value) {
         if (value == null || value.isEmpty()) {
             return List.of();
         }
-        List<PromptPart> parts = new ArrayList<>();
+        List<PromptSegment> parts = new ArrayList<>();
         int start = 0;
         while (start <= value.length()) {
             int end = value.indexOf(',', start);
             end = end < 0 ? value.length() : end;
-            PromptPart part = promptPart(value.substring(start, end).trim());
+            PromptSegment part = promptPart(value.substring(start, end).trim());
             if (part == null || parts.size() == MAX_PROMPT_PARTS) {
                 return List.of();
             }
@@ -49,7 +49,7 @@
         return List.copyOf(parts);
     }
 
-    private static PromptPart promptPart(String text) {
+    private static PromptSegment promptPart(String text) {
         int colon = text.indexOf(':');
         if (colon <= 0) {
             return null;
@@ -59,7 +59,7 @@
             return null;
         }
         try {
-            return new PromptPart(Long.parseUnsignedLong(text, 0, colon, 16), (int) tokens);
+            return new PromptSegment(Long.parseUnsignedLong(text, 0, colon, 16), (int) tokens);
         } catch (NumberFormatException malformed) {
             return null;
         }
--- a/router/src/main/java/burlarch/router/prefixcache/KvUpdateBatchCodec.java
+++ b/router/src/main/java/burlarch/router/prefixcache/KvUpdateBatchCodec.java
@@ -70,10 +70,10 @@
         out.number(update.next() - update.since());
         out.number(events.events().size());
         for (KvEvent event : events.events()) {
-            boolean wide = event.part() >>> Integer.SIZE != 0;
+            boolean wide = event.segment() >>> Integer.SIZE != 0;
             int flags = (event.added() ? ADDED : 0) | (wide ? WIDE : 0);
             out.number((long) salts.get(event.salt()) << FLAG_BITS | flags);
-            out.fixed(event.part(), wide ? Long.BYTES : Integer.BYTES);
+            out.fixed(event.segment(), wide ? Long.BYTES : Integer.BYTES);
             out.number(event.tokens());
         }
     }
--- a/routing/src/main/java/burlarch/routing/AttemptHistory.java
+++ b/routing/src/main/java/burlarch/routing/AttemptHistory.java
@@ -7,14 +7,14 @@
 
 /** What earlier attempts of a request came to. Only failed attempts are kept, of the latest requests. */
 final class AttemptHistory {
-    private static final int MOST_REQUESTS = 1024;
-    static final Tried NOTHING = new Tried();
+    private static final int MAX_REQUESTS = 1024;
+    static final PreviousAttempts NONE = new PreviousAttempts();
 
     /** Instances that one request was at, and how often it may have run. */
-    static final class Tried {
+    static final class PreviousAttempts {
         private final List<String> instances = new ArrayList<>(2);
         private int count;
-        private int arrived;
+        private int possiblyReceived;
         private int mayHaveRun;
 
         boolean contains(String instance) {
@@ -31,23 +31,23 @@
         }
 
         /** Attempts that an instance may have seen. */
-        int arrived() {
-            return arrived;
+        int possiblyReceived() {
+            return possiblyReceived;
         }
     }
 
-    private final Map<String, Tried> byRequest = new LinkedHashMap<>(64) {
+    private final Map<String, PreviousAttempts> byRequest = new LinkedHashMap<>(64) {
         private static final long serialVersionUID = 1;
 
         @Override
-        protected boolean removeEldestEntry(Map.Entry<String, Tried> eldest) {
-            return size() > MOST_REQUESTS;
+        protected boolean removeEldestEntry(Map.Entry<String, PreviousAttempts> eldest) {
+            return size() > MAX_REQUESTS;
         }
     };
 
-    Tried of(String request) {
-        Tried tried = byRequest.get(request);
-        return tried == null ? NOTHING : tried;
+    PreviousAttempts of(String request) {
+        PreviousAttempts tried = byRequest.get(request);
+        return tried == null ? NONE : tried;
     }
 
     /** The end of an attempt. {@code instance} null: the same one may be tried again. */
@@ -56,12 +56,12 @@
             byRequest.remove(request);
             return;
         }
-        Tried tried = byRequest.computeIfAbsent(request, id -> new Tried());
+        PreviousAttempts tried = byRequest.computeIfAbsent(request, id -> new PreviousAttempts());
         if (instance != null) {
             tried.instances.add(instance);
         }
         tried.count++;
-        tried.arrived += outcome == AttemptOutcome.NOT_CONNECTED ? 0 : 1;
+        tried.possiblyReceived += outcome == AttemptOutcome.NOT_CONNECTED ? 0 : 1;
         tried.mayHaveRun += outcome.neverRan() ? 0 : 1;
     }
 }
--- a/routing/src/main/java/burlarch/routing/Engine.java
+++ b/routing/src/main/java/burlarch/routing/Engine.java
@@ -13,10 +13,10 @@
 
     final String id;
     final long idHash;
-    final Health health = new Health();
+    final InstanceHealth health = new InstanceHealth();
     final EngineSpeed speed;
-    final ReadingRate reading = new ReadingRate();
-    final MoveSpeed moves = new MoveSpeed();
+    final PrefillLoadEstimate prefillLoad = new PrefillLoadEstimate();
+    final KvTransferSpeed transferSpeed = new KvTransferSpeed();
     final EngineLoad load;
     private final Map<String, Long> versions = new HashMap<>(2);
     private Instance instance;
@@ -53,7 +53,7 @@
     boolean isFree(long nowNanos) {
         return load.requests(nowNanos) < load.slots() / 2.0
                 && !load.hasQueue(nowNanos)
-                && reading.load(nowNanos) < FREE_LOAD;
+                && prefillLoad.load(nowNanos) < FREE_LOAD;
     }
 
     /** Whether it may serve the model: unless it names others only. */
--- a/routing/src/main/java/burlarch/routing/EngineLoad.java
+++ b/routing/src/main/java/burlarch/routing/EngineLoad.java
@@ -5,30 +5,30 @@
     /** How long the load that an answer told counts for; it fades evenly. */
     private static final double FADE_NANOS = 4e9;
     /** How long a told queue is taken to stand. */
-    private static final long QUEUE_NANOS = 1_000_000_000L;
+    private static final long QUEUE_VALID_NANOS = 1_000_000_000L;
     /** How long a wait that a first event showed counts for, fading evenly. */
     private static final double WAIT_FADE_NANOS = 8e8;
     /** How long the same tells that places there are not free for sure. */
     private static final double STRAIN_FADE_NANOS = 2e9;
 
     private static final double WAIT_GAIN = 0.5;
-    private static final double UNREAD_PART = 0.5;
+    private static final double MIN_BACKLOG_FRACTION = 0.5;
     /** Shorter waits are noise, or one prompt that was being read. */
     private static final long QUEUE_WAIT_NANOS = 200_000_000L;
 
-    private int inFlight;
+    private int ownRequests;
     private double ownMemoryTokens;
     private double backlogTokens;
     /** Prompt tokens of our requests whose first event has not come. */
-    private long unreadTokens;
+    private long ownPrefillTokens;
 
-    private int unread;
+    private int ownPrefilling;
     private long backlogAtNanos;
-    private double others;
-    private long othersAtNanos;
+    private double otherRequests;
+    private long otherRequestsAtNanos;
     private int slots;
     private int waiting;
-    private boolean wasTold;
+    private boolean loadWasReported;
     private double waitNanos;
     private long waitAtNanos;
 
@@ -36,8 +36,8 @@
         this.slots = Math.max(1, slots);
     }
 
-    int inFlight() {
-        return inFlight;
+    int ownRequests() {
+        return ownRequests;
     }
 
     int slots() {
@@ -49,18 +49,18 @@
     }
 
     /** Requests there that are not ours. */
-    double others(long nowNanos) {
-        return others * Math.max(0, 1 - (nowNanos - othersAtNanos) / FADE_NANOS);
+    double otherRequests(long nowNanos) {
+        return otherRequests * Math.max(0, 1 - (nowNanos - otherRequestsAtNanos) / FADE_NANOS);
     }
 
     /** Requests there, ours and others'. */
     double requests(long nowNanos) {
-        return inFlight + others(nowNanos);
+        return ownRequests + otherRequests(nowNanos);
     }
 
     /** Whether requests wait there, as it told or first events showed lately. */
     boolean hasQueue(long nowNanos) {
-        return waiting > 0 && nowNanos - othersAtNanos < QUEUE_NANOS
+        return waiting > 0 && nowNanos - otherRequestsAtNanos < QUEUE_VALID_NANOS
                 || faded(STRAIN_FADE_NANOS, nowNanos) > QUEUE_WAIT_NANOS;
     }
 
@@ -74,7 +74,7 @@
     }
 
     /** A request has waited for others so long and does so still. */
-    void onWaitsStill(double nanos, long nowNanos) {
+    void onStillWaiting(double nanos, long nowNanos) {
         waitNanos = Math.max(waitNanos(nowNanos), nanos);
         waitAtNanos = nowNanos;
     }
@@ -88,7 +88,7 @@
 
     /** Memory of what runs, in tokens; requests of others count as ours do on average. */
     double memoryTokens(double meanTokens, long nowNanos) {
-        return ownMemoryTokens + others(nowNanos) * meanTokens;
+        return ownMemoryTokens + otherRequests(nowNanos) * meanTokens;
     }
 
     /**
@@ -97,34 +97,34 @@
      */
     double backlogTokens(EngineSpeed speed, long nowNanos) {
         double read = Math.max(0, nowNanos - backlogAtNanos) * speed.tokensPerNano();
-        backlogTokens = Math.max(unreadTokens * UNREAD_PART, backlogTokens - read);
+        backlogTokens = Math.max(ownPrefillTokens * MIN_BACKLOG_FRACTION, backlogTokens - read);
         backlogAtNanos = nowNanos;
         return backlogTokens;
     }
 
     /** Requests of ours whose first event has not come. */
-    int unread() {
-        return unread;
+    int ownPrefilling() {
+        return ownPrefilling;
     }
 
     /** The first event of a request of ours came, or its end. */
-    void onRead(int tokensToRead) {
-        unread--;
-        unreadTokens = Math.max(0, unreadTokens - tokensToRead);
+    void onPrefilled(int tokensToRead) {
+        ownPrefilling--;
+        ownPrefillTokens = Math.max(0, ownPrefillTokens - tokensToRead);
     }
 
     void onSent(int tokensToRead, double memory, EngineSpeed speed, long nowNanos) {
         backlogTokens(speed, nowNanos);
         backlogTokens += tokensToRead;
-        unreadTokens += tokensToRead;
-        unread++;
+        ownPrefillTokens += tokensToRead;
+        ownPrefilling++;
         ownMemoryTokens += memory;
-        inFlight++;
+        ownRequests++;
     }
 
     void onEnded(double memory) {
-        inFlight--;
-        ownMemoryTokens = inFlight == 0 ? 0 : Math.max(0, ownMemoryTokens - memory);
+        ownRequests--;
+        ownMemoryTokens = ownRequests == 0 ? 0 : Math.max(0, ownMemoryTokens - memory);
     }
 
     /** Requests that never ran leave nothing to read. */
@@ -135,23 +135,29 @@
     /**
      * What an answer's head told.
      *
-     * @param ours requests of ours that were there then
-     * @param oursUnread those of them whose first event had not come
-     * @param meanTokensToRead of a request, for those that wait there
+     * @param ownThen requests of ours that were there then
+     * @param ownPrefillingThen those of them whose first event had not come
+     * @param meanPrefillTokens of a request, for those that wait there
      */
-    void onTold(ServerLoad told, int ours, int oursUnread, double meanTokensToRead, EngineSpeed speed, long atNanos) {
-        if (wasTold && atNanos - othersAtNanos < 0) {
+    void onLoadReported(
+            ServerLoad reported,
+            int ownThen,
+            int ownPrefillingThen,
+            double meanPrefillTokens,
+            EngineSpeed speed,
+            long atNanos) {
+        if (loadWasReported && atNanos - otherRequestsAtNanos < 0) {
             return;
         }
-        wasTold = true;
-        others = Math.max(0, told.running() + told.waiting() - ours);
-        othersAtNanos = atNanos;
-        waiting = told.waiting();
-        if (told.slots() > 0) {
-            slots = told.slots();
+        loadWasReported = true;
+        otherRequests = Math.max(0, reported.running() + reported.waiting() - ownThen);
+        otherRequestsAtNanos = atNanos;
+        waiting = reported.waiting();
+        if (reported.slots() > 0) {
+            slots = reported.slots();
         }
-        double others = Math.max(0, waiting - oursUnread) * meanTokensToRead / speed.tokensPerNano();
-        waitNanos = Math.max(waitNanos(atNanos), others);
+        double othersWaitNanos = Math.max(0, waiting - ownPrefillingThen) * meanPrefillTokens / speed.tokensPerNano();
+        waitNanos = Math.max(waitNanos(atNanos), othersWaitNanos);
         waitAtNanos = atNanos;
     }
 }
--- a/routing/src/main/java/burlarch/routing/EngineSpeed.java
+++ b/routing/src/main/java/burlarch/routing/EngineSpeed.java
@@ -2,22 +2,22 @@
 
 /** How fast one instance has shown to be. Running estimates that no single sample moves far. */
 final class EngineSpeed {
-    private static final double LEAST_RATE = 5;
-    private static final double MOST_RATE = 300;
+    private static final double MIN_RATE = 5;
+    private static final double MAX_RATE = 300;
     /** Quick requests are surer to have met nobody else: an estimate improves faster than it falls. */
     private static final double GAIN_FASTER = 0.2;
 
     private static final double GAIN_SLOWER = 0.04;
-    private static final double FURTHEST = 2;
+    private static final double MAX_FACTOR_PER_SAMPLE = 2;
     /** Prompts that tell the base, and prompts that tell the rate. */
     private static final int SHORT_TOKENS = 400;
 
     private static final int LONG_TOKENS = 1_500;
 
     /** Samples from which an instance is taken at its own word. */
-    private static final int TAUGHT = 3;
+    private static final int MIN_SAMPLES = 3;
 
-    private final EngineSpeed unlessTaught;
+    private final EngineSpeed serviceAverage;
     private int samples;
     private double tokensPerMilli = CostModel.START_TOKENS_PER_MILLI;
     private double baseNanos = CostModel.START_BASE_NANOS;
@@ -29,19 +29,19 @@
 
     /** Learns for the other too, and is taken to be as fast as that until it has shown itself. */
     EngineSpeed(EngineSpeed unlessTaught) {
-        this.unlessTaught = unlessTaught;
+        this.serviceAverage = unlessTaught;
     }
 
     double tokensPerNano() {
-        return isTaught() ? tokensPerMilli * 1e-6 : unlessTaught.tokensPerNano();
+        return hasEnoughSamples() ? tokensPerMilli * 1e-6 : serviceAverage.tokensPerNano();
     }
 
     double baseNanos() {
-        return isTaught() ? baseNanos : unlessTaught.baseNanos();
+        return hasEnoughSamples() ? baseNanos : serviceAverage.baseNanos();
     }
 
-    private boolean isTaught() {
-        return unlessTaught == null || samples >= TAUGHT;
+    private boolean hasEnoughSamples() {
+        return serviceAverage == null || samples >= MIN_SAMPLES;
     }
 
     /** Mean time of whole answers. */
@@ -49,22 +49,22 @@
         return serviceNanos;
     }
 
-    double readNanos(double tokens) {
+    double prefillNanos(double tokens) {
         return tokens / tokensPerNano();
     }
 
     /** A first event came that had waited for no other request of ours. */
     void onFirstEvent(int tokensRead, double elapsedNanos) {
-        if (unlessTaught != null) {
-            unlessTaught.onFirstEvent(tokensRead, elapsedNanos);
+        if (serviceAverage != null) {
+            serviceAverage.onFirstEvent(tokensRead, elapsedNanos);
         }
         if (tokensRead < SHORT_TOKENS) {
-            baseNanos = toward(baseNanos, Math.max(1e6, elapsedNanos - readNanos(tokensRead)), true);
+            baseNanos = toward(baseNanos, Math.max(1e6, elapsedNanos - prefillNanos(tokensRead)), true);
         } else if (tokensRead >= LONG_TOKENS && elapsedNanos > baseNanos) {
             double seen = tokensRead * 1e6 / (elapsedNanos - baseNanos);
             samples++;
             double next = toward(tokensPerMilli, seen, false);
-            tokensPerMilli = Math.max(LEAST_RATE, Math.min(MOST_RATE, next));
+            tokensPerMilli = Math.max(MIN_RATE, Math.min(MAX_RATE, next));
         }
     }
 
@@ -75,7 +75,7 @@
     }
 
     private static double toward(double estimate, double seen, boolean lowIsFast) {
-        double sample = Math.max(estimate / FURTHEST, Math.min(estimate * FURTHEST, seen));
+        double sample = Math.max(estimate / MAX_FACTOR_PER_SAMPLE, Math.min(estimate * MAX_FACTOR_PER_SAMPLE, seen));
         boolean faster = lowIsFast == sample < estimate;
         return estimate + (sample - estimate) * (faster ? GAIN_FASTER : GAIN_SLOWER);
     }
--- a/routing/src/main/java/burlarch/routing/Admission.java
+++ b/routing/src/main/java/burlarch/routing/FetchAdmission.java
@@ -10,7 +10,7 @@
  * The throttle of fetches to one service: requests whose shared parts no engine keeps. Each is an offer of
  * its tenant, and goes out or is refused at once. The capacity is learned from what the fetches came to.
  */
-final class Admission {
+final class FetchAdmission {
     /** W of the most urgent rank, more for each rank below, and the most. */
     private static final double WINDOW_BEST = 10;
 
--- a/routing/src/main/java/burlarch/routing/Health.java
+++ b/routing/src/main/java/burlarch/routing/InstanceHealth.java
@@ -4,73 +4,73 @@
  * Whether one instance may get requests. Failures in a row put it in doubt for a pause that doubles; after it
  * a single trial at a time goes out until one is answered. A rejection lets it rest shortly.
  */
-final class Health {
+final class InstanceHealth {
     /** Failures are weighed by how surely they tell of the instance and not of one request. */
-    private static final int DOUBT_AT = 6;
+    private static final int EJECTION_THRESHOLD = 6;
 
     private static final int NOT_CONNECTED_WEIGHT = 6;
     private static final int BROKEN_WEIGHT = 3;
     private static final int FAILED_WEIGHT = 2;
-    private static final long SHORTEST_PAUSE_NANOS = 1_000_000_000L;
-    private static final int MOST_DOUBLINGS = 3;
+    private static final long INITIAL_BACKOFF_NANOS = 1_000_000_000L;
+    private static final int MAX_BACKOFF_DOUBLINGS = 3;
     private static final long REST_NANOS = 100_000_000L;
-    private static final int MOST_RESTS = 3;
+    private static final int MAX_REST_MULTIPLE = 3;
 
-    private int weight;
-    private int doublings = -1;
+    private int failureWeight;
+    private int backoffDoublings = -1;
     private int rejections;
     private boolean unreachable;
-    private long doubtSinceNanos;
-    private long pauseUntilNanos;
+    private long ejectedSinceNanos;
+    private long backoffUntilNanos;
     private long restUntilNanos;
-    private int trialsOut;
+    private int trialsInFlight;
 
     /** In doubt and within its pause, or with a trial out. */
-    boolean ejected(long nowNanos) {
-        return inDoubt() && (nowNanos - pauseUntilNanos < 0 || trialsOut > 0);
+    boolean isEjected(long nowNanos) {
+        return isOutlier() && (nowNanos - backoffUntilNanos < 0 || trialsInFlight > 0);
     }
 
-    boolean inDoubt() {
-        return weight >= DOUBT_AT;
+    boolean isOutlier() {
+        return failureWeight >= EJECTION_THRESHOLD;
     }
 
     /** Nothing at all connects there: it stays out, whatever part of its service that is. */
-    boolean unreachable() {
-        return inDoubt() && unreachable;
+    boolean isUnreachable() {
+        return isOutlier() && unreachable;
     }
 
-    boolean resting(long nowNanos) {
+    boolean isResting(long nowNanos) {
         return rejections > 0 && nowNanos - restUntilNanos < 0;
     }
 
-    /** When it may be tried again; meaningful only while {@link #ejected} or {@link #resting}. */
-    long outUntilNanos() {
-        return inDoubt() ? pauseUntilNanos : restUntilNanos;
+    /** When it may be tried again; meaningful only while {@link #isEjected} or {@link #isResting}. */
+    long unavailableUntilNanos() {
+        return isOutlier() ? backoffUntilNanos : restUntilNanos;
     }
 
     /** Returns whether this send is a trial; {@link #onEnded} takes that back. */
     boolean onSent() {
-        if (inDoubt()) {
-            trialsOut++;
+        if (isOutlier()) {
+            trialsInFlight++;
             return true;
         }
         return false;
     }
 
     /** Something of an answer came. */
-    void onAlive() {
-        weight = 0;
-        doublings = -1;
+    void onResponse() {
+        failureWeight = 0;
+        backoffDoublings = -1;
         rejections = 0;
         unreachable = false;
     }
 
     void onEnded(AttemptOutcome outcome, boolean trial, long sentNanos, long nowNanos) {
         if (trial) {
-            trialsOut--;
+            trialsInFlight--;
         }
         switch (outcome) {
-            case ANSWERED -> onAlive();
+            case ANSWERED -> onResponse();
             case REJECTED -> onRejected(nowNanos);
             case MISDIRECTED, BROKEN, TIMED_OUT -> onFailure(BROKEN_WEIGHT, false, sentNanos, nowNanos);
             case NOT_CONNECTED -> onFailure(NOT_CONNECTED_WEIGHT, true, sentNanos, nowNanos);
@@ -80,24 +80,24 @@
     }
 
     private void onRejected(long nowNanos) {
-        weight = 0;
+        failureWeight = 0;
         unreachable = false;
-        rejections = Math.min(MOST_RESTS, rejections + 1);
+        rejections = Math.min(MAX_REST_MULTIPLE, rejections + 1);
         restUntilNanos = nowNanos + REST_NANOS * rejections;
     }
 
     /** What was sent before the doubt tells nothing new. */
     private void onFailure(int weighed, boolean connecting, long sentNanos, long nowNanos) {
-        if (inDoubt() && sentNanos - doubtSinceNanos < 0) {
+        if (isOutlier() && sentNanos - ejectedSinceNanos < 0) {
             unreachable |= connecting;
             return;
         }
         unreachable = connecting;
-        weight = Math.min(DOUBT_AT, weight + weighed);
-        if (inDoubt()) {
-            doublings = Math.min(MOST_DOUBLINGS, doublings + 1);
-            doubtSinceNanos = nowNanos;
-            pauseUntilNanos = nowNanos + (SHORTEST_PAUSE_NANOS << doublings);
+        failureWeight = Math.min(EJECTION_THRESHOLD, failureWeight + weighed);
+        if (isOutlier()) {
+            backoffDoublings = Math.min(MAX_BACKOFF_DOUBLINGS, backoffDoublings + 1);
+            ejectedSinceNanos = nowNanos;
+            backoffUntilNanos = nowNanos + (INITIAL_BACKOFF_NANOS << backoffDoublings);
         }
     }
 }
--- a/routing/src/main/java/burlarch/routing/KvEvents.java
+++ b/routing/src/main/java/burlarch/routing/KvEvents.java
@@ -12,5 +12,5 @@
 public record KvEvents(String source, long epoch, boolean lost, List<KvEvent> events) {
 
     /** One part; {@code tokens} kept now; {@code added} false where it went, in whole or in part. */
-    public record KvEvent(boolean added, String salt, long part, int tokens, String model) {}
+    public record KvEvent(boolean added, String salt, long segment, int tokens, String model) {}
 }
--- a/routing/src/main/java/burlarch/routing/MoveSpeed.java
+++ b/routing/src/main/java/burlarch/routing/KvTransferSpeed.java
@@ -1,35 +1,35 @@
 package burlarch.routing;
 
 /** How much longer than its link says moves to one instance take, as the last ones did. */
-final class MoveSpeed {
+final class KvTransferSpeed {
     private static final double GAIN = 0.3;
-    private static final double MOST_SLOWNESS = 30;
+    private static final double MAX_SLOWNESS = 30;
     /** How long a link that showed slow is taken for slow without new evidence. */
     private static final double FADE_NANOS = 3e9;
     /** Shorter moves tell nothing: their lateness is other work's. */
-    private static final double TELLING_NANOS = 15e6;
+    private static final double MIN_SAMPLE_NANOS = 15e6;
     /** Lateness that other requests' reading explains. */
     private static final double TOLERATED_NANOS = 150e6;
 
     private double slowness = 1;
-    private long atNanos;
+    private long updatedNanos;
 
     /** The factor, 1 or more. */
     double slowness(long nowNanos) {
-        double fade = Math.max(0, 1 - (nowNanos - atNanos) / FADE_NANOS);
+        double fade = Math.max(0, 1 - (nowNanos - updatedNanos) / FADE_NANOS);
         return 1 + (slowness - 1) * fade;
     }
 
     /** A move that was to take so long came so much later than that. */
-    void onMoved(double expectedNanos, double lateNanos, long nowNanos) {
+    void onTransferEnded(double expectedNanos, double lateNanos, long nowNanos) {
         double before = slowness(nowNanos);
         double nominal = expectedNanos / before;
-        if (nominal < TELLING_NANOS) {
+        if (nominal < MIN_SAMPLE_NANOS) {
             return;
         }
         double late = lateNanos > 0 ? Math.max(0, lateNanos - TOLERATED_NANOS) : lateNanos;
-        double sample = Math.max(1, Math.min(MOST_SLOWNESS, (expectedNanos + late) / nominal));
+        double sample = Math.max(1, Math.min(MAX_SLOWNESS, (expectedNanos + late) / nominal));
         slowness = before + (sample - before) * GAIN;
-        atNanos = nowNanos;
+        updatedNanos = nowNanos;
     }
 }
--- a/routing/src/main/java/burlarch/routing/PlainScheduler.java
+++ b/routing/src/main/java/burlarch/routing/PlainScheduler.java
@@ -5,24 +5,24 @@
 /** Spreads requests that share nothing: to the server that is expected to answer first. */
 final class PlainScheduler {
     /** Servers that are looked at. All routers that know the same would else meet at the same one. */
-    private static final int LOOKED_AT = 6;
+    private static final int SAMPLED_CANDIDATES = 6;
     /** How much the hash of a request moves a cost: breaks ties differently for each. */
     private static final double NOISE = 0.08;
 
     private final PlannerSettings settings;
-    private final Choice choice = new Choice();
+    private final SchedulingChoice choice = new SchedulingChoice();
 
     PlainScheduler(PlannerSettings settings) {
         this.settings = settings;
     }
 
     /** The best of some of the candidates, of which there is at least one. */
-    Choice choose(RouteRequest request, List<Engine> candidates, long nowNanos) {
+    SchedulingChoice choose(RouteRequest request, List<Engine> candidates, long nowNanos) {
         long hash = Rendezvous.hash(request.id());
         int size = candidates.size();
         int start = (int) Long.remainderUnsigned(hash, size);
         double best = Double.MAX_VALUE;
-        for (int i = 0; i < Math.min(size, LOOKED_AT); i++) {
+        for (int i = 0; i < Math.min(size, SAMPLED_CANDIDATES); i++) {
             Engine engine = candidates.get((start + i) % size);
             double predicted = predictedNanos(engine, nowNanos);
             double noise = (Rendezvous.weight(hash, engine.idHash) >>> 40) * 0x1.0p-24;
@@ -33,7 +33,7 @@
                 choice.predictedNanos = predicted;
             }
         }
-        choice.kept = 0;
+        choice.cachedTokens = 0;
         choice.fetch = false;
         return choice;
     }
--- a/routing/src/main/java/burlarch/routing/Planner.java
+++ b/routing/src/main/java/burlarch/routing/Planner.java
@@ -18,7 +18,7 @@
     /**
      * How many live routers there are, this one included: budgets and learned capacity are shared by them.
      */
-    void onRouters(int live, long nowNanos);
+    void onLiveRouters(int live, long nowNanos);
 
     /** Events of one engine or store, in their order. */
     void onKvEvents(KvEvents events, long nowNanos);
@@ -32,7 +32,7 @@
      *
      * @param attempt 0 for the first; the planner keeps to the route's retries and the retry budget
      */
-    Placement place(RouteRequest request, int attempt, long nowNanos);
+    Placement plan(RouteRequest request, int attempt, long nowNanos);
 
     /** A request is out to that instance. */
     void onSent(RouteRequest request, Placement.Send send, long nowNanos);
--- a/routing/src/main/java/burlarch/routing/PlannerSettings.java
+++ b/routing/src/main/java/burlarch/routing/PlannerSettings.java
@@ -12,7 +12,7 @@
  * @param budgetSlack further sends of the whole fleet beyond that share
  * @param versionMillis within which all engines take requests on newly named weights
  * @param priorities the Priority header for each rank 0, 1, ...; ranks beyond take the last
- * @param refuseBeyondAims a request whose first event would take so many aims is refused, 0 for never
+ * @param refuseBeyondLatencyTargets a request whose first event would take so many aims is refused, 0 for never
  */
 public record PlannerSettings(
         String zone,
@@ -22,8 +22,8 @@
         double budgetSlack,
         long versionMillis,
         int[] priorities,
-        double refuseBeyondAims) {
-    private static final int LEAST_URGENT = 9;
+        double refuseBeyondLatencyTargets) {
+    private static final int LOWEST_PRIORITY = 9;
 
     /** Ranks map to themselves, and nothing is refused for its aim's sake unless it is far out of reach. */
     public static PlannerSettings of(
@@ -46,7 +46,7 @@
 
     int priorityOf(int rank) {
         int index = Math.max(0, Math.min(priorities.length - 1, rank));
-        return Math.max(0, Math.min(LEAST_URGENT, priorities[index]));
+        return Math.max(0, Math.min(LOWEST_PRIORITY, priorities[index]));
     }
 
     /** How often a move to or from that zone counts: 1 within the zone, 2 within the region, 10 beyond. */
--- a/routing/src/main/java/burlarch/routing/ReadingRate.java
+++ b/routing/src/main/java/burlarch/routing/PrefillLoadEstimate.java
@@ -4,20 +4,20 @@
  * How busy an instance has been with reading lately, for whatever router, by the parts that its events name.
  * What waits there is not told; the busier it was, the longer the queue that is to be expected.
  */
-final class ReadingRate {
+final class PrefillLoadEstimate {
     private static final double FADE_NANOS = 5e8;
     /** Expected wait at a load of one half, about. */
     private static final double WAIT_NANOS = 8e7;
 
-    private static final double FULL = 1.1;
+    private static final double FULL_LOAD = 1.1;
 
     private double busyNanos;
-    private long atNanos;
+    private long updatedNanos;
 
     /** Its events tell that it has read something which alone takes so long. */
-    void onRead(double nanos, long nowNanos) {
+    void onPrefilled(double nanos, long nowNanos) {
         busyNanos = busy(nowNanos) + nanos;
-        atNanos = nowNanos;
+        updatedNanos = nowNanos;
     }
 
     /** Part of the last while that went into reading, from 0 to 1. */
@@ -28,10 +28,10 @@
     /** How long a new request is to be expected to wait. */
     double waitNanos(long nowNanos) {
         double load = load(nowNanos);
-        return WAIT_NANOS * load / (FULL - load);
+        return WAIT_NANOS * load / (FULL_LOAD - load);
     }
 
     private double busy(long nowNanos) {
-        return busyNanos < 1 ? 0 : busyNanos * Math.exp((atNanos - nowNanos) / FADE_NANOS);
+        return busyNanos < 1 ? 0 : busyNanos * Math.exp((updatedNanos - nowNanos) / FADE_NANOS);
     }
 }
--- a/routing/src/main/java/burlarch/routing/PromptScheduler.java
+++ b/routing/src/main/java/burlarch/routing/PromptScheduler.java
@@ -1,6 +1,6 @@
 package burlarch.routing;
 
-import burlarch.routing.RouteRequest.PromptPart;
+import burlarch.routing.RouteRequest.PromptSegment;
 import burlarch.routing.index.PromptIndex;
 import java.util.Arrays;
 import java.util.List;
@@ -12,83 +12,91 @@
 final class PromptScheduler {
     private final PlannerSettings settings;
     private final PromptIndex index;
-    private final Moves moves;
-    private final Choice choice = new Choice();
-    private int[] kept = new int[16];
+    private final KvTransferPlanner transfers;
+    private final SchedulingChoice choice = new SchedulingChoice();
+    private int[] cachedTokens = new int[16];
     /** Tokens that anyone keeps or reads just now under the salt of each candidate. */
-    private int[] known = new int[16];
+    private int[] knownTokens = new int[16];
     /** Those of them that can be moved: what is only just being read can not. */
-    private int[] movable = new int[16];
+    private int[] transferableTokens = new int[16];
 
-    private long[] salted = new long[16];
-    private double[] predicted = new double[16];
-    private double[] cost = new double[16];
+    private long[] saltHashes = new long[16];
+    private double[] predictedNanos = new double[16];
+    private double[] costs = new double[16];
 
-    PromptScheduler(PlannerSettings settings, PromptIndex index, Moves moves) {
+    PromptScheduler(PlannerSettings settings, PromptIndex index, KvTransferPlanner moves) {
         this.settings = settings;
         this.index = index;
-        this.moves = moves;
+        this.transfers = moves;
     }
 
     /** The best of the candidates, of which there is at least one. */
-    Choice choose(RouteRequest request, ServiceState service, List<Engine> candidates, Salts salts, long nowNanos) {
+    SchedulingChoice choose(
+            RouteRequest request,
+            ServiceState service,
+            List<Engine> candidates,
+            RequestCacheSalt salts,
+            long nowNanos) {
         int size = candidates.size();
         ensureRoom(size);
-        List<PromptPart> parts = request.parts();
+        List<PromptSegment> parts = request.segments();
         int shared = sharedTokens(parts);
         int best = 0;
         for (int i = 0; i < size; i++) {
-            kept[i] = parts.isEmpty() ? 0 : keptTokens(candidates.get(i), salts, parts, nowNanos);
-            best = Math.max(best, kept[i]);
+            cachedTokens[i] = parts.isEmpty() ? 0 : cachedTokensOf(candidates.get(i), salts, parts, nowNanos);
+            best = Math.max(best, cachedTokens[i]);
         }
-        int known = lookUpKnown(candidates, salts, parts, nowNanos);
+        int known = lookUpKnownTokens(candidates, salts, parts, nowNanos);
         for (int i = 0; i < size; i++) {
-            weigh(request, service, candidates.get(i), i, nowNanos);
+            estimateCost(request, service, candidates.get(i), i, nowNanos);
         }
-        boolean fetch = shared - Math.min(best, shared) >= CostModel.FETCH_TOKENS;
-        int chosen = fetch ? byRendezvous(placementKey(request, known), candidates) : cheapest(size);
+        boolean fetch = shared - Math.min(best, shared) >= CostModel.MIN_FETCH_TOKENS;
+        int chosen = fetch ? chooseByRendezvous(placementKey(request, known), candidates) : cheapest(size);
         choice.engine = candidates.get(chosen);
-        choice.kept = kept[chosen];
-        choice.predictedNanos = predicted[chosen];
+        choice.cachedTokens = cachedTokens[chosen];
+        choice.predictedNanos = predictedNanos[chosen];
         choice.fetch = fetch;
         return choice;
     }
 
     /** Fills in what anyone keeps under each candidate's salt, and returns the most of it. */
-    private int lookUpKnown(List<Engine> candidates, Salts salts, List<PromptPart> parts, long nowNanos) {
+    private int lookUpKnownTokens(
+            List<Engine> candidates, RequestCacheSalt salts, List<PromptSegment> parts, long nowNanos) {
         int most = 0;
         int size = parts.isEmpty() ? 0 : candidates.size();
-        Arrays.fill(known, 0, candidates.size(), 0);
-        Arrays.fill(movable, 0, candidates.size(), 0);
+        Arrays.fill(knownTokens, 0, candidates.size(), 0);
+        Arrays.fill(transferableTokens, 0, candidates.size(), 0);
         for (int i = 0; i < size; i++) {
-            salted[i] = salts.hash(candidates.get(i));
+            saltHashes[i] = salts.hash(candidates.get(i));
             int before = 0;
-            while (salted[before] != salted[i]) {
+            while (saltHashes[before] != saltHashes[i]) {
                 before++;
             }
             if (before == i) {
-                movable[i] = moves.storedTokens(salted[i], parts, nowNanos);
+                transferableTokens[i] = transfers.storedPrefixTokens(saltHashes[i], parts, nowNanos);
             }
-            int confirmed = kept[i] == 0
+            int confirmed = cachedTokens[i] == 0
                     ? 0
-                    : Math.min(kept[i], index.confirmedPrefixTokens(candidates.get(i).id, salted[i], parts, nowNanos));
-            movable[before] = Math.max(movable[before], confirmed);
-            known[before] = Math.max(known[before], Math.max(kept[i], movable[before]));
-            most = Math.max(most, known[before]);
+                    : Math.min(
+                            cachedTokens[i],
+                            index.confirmedPrefixTokens(candidates.get(i).id, saltHashes[i], parts, nowNanos));
+            transferableTokens[before] = Math.max(transferableTokens[before], confirmed);
+            knownTokens[before] = Math.max(knownTokens[before], Math.max(cachedTokens[i], transferableTokens[before]));
+            most = Math.max(most, knownTokens[before]);
         }
         for (int i = 0; i < size; i++) {
             int first = 0;
-            while (salted[first] != salted[i]) {
+            while (saltHashes[first] != saltHashes[i]) {
                 first++;
             }
-            known[i] = known[first];
-            movable[i] = movable[first];
+            knownTokens[i] = knownTokens[first];
+            transferableTokens[i] = transferableTokens[first];
         }
         return most;
     }
 
     /** Tokens of all parts but the last, which is the request's or its session's own. */
-    static int sharedTokens(List<PromptPart> parts) {
+    static int sharedTokens(List<PromptSegment> parts) {
         int sum = 0;
         for (int i = 0; i < parts.size() - 1; i++) {
             sum += parts.get(i).tokens();
@@ -97,7 +105,7 @@
     }
 
     static int promptTokens(RouteRequest request) {
-        List<PromptPart> parts = request.parts();
+        List<PromptSegment> parts = request.segments();
         int sum = parts.isEmpty()
                 ? 0
                 : sharedTokens(parts) + parts.get(parts.size() - 1).tokens();
@@ -108,51 +116,59 @@
     static double memoryTokens(RouteRequest request, int keptThere) {
         int prompt = promptTokens(request);
         int shares = Math.min(keptThere, prompt);
-        return prompt - shares * CostModel.KEPT_SHARE + request.maxOutputTokens() * CostModel.OUTPUT_SHARE;
+        return prompt
+                - shares * CostModel.CACHED_TOKENS_MEMORY_FRACTION
+                + request.maxOutputTokens() * CostModel.EXPECTED_OUTPUT_FRACTION;
     }
 
-    private int keptTokens(Engine engine, Salts salts, List<PromptPart> parts, long nowNanos) {
-        int tokens = index.keptPrefixTokens(engine.id, salts.hash(engine), parts, nowNanos);
-        return index.isUncertain(engine.id) ? (int) (tokens * CostModel.UNCERTAIN) : tokens;
+    private int cachedTokensOf(Engine engine, RequestCacheSalt salts, List<PromptSegment> parts, long nowNanos) {
+        int tokens = index.cachedPrefixTokens(engine.id, salts.hash(engine), parts, nowNanos);
+        return index.isUncertain(engine.id) ? (int) (tokens * CostModel.UNCERTAIN_FACTOR) : tokens;
     }
 
-    private void weigh(RouteRequest request, ServiceState service, Engine engine, int i, long nowNanos) {
-        int missing = Math.max(0, movable[i] - kept[i]);
-        double readMissing = engine.speed.readNanos(missing);
-        double move = missing < CostModel.MOVE_TOKENS
+    private void estimateCost(RouteRequest request, ServiceState service, Engine engine, int i, long nowNanos) {
+        int missingTokens = Math.max(0, transferableTokens[i] - cachedTokens[i]);
+        double prefillMissingNanos = engine.speed.prefillNanos(missingTokens);
+        double transferNanos = missingTokens < CostModel.MIN_TRANSFER_TOKENS
                 ? Double.MAX_VALUE
-                : CostModel.moveNanos(
-                        missing, service.tokenBytes(), service.linkMbps(), 2, engine.moves.slowness(nowNanos));
-        boolean moves = CostModel.movePays(move, readMissing, CostModel.aimLeftNanos(request, nowNanos));
-        int toRead = Math.max(0, promptTokens(request) - kept[i] - (moves ? missing : 0));
-        double memory = memoryWait(request, service, engine, kept[i], nowNanos);
-        double first = engine.speed.baseNanos()
+                : CostModel.transferNanos(
+                        missingTokens,
+                        service.tokenBytes(),
+                        service.linkMbps(),
+                        2,
+                        engine.transferSpeed.slowness(nowNanos));
+        boolean transferPays = CostModel.isTransferWorthwhile(
+                transferNanos, prefillMissingNanos, CostModel.latencyTargetLeftNanos(request, nowNanos));
+        int tokensToPrefill = Math.max(0, promptTokens(request) - cachedTokens[i] - (transferPays ? missingTokens : 0));
+        double memoryWaitNanos = memoryWaitNanos(request, service, engine, cachedTokens[i], nowNanos);
+        double firstEventNanos = engine.speed.baseNanos()
                 + queueNanos(engine, nowNanos)
-                + memory
-                + engine.speed.readNanos(toRead)
-                + (moves ? move : 0);
-        predicted[i] = engine.isWarmingUp() ? first * CostModel.WARM_UP : first;
-        int again = known[i] - (moves ? Math.max(kept[i], movable[i]) : kept[i]);
-        double waste = engine.speed.readNanos(again) * (CostModel.REREAD_WEIGHT - 1)
-                + (moves ? move * (CostModel.MOVE_WEIGHT - 1) : 0);
-        cost[i] = CostModel.firstEventCost(predicted[i], CostModel.aimLeftNanos(request, nowNanos))
-                + waste
-                + memory * CostModel.MEMORY_WEIGHT
-                + engine.load.requests(nowNanos) * CostModel.RUNNING_NANOS
+                + memoryWaitNanos
+                + engine.speed.prefillNanos(tokensToPrefill)
+                + (transferPays ? transferNanos : 0);
+        predictedNanos[i] = engine.isWarmingUp() ? firstEventNanos * CostModel.WARM_UP_FACTOR : firstEventNanos;
+        int redundantTokens =
+                knownTokens[i] - (transferPays ? Math.max(cachedTokens[i], transferableTokens[i]) : cachedTokens[i]);
+        double wasteNanos = engine.speed.prefillNanos(redundantTokens) * (CostModel.REDUNDANT_PREFILL_WEIGHT - 1)
+                + (transferPays ? transferNanos * (CostModel.TRANSFER_WEIGHT - 1) : 0);
+        costs[i] = CostModel.firstEventCost(predictedNanos[i], CostModel.latencyTargetLeftNanos(request, nowNanos))
+                + wasteNanos
+                + memoryWaitNanos * CostModel.MEMORY_WEIGHT
+                + engine.load.requests(nowNanos) * CostModel.RUNNING_REQUEST_NANOS
                 + (settings.distance(settings.zone(), engine.instance().zone()) > 1 ? CostModel.OTHER_ZONE_NANOS : 0);
     }
 
     private static double queueNanos(Engine engine, long nowNanos) {
         EngineLoad load = engine.load;
         double ahead = Math.max(0, load.requests(nowNanos) + 1 - load.slots());
-        double reading = engine.speed.readNanos(load.backlogTokens(engine.speed, nowNanos));
+        double reading = engine.speed.prefillNanos(load.backlogTokens(engine.speed, nowNanos));
         return reading
-                + Math.max(engine.reading.waitNanos(nowNanos), load.waitNanos(nowNanos))
+                + Math.max(engine.prefillLoad.waitNanos(nowNanos), load.waitNanos(nowNanos))
                 + engine.speed.serviceNanos() * ahead / load.slots();
     }
 
     /** Running requests free memory evenly over the time that one takes. */
-    private static double memoryWait(
+    private static double memoryWaitNanos(
             RouteRequest request, ServiceState service, Engine engine, int keptThere, long nowNanos) {
         double used = engine.load.memoryTokens(service.meanMemoryTokens(), nowNanos);
         double over = used + memoryTokens(request, keptThere) - service.kvCapacity();
@@ -165,20 +181,20 @@
     private int cheapest(int size) {
         int best = 0;
         for (int i = 1; i < size; i++) {
-            best = cost[i] < cost[best] ? i : best;
+            best = costs[i] < costs[best] ? i : best;
         }
         return best;
     }
 
     /** Highest weight among engines that cost not far more than the best: routers mostly agree on one. */
-    private int byRendezvous(long key, List<Engine> candidates) {
+    private int chooseByRendezvous(long key, List<Engine> candidates) {
         int size = candidates.size();
-        double least = cost[cheapest(size)];
+        double least = costs[cheapest(size)];
         int chosen = -1;
         long highest = 0;
         for (int i = 0; i < size; i++) {
             long weight = Rendezvous.weight(key, candidates.get(i).idHash);
-            if (cost[i] <= least + CostModel.RENDEZVOUS_SLACK_NANOS
+            if (costs[i] <= least + CostModel.RENDEZVOUS_SLACK_NANOS
                     && (chosen < 0 || Long.compareUnsigned(weight, highest) > 0)) {
                 chosen = i;
                 highest = weight;
@@ -192,10 +208,10 @@
      * yet is read by one engine only, and a new version leaves prompts in place.
      */
     static long placementKey(RouteRequest request, int known) {
-        List<PromptPart> parts = request.parts();
+        List<PromptSegment> parts = request.segments();
         long part = 0;
         int end = 0;
-        for (int i = 0; i < parts.size() - 1 && (i == 0 || end - known < CostModel.FETCH_TOKENS); i++) {
+        for (int i = 0; i < parts.size() - 1 && (i == 0 || end - known < CostModel.MIN_FETCH_TOKENS); i++) {
             part = parts.get(i).id();
             end += parts.get(i).tokens();
         }
@@ -204,13 +220,13 @@
     }
 
     private void ensureRoom(int size) {
-        if (kept.length < size) {
-            kept = new int[size * 2];
-            known = new int[size * 2];
-            movable = new int[size * 2];
-            salted = new long[size * 2];
-            predicted = new double[size * 2];
-            cost = new double[size * 2];
+        if (cachedTokens.length < size) {
+            cachedTokens = new int[size * 2];
+            knownTokens = new int[size * 2];
+            transferableTokens = new int[size * 2];
+            saltHashes = new long[size * 2];
+            predictedNanos = new double[size * 2];
+            costs = new double[size * 2];
         }
     }
 }
--- a/routing/src/main/java/burlarch/routing/Salts.java
+++ b/routing/src/main/java/burlarch/routing/RequestCacheSalt.java
@@ -3,7 +3,7 @@
 import burlarch.configuration.Configuration.Tenant;
 
 /** The salts of one request, made anew only where the weights version of the next engine differs. */
-final class Salts {
+final class RequestCacheSalt {
     private RouteRequest request;
     private long version = -1;
     private String text;
--- a/routing/src/main/java/burlarch/routing/RetryBudget.java
+++ b/routing/src/main/java/burlarch/routing/RetryBudget.java
@@ -9,21 +9,21 @@
 final class RetryBudget {
     private static final int BUCKETS = 20;
     /** Part of the slack in use: what is left covers routers that others don't count as live, as in a cut. */
-    private static final double SLACK_USED = 0.5;
+    private static final double USED_SLACK_FRACTION = 0.5;
     /** How long a fall of the count of live routers is not believed: half of them may be cut off. */
-    private static final long FALL_BELIEVED_NANOS = 30_000_000_000L;
+    private static final long LOWER_COUNT_DELAY_NANOS = 30_000_000_000L;
 
     private final double ratio;
     private final double slack;
     private final long bucketNanos;
     /** One more bucket than the window: the oldest lies only partly within it, and counts against us. */
-    private final int[] first = new int[BUCKETS + 1];
+    private final int[] firstSends = new int[BUCKETS + 1];
 
-    private final int[] further = new int[BUCKETS + 1];
-    private long current = Long.MIN_VALUE;
-    private int live = 1;
-    private int lowerLive = 1;
-    private long fellNanos;
+    private final int[] retries = new int[BUCKETS + 1];
+    private long currentBucket = Long.MIN_VALUE;
+    private int liveRouters = 1;
+    private int lowerLiveRouters = 1;
+    private long lowerSinceNanos;
 
     RetryBudget(double ratio, double windowSeconds, double slack) {
         this.ratio = ratio;
@@ -32,51 +32,51 @@
     }
 
     /** How many routers share the slack. */
-    void onRouters(int count, long nowNanos) {
+    void onLiveRouters(int count, long nowNanos) {
         int now = Math.max(1, count);
-        if (now >= live) {
-            live = now;
-        } else if (now != lowerLive || lowerLive >= live) {
-            fellNanos = nowNanos;
+        if (now >= liveRouters) {
+            liveRouters = now;
+        } else if (now != lowerLiveRouters || lowerLiveRouters >= liveRouters) {
+            lowerSinceNanos = nowNanos;
         }
-        lowerLive = now;
+        lowerLiveRouters = now;
     }
 
     /** A first send of a request. */
-    void onFirst(long nowNanos) {
-        first[bucket(nowNanos)]++;
+    void onFirstSend(long nowNanos) {
+        firstSends[bucket(nowNanos)]++;
     }
 
     /** A further send. */
-    void onFurther(long nowNanos) {
-        further[bucket(nowNanos)]++;
+    void onRetry(long nowNanos) {
+        retries[bucket(nowNanos)]++;
     }
 
     /** Whether one more further send keeps to the budget. */
     boolean allows(long nowNanos) {
         int now = bucket(nowNanos);
-        if (lowerLive < live && nowNanos - fellNanos > FALL_BELIEVED_NANOS) {
-            live = lowerLive;
+        if (lowerLiveRouters < liveRouters && nowNanos - lowerSinceNanos > LOWER_COUNT_DELAY_NANOS) {
+            liveRouters = lowerLiveRouters;
         }
-        int oldest = (now + 1) % first.length;
-        int firsts = sum(first) - first[oldest];
-        return sum(further) + 1 <= ratio * firsts + SLACK_USED * slack / live;
+        int oldest = (now + 1) % firstSends.length;
+        int firsts = sum(firstSends) - firstSends[oldest];
+        return sum(retries) + 1 <= ratio * firsts + USED_SLACK_FRACTION * slack / liveRouters;
     }
 
     private int bucket(long nowNanos) {
         long number = Math.floorDiv(nowNanos, bucketNanos);
-        if (current == Long.MIN_VALUE || number - current > BUCKETS) {
-            Arrays.fill(first, 0);
-            Arrays.fill(further, 0);
-            current = number;
+        if (currentBucket == Long.MIN_VALUE || number - currentBucket > BUCKETS) {
+            Arrays.fill(firstSends, 0);
+            Arrays.fill(retries, 0);
+            currentBucket = number;
         }
-        while (current < number) {
-            current++;
-            int fresh = (int) Math.floorMod(current, (long) first.length);
-            first[fresh] = 0;
-            further[fresh] = 0;
+        while (currentBucket < number) {
+            currentBucket++;
+            int fresh = (int) Math.floorMod(currentBucket, (long) firstSends.length);
+            firstSends[fresh] = 0;
+            retries[fresh] = 0;
         }
-        return (int) Math.floorMod(current, (long) first.length);
+        return (int) Math.floorMod(currentBucket, (long) firstSends.length);
     }
 
     private static int sum(int[] counts) {
--- a/routing/src/main/java/burlarch/routing/RouteRequest.java
+++ b/routing/src/main/java/burlarch/routing/RouteRequest.java
@@ -12,7 +12,7 @@
  * @param model null where the client named none
  * @param promptTokens tokens of the prompt as the client counts them, 0 if not told
  * @param maxOutputTokens most tokens of the answer, 0 if not told
- * @param parts of the prompt in order, empty if not told
+ * @param segments of the prompt in order, empty if not told
  * @param resumes whether it takes up a stream at Last-Event-Id
  * @param receivedNanos when it was read whole
  * @param deadlineNanos until when the client waits
@@ -24,11 +24,11 @@
         String model,
         int promptTokens,
         int maxOutputTokens,
-        List<PromptPart> parts,
+        List<PromptSegment> segments,
         boolean resumes,
         long receivedNanos,
         long deadlineNanos) {
 
     /** A part of a prompt: its id as an unsigned number, and its length. */
-    public record PromptPart(long id, int tokens) {}
+    public record PromptSegment(long id, int tokens) {}
 }
--- a/routing/src/main/java/burlarch/routing/Choice.java
+++ b/routing/src/main/java/burlarch/routing/SchedulingChoice.java
@@ -1,11 +1,11 @@
 package burlarch.routing;
 
 /** Where a scheduler would send a request. Valid until its next call. */
-final class Choice {
+final class SchedulingChoice {
     Engine engine;
     double predictedNanos;
     /** Tokens of the prompt that the engine keeps. */
-    int kept;
+    int cachedTokens;
     /** Whether no engine keeps the shared parts. */
     boolean fetch;
 }
--- a/routing/src/main/java/burlarch/routing/ServiceState.java
+++ b/routing/src/main/java/burlarch/routing/ServiceState.java
@@ -11,20 +11,20 @@
     private static final double MEAN_GAIN = 0.02;
     private static final double FETCH_GAIN = 0.1;
 
-    private record Seen(long version, long sinceNanos) {}
+    private record SeenVersion(long version, long sinceNanos) {}
 
     final String name;
     final EngineSpeed speed = new EngineSpeed();
     final List<Engine> engines = new ArrayList<>();
     final RetryBudget budget;
-    final Admission admission;
-    private final Map<String, Seen> newest = new HashMap<>(2);
+    final FetchAdmission admission;
+    private final Map<String, SeenVersion> newestVersions = new HashMap<>(2);
     private Service service;
-    private double meanTokensToRead = 1_000;
+    private double meanPrefillTokens = 1_000;
     private double meanFetchTokens = 2_000;
     private double meanMemoryTokens = 2_000;
 
-    ServiceState(Service service, RetryBudget budget, Admission admission) {
+    ServiceState(Service service, RetryBudget budget, FetchAdmission admission) {
         this.name = service.name();
         this.service = service;
         this.budget = budget;
@@ -52,8 +52,8 @@
         return service.engine().linkMbps();
     }
 
-    double meanTokensToRead() {
-        return meanTokensToRead;
+    double meanPrefillTokens() {
+        return meanPrefillTokens;
     }
 
     double meanMemoryTokens() {
@@ -61,7 +61,7 @@
     }
 
     /** Fetches a second that all ready engines together can read. */
-    double bearableFetches() {
+    double sustainableFetchesPerSecond() {
         double tokensPerSecond = 0;
         for (int i = 0; i < engines.size(); i++) {
             Engine engine = engines.get(i);
@@ -70,29 +70,29 @@
         return tokensPerSecond / Math.max(1, meanFetchTokens);
     }
 
-    void onSent(Flight flight) {
+    void onSent(InFlightAttempt flight) {
         if (flight.fetch) {
-            meanFetchTokens += (flight.tokensToRead - meanFetchTokens) * FETCH_GAIN;
+            meanFetchTokens += (flight.tokensToPrefill - meanFetchTokens) * FETCH_GAIN;
         }
-        meanTokensToRead += (flight.tokensToRead - meanTokensToRead) * MEAN_GAIN;
+        meanPrefillTokens += (flight.tokensToPrefill - meanPrefillTokens) * MEAN_GAIN;
         meanMemoryTokens += (flight.memoryTokens - meanMemoryTokens) * MEAN_GAIN;
     }
 
     void onVersion(String model, long version, long nowNanos) {
-        Seen seen = newest.get(model);
+        SeenVersion seen = newestVersions.get(model);
         if (seen == null || version > seen.version()) {
-            newest.put(model, new Seen(version, nowNanos));
+            newestVersions.put(model, new SeenVersion(version, nowNanos));
         }
     }
 
     /** The version below which an engine gets nothing any more: newer ones have had time to come to all. */
-    long leastVersion(String model, long graceNanos, long nowNanos) {
-        Seen seen = newest.get(model);
+    long minVersion(String model, long graceNanos, long nowNanos) {
+        SeenVersion seen = newestVersions.get(model);
         return seen == null || nowNanos - seen.sinceNanos() < graceNanos ? 0 : seen.version();
     }
 
     /** Whether places are free for sure: under half of them taken, and nothing told to wait. */
-    boolean hasSparePlaces(long nowNanos) {
+    boolean hasSpareSlots(long nowNanos) {
         double requests = 0;
         double slots = 0;
         for (int i = 0; i < engines.size(); i++) {
--- a/routing/src/main/java/burlarch/routing/index/PartTable.java
+++ b/routing/src/main/java/burlarch/routing/index/SegmentTable.java
@@ -6,28 +6,28 @@
  * Parts of prompts with the tokens that are kept of each, in open addressing. Bounded twice: by a number of
  * parts and by the tokens of all together; beyond either the oldest of a few looked at gives way.
  */
-public final class PartTable {
-    private static final int SMALLEST = 16;
+public final class SegmentTable {
+    private static final int INITIAL_CAPACITY = 16;
     /** Occupied places that an eviction looks at: near enough to the least recently used, at a fixed cost. */
-    private static final int SAMPLE = 8;
+    private static final int EVICTION_SAMPLE = 8;
 
-    private static final long IN_PLACE_OF_ZERO = 0x5851F42D4C957F2DL;
+    private static final long ZERO_KEY_SUBSTITUTE = 0x5851F42D4C957F2DL;
 
-    private final int mostParts;
-    private final long mostTokens;
-    private long[] keys = new long[SMALLEST];
-    private int[] tokens = new int[SMALLEST];
-    private int[] touched = new int[SMALLEST];
-    private short[] groups = new short[SMALLEST];
-    private boolean[] expected = new boolean[SMALLEST];
+    private final int maxSegments;
+    private final long maxTokens;
+    private long[] keys = new long[INITIAL_CAPACITY];
+    private int[] tokens = new int[INITIAL_CAPACITY];
+    private int[] lastUsed = new int[INITIAL_CAPACITY];
+    private short[] groups = new short[INITIAL_CAPACITY];
+    private boolean[] expected = new boolean[INITIAL_CAPACITY];
     private int size;
-    private int hand;
+    private int evictionCursor;
     private long tokenSum;
 
     /** Both bounds are at least one. */
-    public PartTable(int mostParts, long mostTokens) {
-        this.mostParts = Math.max(1, mostParts);
-        this.mostTokens = Math.max(1, mostTokens);
+    public SegmentTable(int mostParts, long mostTokens) {
+        this.maxSegments = Math.max(1, mostParts);
+        this.maxTokens = Math.max(1, mostTokens);
     }
 
     /**
@@ -43,7 +43,7 @@
         long stored = stored(key);
         int at = find(stored);
         if (keys[at] == 0) {
-            makeRoom(kept);
+            evictFor(kept);
             at = find(stored);
             keys[at] = stored;
             size++;
@@ -53,7 +53,7 @@
             expected[at] &= onlyExpected;
         }
         tokens[at] = kept;
-        touched[at] = now;
+        lastUsed[at] = now;
         groups[at] = group;
         tokenSum += kept;
     }
@@ -69,15 +69,15 @@
     }
 
     /** When the part was last put or touched; meaningful only where {@link #tokens} is above 0. */
-    public int touchedAt(long key) {
-        return touched[find(stored(key))];
+    public int lastUsedAt(long key) {
+        return lastUsed[find(stored(key))];
     }
 
     /** Notes a use; a guess is no guess any more if {@code confirms}. */
-    public void touch(long key, int now, boolean confirms) {
+    public void recordUse(long key, int now, boolean confirms) {
         int at = find(stored(key));
         if (keys[at] != 0) {
-            touched[at] = now;
+            lastUsed[at] = now;
             expected[at] &= !confirms;
         }
     }
@@ -124,7 +124,7 @@
 
     /** Zero marks a free place, so that key is held as another that hashes hardly meet. */
     private static long stored(long key) {
-        return key == 0 ? IN_PLACE_OF_ZERO : key;
+        return key == 0 ? ZERO_KEY_SUBSTITUTE : key;
     }
 
     private int find(long stored) {
@@ -141,23 +141,23 @@
         return (int) (mixed >>> 40) & keys.length - 1;
     }
 
-    private void makeRoom(int more) {
-        while (size > 0 && (size >= mostParts || tokenSum + more > mostTokens)) {
-            removeAt(oldestNearHand());
+    private void evictFor(int more) {
+        while (size > 0 && (size >= maxSegments || tokenSum + more > maxTokens)) {
+            removeAt(oldestNearCursor());
         }
         if ((size + 1) * 3 > keys.length * 2) {
             grow();
         }
     }
 
-    private int oldestNearHand() {
+    private int oldestNearCursor() {
         int mask = keys.length - 1;
         int best = -1;
-        for (int seen = 0, steps = 0; seen < SAMPLE && steps < keys.length; steps++) {
-            hand = hand + 1 & mask;
-            if (keys[hand] != 0) {
+        for (int seen = 0, steps = 0; seen < EVICTION_SAMPLE && steps < keys.length; steps++) {
+            evictionCursor = evictionCursor + 1 & mask;
+            if (keys[evictionCursor] != 0) {
                 seen++;
-                best = best < 0 || touched[hand] < touched[best] ? hand : best;
+                best = best < 0 || lastUsed[evictionCursor] < lastUsed[best] ? evictionCursor : best;
             }
         }
         return best;
@@ -185,7 +185,7 @@
     private void move(int from, int to) {
         keys[to] = keys[from];
         tokens[to] = tokens[from];
-        touched[to] = touched[from];
+        lastUsed[to] = lastUsed[from];
         groups[to] = groups[from];
         expected[to] = expected[from];
     }
@@ -193,13 +193,13 @@
     private void grow() {
         long[] oldKeys = keys;
         int[] oldTokens = tokens;
-        int[] oldTouched = touched;
+        int[] oldTouched = lastUsed;
         short[] oldGroups = groups;
         boolean[] oldExpected = expected;
         int length = keys.length * 2;
         keys = new long[length];
         tokens = new int[length];
-        touched = new int[length];
+        lastUsed = new int[length];
         groups = new short[length];
         expected = new boolean[length];
         for (int i = 0; i < oldKeys.length; i++) {
@@ -207,7 +207,7 @@
                 int at = find(oldKeys[i]);
                 keys[at] = oldKeys[i];
                 tokens[at] = oldTokens[i];
-                touched[at] = oldTouched[i];
+                lastUsed[at] = oldTouched[i];
                 groups[at] = oldGroups[i];
                 expected[at] = oldExpected[i];
             }
