--- a/controller/src/main/java/burlarch/controller/peers/ControllerPeers.java
+++ b/controller/src/main/java/burlarch/controller/peers/ControllerPeers.java
@@ -1,7 +1,7 @@
 package burlarch.controller.peers;
 
-import burlarch.coordination.register.AcceptorMember;
-import burlarch.coordination.register.AcceptorSetPlanner.Candidate;
+import burlarch.coordination.register.acceptorset.AcceptorMember;
+import burlarch.coordination.register.acceptorset.AcceptorSetPlanner.Candidate;
 import burlarch.settings.Addresses;
 import burlarch.transport.EventLoop;
 import burlarch.transport.NodeMessage;
--- a/controller/src/main/java/burlarch/controller/register/CommittedState.java
+++ b/controller/src/main/java/burlarch/controller/register/CommittedState.java
@@ -2,8 +2,8 @@
 
 import burlarch.controller.state.SystemState;
 import burlarch.controller.state.SystemStateCodec;
-import burlarch.coordination.register.AcceptorMember;
-import burlarch.coordination.register.AcceptorSetChange;
+import burlarch.coordination.register.acceptorset.AcceptorMember;
+import burlarch.coordination.register.acceptorset.AcceptorSetChange;
 import burlarch.coordination.register.ProposalNumber;
 import burlarch.coordination.register.RegisterValue;
 import burlarch.coordination.register.RegisterView;
--- a/controller/src/main/java/burlarch/controller/register/ProposalExecutor.java
+++ b/controller/src/main/java/burlarch/controller/register/ProposalExecutor.java
@@ -1,11 +1,11 @@
 package burlarch.controller.register;
 
 import burlarch.controller.peers.ControllerPeers;
-import burlarch.coordination.register.Proposal;
+import burlarch.coordination.register.proposal.Proposal;
 import burlarch.coordination.register.ProposalNumber;
-import burlarch.coordination.register.ProposalOutput;
-import burlarch.coordination.register.ProposalResult;
-import burlarch.coordination.register.RegisterChange;
+import burlarch.coordination.register.proposal.ProposalOutput;
+import burlarch.coordination.register.proposal.ProposalResult;
+import burlarch.coordination.register.proposal.RegisterChange;
 import burlarch.coordination.register.RegisterMessage;
 import burlarch.coordination.register.RegisterValue;
 import burlarch.coordination.register.RegisterView;
--- a/controller/src/main/java/burlarch/controller/register/Proposer.java
+++ b/controller/src/main/java/burlarch/controller/register/Proposer.java
@@ -1,7 +1,7 @@
 package burlarch.controller.register;
 
-import burlarch.coordination.register.ProposalResult;
-import burlarch.coordination.register.RegisterChange;
+import burlarch.coordination.register.proposal.ProposalResult;
+import burlarch.coordination.register.proposal.RegisterChange;
 import java.util.concurrent.CompletableFuture;
 
 /** The register as those see it who change it. */
--- a/controller/src/main/java/burlarch/controller/register/QuorumContactMonitor.java
+++ b/controller/src/main/java/burlarch/controller/register/QuorumContactMonitor.java
@@ -1,7 +1,7 @@
 package burlarch.controller.register;
 
 import burlarch.coordination.ownership.QuorumContactTracker;
-import burlarch.coordination.register.AcceptorSet;
+import burlarch.coordination.register.acceptorset.AcceptorSet;
 import burlarch.transport.EventLoop;
 import burlarch.transport.PeerConnection;
 import org.tinylog.Logger;
--- a/controller/src/main/java/burlarch/controller/register/QuorumReachabilityReporter.java
+++ b/controller/src/main/java/burlarch/controller/register/QuorumReachabilityReporter.java
@@ -1,6 +1,6 @@
 package burlarch.controller.register;
 
-import burlarch.coordination.register.AcceptorReachability;
+import burlarch.coordination.register.acceptorset.AcceptorReachability;
 import org.tinylog.Logger;
 
 /** Tells operators, at a bounded rate, while too few acceptors can be reached. Lives on the loop. */
--- a/controller/src/main/java/burlarch/controller/register/RegisterStorage.java
+++ b/controller/src/main/java/burlarch/controller/register/RegisterStorage.java
@@ -2,7 +2,7 @@
 
 import static java.nio.charset.StandardCharsets.UTF_8;
 
-import burlarch.coordination.register.AcceptorMember;
+import burlarch.coordination.register.acceptorset.AcceptorMember;
 import burlarch.coordination.register.RegisterView;
 import burlarch.storage.AcceptorStore;
 import burlarch.storage.Disk;
--- a/controller/src/test/java/burlarch/controller/register/StoredMembersGoldenTest.java
+++ b/controller/src/test/java/burlarch/controller/register/StoredMembersGoldenTest.java
@@ -4,7 +4,7 @@
 
 import burlarch.coordination.register.ProposalNumber;
 import burlarch.coordination.register.RegisterView;
-import burlarch.coordination.register.AcceptorMember;
+import burlarch.coordination.register.acceptorset.AcceptorMember;
 import burlarch.golden.GoldenFiles;
 import burlarch.storage.AcceptorStore;
 import burlarch.storage.FileSystemDisk;
--- a/coordination/src/main/java/burlarch/coordination/ownership/QuorumContactTracker.java
+++ b/coordination/src/main/java/burlarch/coordination/ownership/QuorumContactTracker.java
@@ -1,6 +1,6 @@
 package burlarch.coordination.ownership;
 
-import burlarch.coordination.register.AcceptorSet;
+import burlarch.coordination.register.acceptorset.AcceptorSet;
 import java.util.HashSet;
 import java.util.LinkedHashMap;
 import java.util.Map;
--- a/coordination/src/main/java/burlarch/coordination/register/Acceptor.java
+++ b/coordination/src/main/java/burlarch/coordination/register/Acceptor.java
@@ -35,11 +35,11 @@
     public AcceptorTransition onPrepare(RegisterMessage.PrepareRequest prepare) {
         ProposalNumber ballot = prepare.proposalNumber();
         if (ballot.compareTo(state.prepared()) < 0) {
-            return unchanged(
-                    new RegisterMessage.PrepareResponse(prepare.callId(), storage, false, state.prepared(), ProposalNumber.ZERO, null));
+            return unchanged(new RegisterMessage.PrepareResponse(
+                    prepare.callId(), storage, false, state.prepared(), ProposalNumber.ZERO, null));
         }
-        RegisterMessage reply =
-                new RegisterMessage.PrepareResponse(prepare.callId(), storage, true, ballot, state.accepted(), state.value());
+        RegisterMessage reply = new RegisterMessage.PrepareResponse(
+                prepare.callId(), storage, true, ballot, state.accepted(), state.value());
         if (ballot.equals(state.prepared())) {
             return unchanged(reply);
         }
--- a/coordination/src/main/java/burlarch/coordination/register/RegisterMessage.java
+++ b/coordination/src/main/java/burlarch/coordination/register/RegisterMessage.java
@@ -12,12 +12,19 @@
      * @param granted false where a higher ballot was promised; {@code prepared} tells which
      * @param accepted ballot of {@code value}; {@link ProposalNumber#ZERO} and null where nothing was accepted yet
      */
-    record PrepareResponse(long callId, String storageId, boolean granted, ProposalNumber prepared, ProposalNumber accepted, RegisterValue value)
+    record PrepareResponse(
+            long callId,
+            String storageId,
+            boolean granted,
+            ProposalNumber prepared,
+            ProposalNumber accepted,
+            RegisterValue value)
             implements RegisterMessage {}
 
     /** Phase two. */
     record AcceptRequest(long callId, ProposalNumber proposalNumber, RegisterValue value) implements RegisterMessage {}
 
     /** Answer to {@link AcceptRequest}. */
-    record AcceptResponse(long callId, String storageId, boolean granted, ProposalNumber prepared) implements RegisterMessage {}
+    record AcceptResponse(long callId, String storageId, boolean granted, ProposalNumber prepared)
+            implements RegisterMessage {}
 }
--- a/coordination/src/main/java/burlarch/coordination/register/RegisterValue.java
+++ b/coordination/src/main/java/burlarch/coordination/register/RegisterValue.java
@@ -1,5 +1,7 @@
 package burlarch.coordination.register;
 
+import burlarch.coordination.register.acceptorset.AcceptorMember;
+import burlarch.coordination.register.acceptorset.AcceptorSet;
 import java.util.List;
 
 /**
--- a/coordination/src/main/java/burlarch/coordination/register/RegisterView.java
+++ b/coordination/src/main/java/burlarch/coordination/register/RegisterView.java
@@ -1,5 +1,6 @@
 package burlarch.coordination.register;
 
+import burlarch.coordination.register.acceptorset.AcceptorMember;
 import java.util.List;
 
 /**
@@ -47,7 +48,7 @@
     }
 
     /** Whether a register that a quorum of these acceptors shows as empty may be given its first value. */
-    boolean mayWriteFirstValue() {
+    public boolean mayWriteFirstValue() {
         return proposalNumber.equals(ProposalNumber.ZERO);
     }
 }
--- a/coordination/src/main/java/burlarch/coordination/register/AcceptorMember.java
+++ b/coordination/src/main/java/burlarch/coordination/register/acceptorset/AcceptorMember.java
@@ -1,4 +1,4 @@
-package burlarch.coordination.register;
+package burlarch.coordination.register.acceptorset;
 
 /**
  * One acceptor of the register.
--- a/coordination/src/main/java/burlarch/coordination/register/AcceptorReachability.java
+++ b/coordination/src/main/java/burlarch/coordination/register/acceptorset/AcceptorReachability.java
@@ -1,6 +1,6 @@
-package burlarch.coordination.register;
+package burlarch.coordination.register.acceptorset;
 
-import burlarch.coordination.register.AcceptorSetPlanner.Candidate;
+import burlarch.coordination.register.acceptorset.AcceptorSetPlanner.Candidate;
 import java.util.ArrayList;
 import java.util.HashSet;
 import java.util.List;
--- a/coordination/src/main/java/burlarch/coordination/register/AcceptorSet.java
+++ b/coordination/src/main/java/burlarch/coordination/register/acceptorset/AcceptorSet.java
@@ -1,5 +1,6 @@
-package burlarch.coordination.register;
+package burlarch.coordination.register.acceptorset;
 
+import burlarch.coordination.register.RegisterValue;
 import java.util.ArrayList;
 import java.util.HashSet;
 import java.util.List;
@@ -34,7 +35,8 @@
         for (AcceptorMember member : members) {
             boolean joins = member.storageId().startsWith(JOINS);
             boolean leaves = member.storageId().startsWith(LEAVES);
-            AcceptorMember plain = joins || leaves ? new AcceptorMember(member.storageId().substring(1), member.address()) : member;
+            AcceptorMember plain =
+                    joins || leaves ? new AcceptorMember(member.storageId().substring(1), member.address()) : member;
             if (plain.storageId().isEmpty() || !seen.add(plain.storageId())) {
                 throw new IllegalArgumentException("an acceptor without identity, or named twice");
             }
@@ -56,7 +58,7 @@
     }
 
     /** Members of a value that leads from one settled set to another; addresses are those of {@code to}. */
-    static List<AcceptorMember> jointMembers(List<AcceptorMember> from, List<AcceptorMember> to) {
+    public static List<AcceptorMember> jointMembers(List<AcceptorMember> from, List<AcceptorMember> to) {
         if (to.isEmpty() || to.size() > MAX_MEMBERS || of(to).changing) {
             throw new IllegalArgumentException("not a settled set of acceptors");
         }
@@ -89,11 +91,11 @@
     }
 
     /** Those of another settled set that have no vote in this one. */
-    List<AcceptorMember> joining(List<AcceptorMember> next) {
+    public List<AcceptorMember> joining(List<AcceptorMember> next) {
         return next.stream().filter(member -> !contains(member.storageId())).toList();
     }
 
-    boolean contains(String storage) {
+    public boolean contains(String storage) {
         return find(all, storage) != null;
     }
 
@@ -103,7 +105,7 @@
     }
 
     /** Whether a list names the same disks as this settled set, at whatever addresses. */
-    boolean hasSameAcceptors(List<AcceptorMember> members) {
+    public boolean hasSameAcceptors(List<AcceptorMember> members) {
         if (changing || members.size() != all.size()) {
             return false;
         }
--- a/coordination/src/main/java/burlarch/coordination/register/AcceptorSetChange.java
+++ b/coordination/src/main/java/burlarch/coordination/register/acceptorset/AcceptorSetChange.java
@@ -1,5 +1,6 @@
-package burlarch.coordination.register;
+package burlarch.coordination.register.acceptorset;
 
+import burlarch.coordination.register.RegisterValue;
 import java.util.ArrayList;
 import java.util.List;
 
--- a/coordination/src/main/java/burlarch/coordination/register/AcceptorSetPlanner.java
+++ b/coordination/src/main/java/burlarch/coordination/register/acceptorset/AcceptorSetPlanner.java
@@ -1,4 +1,4 @@
-package burlarch.coordination.register;
+package burlarch.coordination.register.acceptorset;
 
 import java.util.ArrayList;
 import java.util.Comparator;
@@ -43,7 +43,8 @@
     }
 
     /** The set to change to, or nothing where the present one is right. */
-    public Optional<List<AcceptorMember>> nextMembers(List<AcceptorMember> members, List<Candidate> candidates, long nowNanos) {
+    public Optional<List<AcceptorMember>> nextMembers(
+            List<AcceptorMember> members, List<Candidate> candidates, long nowNanos) {
         forget(candidates, nowNanos);
         List<AcceptorMember> spares = spares(members, candidates);
         List<AcceptorMember> lost = lostMembers(members, candidates, nowNanos);
@@ -75,7 +76,8 @@
                                 .noneMatch(one -> one.member().storageId().equals(entry.getKey())));
     }
 
-    private static Optional<List<AcceptorMember>> grown(List<AcceptorMember> members, List<AcceptorMember> spares, int count) {
+    private static Optional<List<AcceptorMember>> grown(
+            List<AcceptorMember> members, List<AcceptorMember> spares, int count) {
         if (spares.size() < count || members.size() + count > MAX_MEMBERS) {
             return Optional.empty();
         }
@@ -85,7 +87,8 @@
     }
 
     /** Best by one at the same address: a disk that came back empty. */
-    private static List<AcceptorMember> exchanged(List<AcceptorMember> members, AcceptorMember lost, List<AcceptorMember> spares) {
+    private static List<AcceptorMember> exchanged(
+            List<AcceptorMember> members, AcceptorMember lost, List<AcceptorMember> spares) {
         AcceptorMember successor = spares.stream()
                 .filter(spare -> spare.address().equals(lost.address()))
                 .findFirst()
--- a/coordination/src/main/java/burlarch/coordination/register/ChangeDecision.java
+++ b/coordination/src/main/java/burlarch/coordination/register/proposal/ChangeDecision.java
@@ -1,4 +1,6 @@
-package burlarch.coordination.register;
+package burlarch.coordination.register.proposal;
+
+import burlarch.coordination.register.RegisterValue;
 
 /** What a change makes of the register's current value. */
 public sealed interface ChangeDecision {
--- a/coordination/src/main/java/burlarch/coordination/register/PrepareTally.java
+++ b/coordination/src/main/java/burlarch/coordination/register/proposal/PrepareTally.java
@@ -1,5 +1,11 @@
-package burlarch.coordination.register;
+package burlarch.coordination.register.proposal;
 
+import burlarch.coordination.register.ProposalNumber;
+import burlarch.coordination.register.RegisterMessage;
+import burlarch.coordination.register.RegisterValue;
+import burlarch.coordination.register.RegisterView;
+import burlarch.coordination.register.acceptorset.AcceptorMember;
+import burlarch.coordination.register.acceptorset.AcceptorSet;
 import java.util.HashMap;
 import java.util.HashSet;
 import java.util.List;
--- a/coordination/src/main/java/burlarch/coordination/register/Proposal.java
+++ b/coordination/src/main/java/burlarch/coordination/register/proposal/Proposal.java
@@ -1,5 +1,11 @@
-package burlarch.coordination.register;
+package burlarch.coordination.register.proposal;
 
+import burlarch.coordination.register.ProposalNumber;
+import burlarch.coordination.register.RegisterMessage;
+import burlarch.coordination.register.RegisterValue;
+import burlarch.coordination.register.RegisterView;
+import burlarch.coordination.register.acceptorset.AcceptorMember;
+import burlarch.coordination.register.acceptorset.AcceptorSet;
 import java.util.ArrayList;
 import java.util.HashSet;
 import java.util.LinkedHashMap;
@@ -97,7 +103,12 @@
      * @param deadline when to give up, on the clock of {@code now}
      */
     public Proposal(
-            String name, long roundHint, RegisterView belief, RegisterChange change, long deadline, RandomGenerator random) {
+            String name,
+            long roundHint,
+            RegisterView belief,
+            RegisterChange change,
+            long deadline,
+            RandomGenerator random) {
         this.name = name;
         this.round = Math.max(roundHint, belief.proposalNumber().term());
         this.belief = belief;
--- a/coordination/src/main/java/burlarch/coordination/register/ProposalOutput.java
+++ b/coordination/src/main/java/burlarch/coordination/register/proposal/ProposalOutput.java
@@ -1,4 +1,7 @@
-package burlarch.coordination.register;
+package burlarch.coordination.register.proposal;
+
+import burlarch.coordination.register.RegisterMessage;
+import burlarch.coordination.register.acceptorset.AcceptorMember;
 
 /** What a proposal asks its driver to do. */
 public sealed interface ProposalOutput {
--- a/coordination/src/main/java/burlarch/coordination/register/ProposalResult.java
+++ b/coordination/src/main/java/burlarch/coordination/register/proposal/ProposalResult.java
@@ -1,4 +1,7 @@
-package burlarch.coordination.register;
+package burlarch.coordination.register.proposal;
+
+import burlarch.coordination.register.ProposalNumber;
+import burlarch.coordination.register.RegisterValue;
 
 /** How a proposal ended. */
 public sealed interface ProposalResult {
@@ -9,7 +12,8 @@
      * @param value the register's value, null where it is still empty
      * @param decision the one that led here
      */
-    record Chosen(ProposalNumber proposalNumber, RegisterValue value, ChangeDecision decision) implements ProposalResult {}
+    record Chosen(ProposalNumber proposalNumber, RegisterValue value, ChangeDecision decision)
+            implements ProposalResult {}
 
     /** The deadline passed after the change was sent out: it may be chosen, now or later, or never. */
     record Unknown() implements ProposalResult {}
--- a/coordination/src/main/java/burlarch/coordination/register/RegisterChange.java
+++ b/coordination/src/main/java/burlarch/coordination/register/proposal/RegisterChange.java
@@ -1,4 +1,6 @@
-package burlarch.coordination.register;
+package burlarch.coordination.register.proposal;
+
+import burlarch.coordination.register.RegisterValue;
 
 /**
  * One change of the register's value, run anew on each value that its proposal meets.
--- a/coordination/src/main/java/burlarch/coordination/register/WritePlan.java
+++ b/coordination/src/main/java/burlarch/coordination/register/proposal/WritePlan.java
@@ -1,5 +1,8 @@
-package burlarch.coordination.register;
+package burlarch.coordination.register.proposal;
 
+import burlarch.coordination.register.RegisterValue;
+import burlarch.coordination.register.acceptorset.AcceptorMember;
+import burlarch.coordination.register.acceptorset.AcceptorSet;
 import java.util.List;
 
 /**
@@ -75,7 +78,8 @@
         if (set.hasSameAcceptors(next.members())) {
             return new WritePlan(next, write, Step.FINISH);
         }
-        RegisterValue both = new RegisterValue(AcceptorSet.jointMembers(current.members(), next.members()), next.payload());
+        RegisterValue both =
+                new RegisterValue(AcceptorSet.jointMembers(current.members(), next.members()), next.payload());
         return new WritePlan(both, write, Step.CHANGE_SET);
     }
 
--- a/coordination/src/test/java/burlarch/coordination/register/ChosenValues.java
+++ b/coordination/src/test/java/burlarch/coordination/register/proposal/ChosenValues.java
@@ -1,7 +1,11 @@
-package burlarch.coordination.register;
+package burlarch.coordination.register.proposal;
 
 import static org.assertj.core.api.Assertions.assertThat;
 
+import burlarch.coordination.register.AcceptorState;
+import burlarch.coordination.register.ProposalNumber;
+import burlarch.coordination.register.RegisterValue;
+import burlarch.coordination.register.acceptorset.AcceptorSet;
 import java.util.Collections;
 import java.util.HashMap;
 import java.util.HashSet;
--- a/coordination/src/test/java/burlarch/coordination/register/History.java
+++ b/coordination/src/test/java/burlarch/coordination/register/proposal/History.java
@@ -1,5 +1,6 @@
-package burlarch.coordination.register;
+package burlarch.coordination.register.proposal;
 
+import burlarch.coordination.register.RegisterValue;
 import java.nio.ByteBuffer;
 import java.util.ArrayList;
 import java.util.List;
--- a/coordination/src/test/java/burlarch/coordination/register/RegisterRandomTest.java
+++ b/coordination/src/test/java/burlarch/coordination/register/proposal/RegisterRandomTest.java
@@ -1,4 +1,4 @@
-package burlarch.coordination.register;
+package burlarch.coordination.register.proposal;
 
 import static org.assertj.core.api.Assertions.assertThat;
 
--- a/coordination/src/test/java/burlarch/coordination/register/ReplacementSearch.java
+++ b/coordination/src/test/java/burlarch/coordination/register/proposal/ReplacementSearch.java
@@ -1,7 +1,8 @@
-package burlarch.coordination.register;
+package burlarch.coordination.register.proposal;
 
 import static org.assertj.core.api.Assertions.assertThat;
 
+import burlarch.coordination.register.acceptorset.AcceptorSetPlanner;
 import java.util.LinkedHashSet;
 import java.util.List;
 import java.util.Random;
--- a/coordination/src/test/java/burlarch/coordination/register/SetChangeExplorerTest.java
+++ b/coordination/src/test/java/burlarch/coordination/register/proposal/SetChangeExplorerTest.java
@@ -1,10 +1,16 @@
-package burlarch.coordination.register;
+package burlarch.coordination.register.proposal;
 
 import static org.assertj.core.api.Assertions.assertThat;
 import static org.assertj.core.api.Assertions.assertThatThrownBy;
 
-import burlarch.coordination.register.SetChangeExplorer.Kind;
-import burlarch.coordination.register.SetChangeWorld.Faults;
+import burlarch.coordination.register.ProposalNumber;
+import burlarch.coordination.register.RegisterMessage;
+import burlarch.coordination.register.RegisterValue;
+import burlarch.coordination.register.RegisterView;
+import burlarch.coordination.register.acceptorset.AcceptorMember;
+import burlarch.coordination.register.acceptorset.AcceptorSet;
+import burlarch.coordination.register.proposal.SetChangeExplorer.Kind;
+import burlarch.coordination.register.proposal.SetChangeWorld.Faults;
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
--- a/coordination/src/test/java/burlarch/coordination/register/SimulatedMachine.java
+++ b/coordination/src/test/java/burlarch/coordination/register/proposal/SimulatedMachine.java
@@ -1,5 +1,10 @@
-package burlarch.coordination.register;
+package burlarch.coordination.register.proposal;
 
+import burlarch.coordination.register.Acceptor;
+import burlarch.coordination.register.AcceptorState;
+import burlarch.coordination.register.AcceptorTransition;
+import burlarch.coordination.register.RegisterMessage;
+import burlarch.coordination.register.acceptorset.AcceptorMember;
 import java.util.ArrayDeque;
 import java.util.Queue;
 import java.util.Random;
--- a/simulation/src/test/java/burlarch/simulation/disk/ManyChangesTest.java
+++ b/simulation/src/test/java/burlarch/simulation/disk/ManyChangesTest.java
@@ -2,7 +2,7 @@
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-import burlarch.coordination.register.AcceptorMember;
+import burlarch.coordination.register.acceptorset.AcceptorMember;
 import burlarch.coordination.register.AcceptorState;
 import burlarch.coordination.register.ProposalNumber;
 import burlarch.coordination.register.RegisterValue;
--- a/simulation/src/test/java/burlarch/simulation/operators/OperatorRun.java
+++ b/simulation/src/test/java/burlarch/simulation/operators/OperatorRun.java
@@ -1,6 +1,6 @@
 package burlarch.simulation.operators;
 
-import burlarch.coordination.register.AcceptorMember;
+import burlarch.coordination.register.acceptorset.AcceptorMember;
 import burlarch.simulation.NetworkSettings;
 import burlarch.simulation.SimulatedNetwork;
 import burlarch.simulation.Simulation;
--- a/storage/src/main/java/burlarch/storage/AcceptorRecordCodec.java
+++ b/storage/src/main/java/burlarch/storage/AcceptorRecordCodec.java
@@ -1,9 +1,9 @@
 package burlarch.storage;
 
-import burlarch.coordination.register.AcceptorSet;
+import burlarch.coordination.register.acceptorset.AcceptorSet;
 import burlarch.coordination.register.AcceptorState;
 import burlarch.coordination.register.ProposalNumber;
-import burlarch.coordination.register.AcceptorMember;
+import burlarch.coordination.register.acceptorset.AcceptorMember;
 import burlarch.coordination.register.RegisterValue;
 import java.io.ByteArrayInputStream;
 import java.io.ByteArrayOutputStream;
--- a/storage/src/test/java/burlarch/storage/AcceptorStoreScenario.java
+++ b/storage/src/test/java/burlarch/storage/AcceptorStoreScenario.java
@@ -4,7 +4,7 @@
 
 import burlarch.coordination.register.AcceptorState;
 import burlarch.coordination.register.ProposalNumber;
-import burlarch.coordination.register.AcceptorMember;
+import burlarch.coordination.register.acceptorset.AcceptorMember;
 import burlarch.coordination.register.RegisterValue;
 import java.io.IOException;
 import java.nio.ByteBuffer;
--- a/storage/src/test/java/burlarch/storage/GoldenRecords.java
+++ b/storage/src/test/java/burlarch/storage/GoldenRecords.java
@@ -2,7 +2,7 @@
 
 import burlarch.coordination.register.AcceptorState;
 import burlarch.coordination.register.ProposalNumber;
-import burlarch.coordination.register.AcceptorMember;
+import burlarch.coordination.register.acceptorset.AcceptorMember;
 import burlarch.coordination.register.RegisterValue;
 import java.io.IOException;
 import java.nio.charset.StandardCharsets;
--- a/transport/src/test/java/burlarch/transport/SampleMessages.java
+++ b/transport/src/test/java/burlarch/transport/SampleMessages.java
@@ -1,7 +1,7 @@
 package burlarch.transport;
 
 import burlarch.coordination.register.ProposalNumber;
-import burlarch.coordination.register.AcceptorMember;
+import burlarch.coordination.register.acceptorset.AcceptorMember;
 import burlarch.coordination.register.RegisterMessage;
 import burlarch.coordination.register.RegisterValue;
 import burlarch.coordination.registry.Instance;
