--- a/controller/src/main/java/burlarch/controller/ownership/LeaseManager.java
+++ b/controller/src/main/java/burlarch/controller/ownership/LeaseManager.java
@@ -10,6 +10,7 @@
 import burlarch.coordination.ownership.RendezvousAssignment;
 import burlarch.transport.EventLoop;
 import java.util.List;
+import java.util.Optional;
 import java.util.function.BooleanSupplier;
 import org.tinylog.Logger;
 
@@ -88,7 +89,7 @@
 
     /** An engine has seen a higher token. */
     public void onFenced() {
-        if (lease.state() == LeaseState.OWNED || lease.state() == LeaseState.AWAITING_EXPIRY) {
+        if (lease.state().isGranted()) {
             lease.release();
             updateRole();
         }
@@ -147,7 +148,8 @@
         if (known != null && holders.isAlive(known.holder(), loop.nanoTime()) || isDiscovering()) {
             return false;
         }
-        return ownAddress.equals(new RendezvousAssignment(holders.candidates(), List.of(key)).ownerOf(key));
+        RendezvousAssignment assignment = new RendezvousAssignment(holders.candidates(), List.of(key));
+        return assignment.ownerOf(key).filter(ownAddress::equals).isPresent();
     }
 
     private boolean isDiscovering() {
@@ -185,7 +187,7 @@
             ownerSinceNanos = former == null ? now - lease.takeoverWaitNanos() : now;
         }
         boolean waitedOut = now - ownerSinceNanos >= lease.takeoverWaitNanos();
-        lease.onClaimAccepted(taken.token(), waitedOut ? null : "another", askedAt, now);
+        lease.onClaimAccepted(taken.token(), waitedOut ? Optional.empty() : Optional.of("another"), askedAt, now);
         Logger.info("{} owned under token {}", key, taken.token());
         updateRole();
     }
--- a/controller/src/main/java/burlarch/controller/register/AcceptorSetReconciler.java
+++ b/controller/src/main/java/burlarch/controller/register/AcceptorSetReconciler.java
@@ -127,7 +127,7 @@
 
     private List<Candidate> candidates() {
         List<Candidate> candidates = new ArrayList<>(peers.candidates());
-        candidates.add(new Candidate(own, true, startedNanos));
+        candidates.add(Candidate.ofReachable(own, startedNanos));
         return candidates;
     }
 
--- a/coordination/src/main/java/burlarch/coordination/ownership/LeaseState.java
+++ b/coordination/src/main/java/burlarch/coordination/ownership/LeaseState.java
@@ -1,30 +1,95 @@
 package burlarch.coordination.ownership;
 
-/** Where an {@link OwnershipLease} stands. */
+/**
+ * The states of an {@link OwnershipLease}. All transitions are in {@link #after}; an event that has no transition in a
+ * state is a programming error.
+ *
+ * <pre>
+ * event           | UNCLAIMED | CLAIMING        | AWAITING_EXPIRY | OWNED     | LOST
+ * ----------------+-----------+-----------------+-----------------+-----------+-----------
+ * CLAIM_SENT      | CLAIMING  |                 |                 |           |
+ * CLAIM_REJECTED  |           | UNCLAIMED       |                 |           |
+ * GRANTED_FREE    |           | OWNED           |                 |           |
+ * GRANTED_IN_USE  |           | AWAITING_EXPIRY |                 |           |
+ * WAIT_ELAPSED    |           |                 | OWNED           |           |
+ * SUPERSEDED      |           |                 | LOST            | LOST      |
+ * EXPIRED         |           |                 | LOST            | LOST      |
+ * RELEASED        |           | UNCLAIMED       | UNCLAIMED       | UNCLAIMED | UNCLAIMED
+ * </pre>
+ */
 public enum LeaseState {
-    /** Not held here and not asked for. */
+    /** Not owned here and not claimed. */
     UNCLAIMED,
     /** A claim is on its way to the register. */
     CLAIMING,
-    /** The claim is in the register; a former holder may still act. */
+    /** The register names this process as owner; the previous owner may still act. */
     AWAITING_EXPIRY,
-    /** Held here; see {@link OwnershipLease#mayAct}. */
+    /** Owned here; see {@link OwnershipLease#mayAct}. */
     OWNED,
-    /** Held here before and no longer; {@link OwnershipLease#release} makes it free for another claim. */
+    /** Owned here before and no longer; {@link OwnershipLease#release} makes way for another claim. */
     LOST;
 
-    boolean mayBecome(LeaseState next) {
-        switch (this) {
-            case UNCLAIMED:
-                return next == CLAIMING;
-            case CLAIMING:
-                return next == AWAITING_EXPIRY || next == OWNED || next == UNCLAIMED;
-            case AWAITING_EXPIRY:
-                return next == OWNED || next == LOST || next == UNCLAIMED;
-            case OWNED:
-                return next == LOST || next == UNCLAIMED;
-            default:
-                return next == UNCLAIMED;
-        }
+    /** What moves a lease from one state to the next. */
+    enum Event {
+        /** A claim was sent to the register. */
+        CLAIM_SENT,
+        /** The register did not accept the claim, or did not respond. */
+        CLAIM_REJECTED,
+        /** The register accepted the claim, and no other process can still act as owner. */
+        GRANTED_FREE,
+        /** The register accepted the claim, and the previous owner may still act. */
+        GRANTED_IN_USE,
+        /** The previous owner's lease is over. */
+        WAIT_ELAPSED,
+        /** The register names another owner, or a higher token. */
+        SUPERSEDED,
+        /** The register has not confirmed the ownership for a complete lease. */
+        EXPIRED,
+        /** This process gives the ownership up, or acknowledges that it was lost. */
+        RELEASED
+    }
+
+    /**
+     * The state after an event.
+     *
+     * @throws IllegalStateException when the event cannot happen in this state
+     */
+    LeaseState after(Event event) {
+        return switch (this) {
+            case UNCLAIMED -> switch (event) {
+                case CLAIM_SENT -> CLAIMING;
+                default -> throw impossible(event);
+            };
+            case CLAIMING -> switch (event) {
+                case CLAIM_REJECTED, RELEASED -> UNCLAIMED;
+                case GRANTED_FREE -> OWNED;
+                case GRANTED_IN_USE -> AWAITING_EXPIRY;
+                default -> throw impossible(event);
+            };
+            case AWAITING_EXPIRY -> switch (event) {
+                case WAIT_ELAPSED -> OWNED;
+                case SUPERSEDED, EXPIRED -> LOST;
+                case RELEASED -> UNCLAIMED;
+                default -> throw impossible(event);
+            };
+            case OWNED -> switch (event) {
+                case SUPERSEDED, EXPIRED -> LOST;
+                case RELEASED -> UNCLAIMED;
+                default -> throw impossible(event);
+            };
+            case LOST -> switch (event) {
+                case RELEASED -> UNCLAIMED;
+                default -> throw impossible(event);
+            };
+        };
+    }
+
+    /** Whether the register has accepted this process as owner, as far as is known here. */
+    public boolean isGranted() {
+        return this == AWAITING_EXPIRY || this == OWNED;
+    }
+
+    private IllegalStateException impossible(Event event) {
+        return new IllegalStateException(event + " in state " + this);
     }
 }
--- a/coordination/src/main/java/burlarch/coordination/ownership/QuorumContactTracker.java
+++ b/coordination/src/main/java/burlarch/coordination/ownership/QuorumContactTracker.java
@@ -7,55 +7,57 @@
 import java.util.Set;
 
 /**
- * Whether this process stands with a quorum of the register's acceptors: it does while it heard enough of
- * them within a named time. Times are nanoseconds of a steady clock that goes on while the process stands
- * still, so that after a standstill there is no contact until they were heard again.
+ * Tracks whether this process is in contact with a quorum of the register's acceptors. It is while it has received
+ * messages from enough of them within a given time.
  *
- * <p>This is a hint that what a quorum must stand behind can't be served just now, and that what wasn't heard
- * here says nothing. Safety rests on the register and on leases, never on this. Not safe for use by threads
- * at the same time.
+ * <p>The result is a hint: without contact, what needs a quorum cannot be served now, and that something was not heard
+ * here means nothing. Safety rests on the register and on leases, never on this class.
+ *
+ * <p>Times are nanoseconds of a monotonic clock that goes on while the process is frozen. After a freeze there is
+ * therefore no contact until new messages have come. Not safe for use by several threads.
  */
 public final class QuorumContactTracker {
-    /** Acceptors beyond this number are forgotten, those not heard of for longest first. */
+    /** Acceptors beyond this number are forgotten; the one that was silent for longest first. */
     static final int MAX_ACCEPTORS = 2 * AcceptorSet.MAX_MEMBERS;
 
-    private final String ownStorage;
-    private final long lastsNanos;
-    /** When each acceptor was heard last, the newest at the end. */
-    private final Map<String, Long> heardAt = new LinkedHashMap<>();
+    private final String ownStorageId;
+    private final long contactNanos;
+
+    /** When each acceptor's last message came, the newest at the end. */
+    private final Map<String, Long> lastHeardNanos = new LinkedHashMap<>();
 
     /**
-     * Begins without contact but with the own acceptor.
+     * Creates a tracker that is in contact with this process's own acceptor alone.
      *
-     * @param ownStorage storage identity of this process's own acceptor, which it always reaches
-     * @param lastsNanos how long an acceptor counts after it was heard
+     * @param ownStorageId storage identity of this process's own acceptor, which it always reaches
+     * @param contactNanos for how long an acceptor counts after its last message
      */
-    public QuorumContactTracker(String ownStorage, long lastsNanos) {
-        this.ownStorage = ownStorage;
-        this.lastsNanos = lastsNanos;
+    public QuorumContactTracker(String ownStorageId, long contactNanos) {
+        this.ownStorageId = ownStorageId;
+        this.contactNanos = contactNanos;
     }
 
-    /** A message of the process came that has this storage identity. */
-    public void onHeardFrom(String storage, long nowNanos) {
-        heardAt.remove(storage);
-        heardAt.put(storage, nowNanos);
-        if (heardAt.size() > MAX_ACCEPTORS) {
-            heardAt.remove(heardAt.keySet().iterator().next());
+    /** Notes a message of the process whose acceptor has this storage identity. */
+    public void onHeardFrom(String storageId, long nowNanos) {
+        lastHeardNanos.remove(storageId);
+        lastHeardNanos.put(storageId, nowNanos);
+        if (lastHeardNanos.size() > MAX_ACCEPTORS) {
+            lastHeardNanos.remove(lastHeardNanos.keySet().iterator().next());
         }
     }
 
-    /** A connection with that process is down: what was heard over it may be old. */
-    public void onConnectionLost(String storage) {
-        heardAt.remove(storage);
+    /** Notes that a connection with that process is down. What came over it last may have been old by then. */
+    public void onConnectionLost(String storageId) {
+        lastHeardNanos.remove(storageId);
     }
 
     /** Whether a quorum of these acceptors is in contact now. */
     public boolean hasQuorum(AcceptorSet acceptors, long nowNanos) {
         Set<String> inContact = new HashSet<>();
-        inContact.add(ownStorage);
-        heardAt.forEach((storage, heard) -> {
-            if (nowNanos - heard < lastsNanos) {
-                inContact.add(storage);
+        inContact.add(ownStorageId);
+        lastHeardNanos.forEach((storageId, heardNanos) -> {
+            if (nowNanos - heardNanos < contactNanos) {
+                inContact.add(storageId);
             }
         });
         return acceptors.hasQuorum(inContact);
--- a/coordination/src/main/java/burlarch/coordination/ownership/RendezvousAssignment.java
+++ b/coordination/src/main/java/burlarch/coordination/ownership/RendezvousAssignment.java
@@ -4,11 +4,15 @@
 import java.util.ArrayList;
 import java.util.Collection;
 import java.util.List;
+import java.util.Optional;
 import java.util.TreeSet;
 
 /**
- * Who looks after which key, by rendezvous hashing: every member scores a hash of itself and the key, and the
- * highest owns it. All that know the same members agree; a member that goes moves only its own keys.
+ * Assigns keys to members by rendezvous hashing: each member has a score for each key, and the member with the highest
+ * score owns the key. Immutable.
+ *
+ * <p>Processes that know the same members agree on all owners without a message. When a member leaves, only its own keys
+ * move.
  */
 public final class RendezvousAssignment {
     private static final long FNV_OFFSET = 0xCBF29CE484222325L;
@@ -19,8 +23,10 @@
     private final List<String> keys;
 
     /**
+     * Assigns keys to members; the order of the members has no effect.
+     *
      * @param members names of those that share the keys
-     * @param keys the keys that {@link #keysOf} divides; {@link #ownerOf} answers for any other too
+     * @param keys the keys that {@link #keysOf} divides; {@link #ownerOf} answers for any other key too
      */
     public RendezvousAssignment(Collection<String> members, Collection<String> keys) {
         this.members = List.copyOf(new TreeSet<>(members));
@@ -31,7 +37,7 @@
         }
     }
 
-    /** Divides the keys among those of the members that have this role. */
+    /** Assigns keys to those of the members that have this role. */
     public static RendezvousAssignment ofRole(String role, Collection<MemberInfo> members, Collection<String> keys) {
         List<String> names = new ArrayList<>();
         for (MemberInfo member : members) {
@@ -42,8 +48,8 @@
         return new RendezvousAssignment(names, keys);
     }
 
-    /** Name of the key's owner, or null where there is no member. */
-    public String ownerOf(String key) {
+    /** The name of the key's owner; empty when there is no member. */
+    public Optional<String> ownerOf(String key) {
         long keyHash = hash(key);
         String owner = null;
         long best = Long.MIN_VALUE;
@@ -54,10 +60,10 @@
                 best = score;
             }
         }
-        return owner;
+        return Optional.ofNullable(owner);
     }
 
-    /** A number from 0 to 1 that all agree on for a member and a key. */
+    /** A member's score for a key, from 0 to below 1; the same in all processes. */
     public static double score(String member, String key) {
         return (mix(hash(member) ^ hash(key)) >>> 11) * 0x1.0p-53;
     }
@@ -66,13 +72,14 @@
     public List<String> keysOf(String member) {
         List<String> owned = new ArrayList<>();
         for (String key : keys) {
-            if (member.equals(ownerOf(key))) {
+            if (ownerOf(key).filter(member::equals).isPresent()) {
                 owned.add(key);
             }
         }
         return owned;
     }
 
+    /** FNV-1a over the characters, mixed. */
     private static long hash(String text) {
         long hash = FNV_OFFSET;
         for (int i = 0; i < text.length(); i++) {
--- a/coordination/src/main/java/burlarch/coordination/register/Acceptor.java
+++ b/coordination/src/main/java/burlarch/coordination/register/Acceptor.java
@@ -1,70 +1,85 @@
 package burlarch.coordination.register;
 
+import burlarch.coordination.register.RegisterMessage.AcceptRequest;
+import burlarch.coordination.register.RegisterMessage.AcceptResponse;
+import burlarch.coordination.register.RegisterMessage.PrepareRequest;
+import burlarch.coordination.register.RegisterMessage.PrepareResponse;
+
 /**
- * One vote of the register, bound to one disk.
+ * One acceptor of the register, bound to one disk.
+ *
+ * <p>The acceptor computes only. For each request its caller makes {@link AcceptorTransition#state()} durable, then
+ * calls {@link #onPersisted} and sends the response. When the disk refuses the write, the caller drops the transition
+ * and the acceptor is as before. The caller handles requests one at a time: it passes the next request only after the
+ * previous transition was persisted or dropped.
+ *
+ * <p>Invariant DurableBeforeResponse: a response tells only of state that is durable. A proposer may therefore count
+ * it also after this process has restarted.
+ *
+ * <p>A request with a proposal number that was granted before is a repeated message of the same proposal
+ * (UniqueNumber); the acceptor grants it again without a write.
  *
- * <p>It only computes: the driver makes {@link AcceptorTransition#state()} durable, then calls {@link #onPersisted} and
- * sends the reply. Where the disk refuses, the driver drops the step, and the acceptor is as it was. Steps
- * are taken one at a time: the next message is shown only once the step before was adopted or dropped. A
- * ballot belongs to one proposal, so an equal one is a repeated message and is granted again.
+ * <p>Not safe for use by several threads.
  */
 public final class Acceptor {
-    private final String storage;
+    private final String storageId;
     private AcceptorState state;
 
     /**
-     * Takes up the work of a disk.
+     * Creates the acceptor of a disk.
      *
-     * @param storage identity of the disk; a wiped disk must not come back under its old one
-     * @param state what that disk holds
+     * @param storageId identity of the disk; a disk that comes back empty must have a new one
+     * @param state what the disk holds
      */
-    public Acceptor(String storage, AcceptorState state) {
-        this.storage = storage;
+    public Acceptor(String storageId, AcceptorState state) {
+        this.storageId = storageId;
         this.state = state;
     }
 
+    /** The identity of the acceptor's disk. */
     public String storageId() {
-        return storage;
+        return storageId;
     }
 
+    /** The state that was persisted last. */
     public AcceptorState state() {
         return state;
     }
 
-    /** Phase one: promises to take no lower ballot, and tells what was accepted last. */
-    public AcceptorTransition onPrepare(RegisterMessage.PrepareRequest prepare) {
-        ProposalNumber ballot = prepare.proposalNumber();
-        if (ballot.compareTo(state.prepared()) < 0) {
-            return unchanged(new RegisterMessage.PrepareResponse(
-                    prepare.callId(), storage, false, state.prepared(), ProposalNumber.ZERO, null));
+    /** Phase one: grants the proposal number unless a higher one was granted, and reports the accepted value. */
+    public AcceptorTransition onPrepare(PrepareRequest request) {
+        ProposalNumber number = request.proposalNumber();
+        if (number.compareTo(state.prepared()) < 0) {
+            return AcceptorTransition.unchanged(state, rejection(request));
         }
-        RegisterMessage reply = new RegisterMessage.PrepareResponse(
-                prepare.callId(), storage, true, ballot, state.accepted(), state.value());
-        if (ballot.equals(state.prepared())) {
-            return unchanged(reply);
+        RegisterMessage response =
+                new PrepareResponse(request.callId(), storageId, true, number, state.accepted(), state.value());
+        if (number.equals(state.prepared())) {
+            return AcceptorTransition.unchanged(state, response);
         }
-        return new AcceptorTransition(new AcceptorState(ballot, state.accepted(), state.value()), true, reply);
+        return AcceptorTransition.changedTo(new AcceptorState(number, state.accepted(), state.value()), response);
     }
 
-    /** Phase two: takes the value unless a higher ballot was promised. */
-    public AcceptorTransition onAccept(RegisterMessage.AcceptRequest accept) {
-        ProposalNumber ballot = accept.proposalNumber();
-        if (ballot.compareTo(state.prepared()) < 0) {
-            return unchanged(new RegisterMessage.AcceptResponse(accept.callId(), storage, false, state.prepared()));
+    /** Phase two: accepts the value unless a higher proposal number was granted. */
+    public AcceptorTransition onAccept(AcceptRequest request) {
+        ProposalNumber number = request.proposalNumber();
+        if (number.compareTo(state.prepared()) < 0) {
+            return AcceptorTransition.unchanged(
+                    state, new AcceptResponse(request.callId(), storageId, false, state.prepared()));
         }
-        RegisterMessage reply = new RegisterMessage.AcceptResponse(accept.callId(), storage, true, ballot);
-        if (ballot.equals(state.accepted())) {
-            return unchanged(reply);
+        RegisterMessage response = new AcceptResponse(request.callId(), storageId, true, number);
+        if (number.equals(state.accepted())) {
+            return AcceptorTransition.unchanged(state, response);
         }
-        return new AcceptorTransition(new AcceptorState(ballot, ballot, accept.value()), true, reply);
+        return AcceptorTransition.changedTo(new AcceptorState(number, number, request.value()), response);
     }
 
-    /** To be called once the state of a step is durable, before its reply is sent. */
+    /** Adopts the state of a transition. To be called once it is durable, before the response is sent. */
     public void onPersisted(AcceptorState durable) {
         state = durable;
     }
 
-    private AcceptorTransition unchanged(RegisterMessage reply) {
-        return new AcceptorTransition(state, false, reply);
+    private RegisterMessage rejection(PrepareRequest request) {
+        return new PrepareResponse(request.callId(), storageId, false, state.prepared(), ProposalNumber.ZERO, null);
     }
 }
--- a/coordination/src/main/java/burlarch/coordination/register/AcceptorState.java
+++ b/coordination/src/main/java/burlarch/coordination/register/AcceptorState.java
@@ -1,13 +1,13 @@
 package burlarch.coordination.register;
 
 /**
- * All that an acceptor must not forget.
+ * The durable state of an acceptor.
  *
- * @param prepared no ballot below this one is taken any more
- * @param accepted ballot of {@code value}; {@link ProposalNumber#ZERO} where nothing was accepted yet
- * @param value the value accepted last, or null
+ * @param prepared the highest proposal number that was granted; requests with a lower one are rejected
+ * @param accepted proposal number of {@code value}; {@link ProposalNumber#ZERO} when nothing was accepted yet
+ * @param value the value that was accepted last; null when nothing was accepted yet
  */
 public record AcceptorState(ProposalNumber prepared, ProposalNumber accepted, RegisterValue value) {
-    /** State of an acceptor that has never heard of anyone. */
+    /** The state of an acceptor that has granted no request yet. */
     public static final AcceptorState EMPTY = new AcceptorState(ProposalNumber.ZERO, ProposalNumber.ZERO, null);
 }
--- a/coordination/src/main/java/burlarch/coordination/register/AcceptorTransition.java
+++ b/coordination/src/main/java/burlarch/coordination/register/AcceptorTransition.java
@@ -1,10 +1,19 @@
 package burlarch.coordination.register;
 
 /**
- * What an acceptor makes of one message.
+ * What one request makes of an acceptor's state, and the response to it. The response must be sent only after {@code
+ * state} is durable.
  *
- * @param state to be made durable before {@code response} leaves, and then handed to {@link Acceptor#onPersisted}
- * @param changed whether {@code state} differs from the one before; if not, nothing has to be written
- * @param response to be dropped where {@code state} could not be made durable
+ * @param state the state after the request; to be made durable and then handed to {@link Acceptor#onPersisted}
+ * @param changed whether {@code state} differs from the state before; when it does not, nothing has to be persisted
+ * @param response to be dropped when {@code state} could not be made durable
  */
-public record AcceptorTransition(AcceptorState state, boolean changed, RegisterMessage response) {}
+public record AcceptorTransition(AcceptorState state, boolean changed, RegisterMessage response) {
+    static AcceptorTransition unchanged(AcceptorState state, RegisterMessage response) {
+        return new AcceptorTransition(state, false, response);
+    }
+
+    static AcceptorTransition changedTo(AcceptorState next, RegisterMessage response) {
+        return new AcceptorTransition(next, true, response);
+    }
+}
--- a/coordination/src/main/java/burlarch/coordination/register/ProposalNumber.java
+++ b/coordination/src/main/java/burlarch/coordination/register/ProposalNumber.java
@@ -1,18 +1,23 @@
 package burlarch.coordination.register;
 
 /**
- * The number of one proposal. Unique, as the proposer's name breaks ties.
+ * The number of one attempt of a proposal. Acceptors reject requests whose number is below the highest that they have
+ * granted.
  *
- * @param term rises with every proposal of a proposer
- * @param proposer name of the process that proposes
+ * <p>Numbers are ordered by term, then by proposer. Invariant UniqueNumber: a number belongs to one attempt of one
+ * proposal, because no two proposals have the same name and a proposal raises the term with each attempt. The Paxos
+ * literature calls it a ballot number.
+ *
+ * @param term rises with each attempt of a proposer
+ * @param proposer name of the proposal that uses the number
  */
 public record ProposalNumber(long term, String proposer) implements Comparable<ProposalNumber> {
-    /** Below every ballot that is proposed. */
+    /** Lower than each number that is proposed. It stands for "no proposal". */
     public static final ProposalNumber ZERO = new ProposalNumber(0, "");
 
     @Override
     public int compareTo(ProposalNumber other) {
-        int byRound = Long.compare(term, other.term);
-        return byRound != 0 ? byRound : proposer.compareTo(other.proposer);
+        int byTerm = Long.compare(term, other.term);
+        return byTerm != 0 ? byTerm : proposer.compareTo(other.proposer);
     }
 }
--- a/coordination/src/main/java/burlarch/coordination/register/RegisterMessage.java
+++ b/coordination/src/main/java/burlarch/coordination/register/RegisterMessage.java
@@ -1,16 +1,27 @@
 package burlarch.coordination.register;
 
-/** What proposers and acceptors say to one another. */
+/**
+ * The messages between proposers and acceptors. A message may be lost, repeated or overtaken by another one.
+ *
+ * <p>Each request has a {@code callId}, which is unique within its proposal; the response repeats it. The names of the
+ * components on the wire are those of earlier releases; the transport maps them.
+ */
 public sealed interface RegisterMessage {
-    /** Phase one. {@code callId} pairs replies with requests and is unique within one proposer. */
+    /**
+     * Phase one: asks an acceptor to reject lower proposal numbers from now on, and to report what it accepted last.
+     */
     record PrepareRequest(long callId, ProposalNumber proposalNumber) implements RegisterMessage {}
 
     /**
-     * Answer to {@link PrepareRequest}.
+     * Response to {@link PrepareRequest}. The Paxos literature calls a granted one a promise.
      *
      * @param storageId identity of the acceptor's disk
-     * @param granted false where a higher ballot was promised; {@code prepared} tells which
-     * @param accepted ballot of {@code value}; {@link ProposalNumber#ZERO} and null where nothing was accepted yet
+     * @param granted false when the acceptor had granted a higher proposal number before
+     * @param prepared the highest proposal number that the acceptor has granted
+     * @param accepted proposal number of {@code value}; {@link ProposalNumber#ZERO} when nothing was accepted yet or
+     *     the request was rejected
+     * @param value the value that the acceptor accepted last; null when {@code accepted} is {@link
+     *     ProposalNumber#ZERO}
      */
     record PrepareResponse(
             long callId,
@@ -21,10 +32,16 @@
             RegisterValue value)
             implements RegisterMessage {}
 
-    /** Phase two. */
+    /** Phase two: asks an acceptor to accept a value under a proposal number. */
     record AcceptRequest(long callId, ProposalNumber proposalNumber, RegisterValue value) implements RegisterMessage {}
 
-    /** Answer to {@link AcceptRequest}. */
+    /**
+     * Response to {@link AcceptRequest}.
+     *
+     * @param storageId identity of the acceptor's disk
+     * @param granted false when the acceptor had granted a higher proposal number before
+     * @param prepared the highest proposal number that the acceptor has granted
+     */
     record AcceptResponse(long callId, String storageId, boolean granted, ProposalNumber prepared)
             implements RegisterMessage {}
 }
--- a/coordination/src/main/java/burlarch/coordination/register/acceptorset/AcceptorReachability.java
+++ b/coordination/src/main/java/burlarch/coordination/register/acceptorset/AcceptorReachability.java
@@ -7,59 +7,72 @@
 import java.util.Set;
 
 /**
- * Which acceptors of a set can be reached from one controller.
+ * Which acceptors of a set one controller can reach at a moment.
  *
- * @param unreachable those that can't, and why
- * @param quorumReachable whether the others are a quorum
+ * @param size how many acceptors the set has
+ * @param unreachable the acceptors that cannot be reached, and why
+ * @param quorumReachable whether the other acceptors are a quorum of the set
  */
 public record AcceptorReachability(int size, List<UnreachableAcceptor> unreachable, boolean quorumReachable) {
-    private static final long NANOS_A_SECOND = 1_000_000_000L;
+    private static final long NANOS_PER_SECOND = 1_000_000_000L;
 
-    /** Why an acceptor can't be reached. */
+    /** Why an acceptor cannot be reached. */
     public enum Reason {
+        /** This controller has never heard of a process at its address. */
         NEVER_REACHED,
+        /** There is no connection to its process now. */
         OUT_OF_REACH,
+        /** The process at its address runs on another disk. */
         DISK_REPLACED
     }
 
-    /** An acceptor that can't be reached; {@code unreachableNanos} how long by now, 0 where that isn't known. */
+    /**
+     * An acceptor that cannot be reached.
+     *
+     * @param unreachableNanos for how long by now; 0 when that is not known
+     */
     public record UnreachableAcceptor(AcceptorMember member, Reason reason, long unreachableNanos) {
         @Override
         public String toString() {
-            String text = AcceptorSetChange.text(member);
+            String text = AcceptorSetChange.describe(member);
             return switch (reason) {
                 case NEVER_REACHED -> text + " was not reached yet";
-                case OUT_OF_REACH -> text + " is out of reach for " + unreachableNanos / NANOS_A_SECOND + " s";
+                case OUT_OF_REACH -> text + " is out of reach for " + unreachableNanos / NANOS_PER_SECOND + " s";
                 case DISK_REPLACED -> text + " came back without that disk";
             };
         }
     }
 
-    /** Judges by the controllers that are known, the own one among them. */
+    /**
+     * Computes the reachability of a set.
+     *
+     * @param candidates all controllers that this one knows, itself included
+     */
     public static AcceptorReachability of(AcceptorSet set, List<Candidate> candidates, long nowNanos) {
         Set<String> reached = new HashSet<>();
-        List<UnreachableAcceptor> missing = new ArrayList<>();
-        for (AcceptorMember member : set.votingMembers()) {
-            Candidate candidate = at(member.address(), candidates);
-            boolean up = candidate != null && candidate.reachable();
-            if (up && candidate.member().storageId().equals(member.storageId())) {
+        List<UnreachableAcceptor> unreachable = new ArrayList<>();
+        List<AcceptorMember> members = set.votingMembers();
+        for (AcceptorMember member : members) {
+            Candidate candidate = findAt(member.address(), candidates);
+            boolean processReachable = candidate != null && candidate.reachable();
+            if (processReachable && candidate.member().storageId().equals(member.storageId())) {
                 reached.add(member.storageId());
-            } else if (up) {
-                missing.add(new UnreachableAcceptor(member, Reason.DISK_REPLACED, 0));
+            } else if (processReachable) {
+                unreachable.add(new UnreachableAcceptor(member, Reason.DISK_REPLACED, 0));
             } else {
-                missing.add(away(member, candidate, nowNanos));
+                unreachable.add(withoutConnection(member, candidate, nowNanos));
             }
         }
-        return new AcceptorReachability(set.votingMembers().size(), missing, set.hasQuorum(reached));
+        return new AcceptorReachability(members.size(), unreachable, set.hasQuorum(reached));
     }
 
-    private static UnreachableAcceptor away(AcceptorMember member, Candidate candidate, long nowNanos) {
+    private static UnreachableAcceptor withoutConnection(AcceptorMember member, Candidate candidate, long nowNanos) {
         return candidate == null
                 ? new UnreachableAcceptor(member, Reason.NEVER_REACHED, 0)
                 : new UnreachableAcceptor(member, Reason.OUT_OF_REACH, nowNanos - candidate.sinceNanos());
     }
 
-    private static Candidate at(String address, List<Candidate> candidates) {
+    private static Candidate findAt(String address, List<Candidate> candidates) {
         for (Candidate candidate : candidates) {
             if (candidate.member().address().equals(address)) {
                 return candidate;
--- a/coordination/src/main/java/burlarch/coordination/register/acceptorset/AcceptorSet.java
+++ b/coordination/src/main/java/burlarch/coordination/register/acceptorset/AcceptorSet.java
@@ -1,112 +1,126 @@
 package burlarch.coordination.register.acceptorset;
 
-import burlarch.coordination.register.RegisterValue;
 import java.util.ArrayList;
 import java.util.HashSet;
 import java.util.List;
 import java.util.Set;
 
 /**
- * The acceptors that a value names, and its quorums.
+ * The acceptors that a value names, and what a quorum of them is. Immutable.
  *
- * <p>A settled set has one list, and a majority of it is a quorum. A set that changes has two, the one before
- * and the one after, and a quorum is a majority of each. In {@link RegisterValue#members()} a changing set is
- * written as one list: an acceptor that joins has a plus sign before its storage identity, one that leaves a
- * minus sign. Identities therefore begin with neither.
+ * <p>A set is in one of two forms:
+ *
+ * <ul>
+ *   <li>A <em>simple</em> set has one list of members; a quorum is a majority of it.
+ *   <li>A <em>joint</em> set (M, N) is in force while the acceptors change from M to N. It has two lists of members, the
+ *       old and the new one; a quorum is a majority of each. The literature calls this joint consensus.
+ * </ul>
+ *
+ * <p>{@link burlarch.coordination.register.RegisterValue#members()} holds a joint set as one list: a joining acceptor,
+ * which is in the new list alone, has a plus sign before its storage identity; a leaving acceptor, which is in the old
+ * list alone, has a minus sign. Identities themselves therefore begin with neither sign.
  */
 public final class AcceptorSet {
     /** The most acceptors that one list may name. */
     public static final int MAX_MEMBERS = 64;
 
-    private static final String JOINS = "+";
-    private static final String LEAVES = "-";
+    private static final String JOINING_PREFIX = "+";
+    private static final String LEAVING_PREFIX = "-";
 
-    private final List<AcceptorMember> before = new ArrayList<>();
-    private final List<AcceptorMember> after = new ArrayList<>();
-    private final List<AcceptorMember> all = new ArrayList<>();
-    private final boolean changing;
+    private final List<AcceptorMember> oldMembers = new ArrayList<>();
+    private final List<AcceptorMember> newMembers = new ArrayList<>();
+    private final List<AcceptorMember> votingMembers = new ArrayList<>();
+    private final boolean joint;
 
-    private AcceptorSet(List<AcceptorMember> members) {
-        if (members.size() > 2 * MAX_MEMBERS) {
+    private AcceptorSet(List<AcceptorMember> encodedMembers) {
+        if (encodedMembers.size() > 2 * MAX_MEMBERS) {
             throw new IllegalArgumentException("too many acceptors");
         }
-        boolean marked = false;
+        boolean anyMarked = false;
         Set<String> seen = new HashSet<>();
-        for (AcceptorMember member : members) {
-            boolean joins = member.storageId().startsWith(JOINS);
-            boolean leaves = member.storageId().startsWith(LEAVES);
-            AcceptorMember plain =
-                    joins || leaves ? new AcceptorMember(member.storageId().substring(1), member.address()) : member;
-            if (plain.storageId().isEmpty() || !seen.add(plain.storageId())) {
+        for (AcceptorMember encoded : encodedMembers) {
+            boolean joins = encoded.storageId().startsWith(JOINING_PREFIX);
+            boolean leaves = encoded.storageId().startsWith(LEAVING_PREFIX);
+            AcceptorMember member =
+                    joins || leaves ? new AcceptorMember(encoded.storageId().substring(1), encoded.address()) : encoded;
+            if (member.storageId().isEmpty() || !seen.add(member.storageId())) {
                 throw new IllegalArgumentException("an acceptor without identity, or named twice");
             }
-            all.add(plain);
+            votingMembers.add(member);
             if (!joins) {
-                before.add(plain);
+                oldMembers.add(member);
             }
             if (!leaves) {
-                after.add(plain);
+                newMembers.add(member);
             }
-            marked |= joins || leaves;
+            anyMarked |= joins || leaves;
         }
-        changing = marked;
+        joint = anyMarked;
     }
 
-    /** Reads the members of a value. */
+    /**
+     * Decodes the members of a value.
+     *
+     * @throws IllegalArgumentException when the list names too many acceptors, one twice, or one without identity
+     */
     public static AcceptorSet of(List<AcceptorMember> members) {
         return new AcceptorSet(members);
     }
 
-    /** Members of a value that leads from one settled set to another; addresses are those of {@code to}. */
+    /**
+     * Encodes the joint set that leads from one simple set to another. An acceptor that is in both has the address that
+     * {@code to} gives it.
+     *
+     * @throws IllegalArgumentException when {@code to} is no simple set of 1 to {@link #MAX_MEMBERS} acceptors
+     */
     public static List<AcceptorMember> jointMembers(List<AcceptorMember> from, List<AcceptorMember> to) {
-        if (to.isEmpty() || to.size() > MAX_MEMBERS || of(to).changing) {
-            throw new IllegalArgumentException("not a settled set of acceptors");
+        if (to.isEmpty() || to.size() > MAX_MEMBERS || of(to).joint) {
+            throw new IllegalArgumentException("not a simple set of acceptors");
         }
         List<AcceptorMember> members = new ArrayList<>();
         for (AcceptorMember member : from) {
-            AcceptorMember kept = find(to, member.storageId());
-            members.add(kept != null ? kept : new AcceptorMember(LEAVES + member.storageId(), member.address()));
+            AcceptorMember staying = find(to, member.storageId());
+            members.add(
+                    staying != null
+                            ? staying
+                            : new AcceptorMember(LEAVING_PREFIX + member.storageId(), member.address()));
         }
         for (AcceptorMember member : to) {
             if (find(from, member.storageId()) == null) {
-                members.add(new AcceptorMember(JOINS + member.storageId(), member.address()));
+                members.add(new AcceptorMember(JOINING_PREFIX + member.storageId(), member.address()));
             }
         }
         return List.copyOf(members);
     }
 
-    /** Whether two lists are in force at once. */
+    /** Whether this is a joint set: two lists of members are in force. */
     public boolean isJoint() {
-        return changing;
+        return joint;
     }
 
-    /** Everyone who has a vote, under plain identities. */
+    /** All acceptors that have a vote, in a joint set those of both lists. Their identities have no prefix. */
     public List<AcceptorMember> votingMembers() {
-        return List.copyOf(all);
+        return List.copyOf(votingMembers);
     }
 
-    /** The acceptors once the change is done; all of them in a settled set. */
+    /** The acceptors of the new list, which remain after the change; in a simple set all acceptors. */
     public List<AcceptorMember> newMembers() {
-        return List.copyOf(after);
+        return List.copyOf(newMembers);
     }
 
-    /** Those of another settled set that have no vote in this one. */
+    /** Those of another simple set that have no vote in this one. */
     public List<AcceptorMember> joining(List<AcceptorMember> next) {
         return next.stream().filter(member -> !contains(member.storageId())).toList();
     }
 
-    public boolean contains(String storage) {
-        return find(all, storage) != null;
+    /** Whether these identities are a majority of each list in force; identities that are not in it don't count. */
+    public boolean hasQuorum(Set<String> storageIds) {
+        return hasMajority(oldMembers, storageIds) && hasMajority(newMembers, storageIds);
     }
 
-    /** Whether these identities are a majority of each list in force; others among them don't count. */
-    public boolean hasQuorum(Set<String> storages) {
-        return hasMajority(before, storages) && hasMajority(after, storages);
-    }
-
-    /** Whether a list names the same disks as this settled set, at whatever addresses. */
+    /** Whether this is a simple set of the same disks as the list, whatever their addresses. */
     public boolean hasSameAcceptors(List<AcceptorMember> members) {
-        if (changing || members.size() != all.size()) {
+        if (joint || members.size() != votingMembers.size()) {
             return false;
         }
         for (AcceptorMember member : members) {
@@ -117,19 +131,23 @@
         return true;
     }
 
-    private static boolean hasMajority(List<AcceptorMember> members, Set<String> storages) {
+    private boolean contains(String storageId) {
+        return find(votingMembers, storageId) != null;
+    }
+
+    private static boolean hasMajority(List<AcceptorMember> members, Set<String> storageIds) {
         int count = 0;
         for (AcceptorMember member : members) {
-            if (storages.contains(member.storageId())) {
+            if (storageIds.contains(member.storageId())) {
                 count++;
             }
         }
         return 2 * count > members.size();
     }
 
-    private static AcceptorMember find(List<AcceptorMember> members, String storage) {
+    private static AcceptorMember find(List<AcceptorMember> members, String storageId) {
         for (AcceptorMember member : members) {
-            if (member.storageId().equals(storage)) {
+            if (member.storageId().equals(storageId)) {
                 return member;
             }
         }
--- a/coordination/src/main/java/burlarch/coordination/register/acceptorset/AcceptorSetChange.java
+++ b/coordination/src/main/java/burlarch/coordination/register/acceptorset/AcceptorSetChange.java
@@ -1,18 +1,19 @@
 package burlarch.coordination.register.acceptorset;
 
-import burlarch.coordination.register.RegisterValue;
 import java.util.ArrayList;
 import java.util.List;
 
 /**
- * What a change makes of the acceptors, in a form to be read by operators.
+ * The difference between two acceptor sets, for log lines that operators read.
  *
- * @param size how many acceptors there are then
+ * @param added acceptors of the new set that were not in the old one
+ * @param removed acceptors of the old set that are not in the new one
+ * @param size how many acceptors the new set has
  */
 public record AcceptorSetChange(List<AcceptorMember> added, List<AcceptorMember> removed, int size) {
-    private static final int SHOWN_IDENTITY = 8;
+    private static final int SHOWN_IDENTITY_CHARACTERS = 8;
 
-    /** From one list of acceptors to another; both as in {@link RegisterValue#members()}. */
+    /** The difference of two lists of acceptors, both encoded as in a value of the register. */
     public static AcceptorSetChange between(List<AcceptorMember> before, List<AcceptorMember> after) {
         AcceptorSet from = AcceptorSet.of(before);
         AcceptorSet to = AcceptorSet.of(after);
@@ -22,7 +23,7 @@
                 to.newMembers().size());
     }
 
-    /** Whether any acceptor came or went. */
+    /** Whether no acceptor was added or removed. */
     public boolean isEmpty() {
         return added.isEmpty() && removed.isEmpty();
     }
@@ -30,16 +31,16 @@
     @Override
     public String toString() {
         List<String> parts = new ArrayList<>();
-        added.forEach(member -> parts.add("added " + text(member)));
-        removed.forEach(member -> parts.add("removed " + text(member)));
+        added.forEach(member -> parts.add("added " + describe(member)));
+        removed.forEach(member -> parts.add("removed " + describe(member)));
         parts.add("size " + size);
         return String.join(", ", parts);
     }
 
-    /** Address and the end of the disk's identity. */
-    static String text(AcceptorMember member) {
+    /** The address, and the end of the disk's identity. */
+    static String describe(AcceptorMember member) {
         String identity = member.storageId();
-        String end = identity.substring(Math.max(0, identity.length() - SHOWN_IDENTITY));
+        String end = identity.substring(Math.max(0, identity.length() - SHOWN_IDENTITY_CHARACTERS));
         return member.address() + " (disk ..." + end + ")";
     }
 }
--- a/coordination/src/main/java/burlarch/coordination/register/acceptorset/AcceptorSetPlanner.java
+++ b/coordination/src/main/java/burlarch/coordination/register/acceptorset/AcceptorSetPlanner.java
@@ -8,44 +8,69 @@
 import java.util.Optional;
 
 /**
- * Decides the next change of the acceptor set. Sizes are odd: an even set bears no more losses than the odd
- * one below it, so a lost acceptor and its successor are exchanged at once, and two join or leave together.
+ * Decides the next change of the acceptor set from what one controller knows of the others.
+ *
+ * <p>Invariant OddSize: from an odd set the planner leads to odd sets only, and from an even one back to an odd one as
+ * soon as an acceptor can be added or has to be removed. An even set tolerates no more losses than the odd one below
+ * it, so a lost acceptor and its successor are exchanged in one change, and two acceptors join or leave together.
+ *
+ * <p>The first rule that applies decides:
+ *
+ * <ol>
+ *   <li>No acceptor is lost: add two spares to an odd set, one to an even set, up to {@link #MAX_MEMBERS}.
+ *   <li>The set is even: remove one lost acceptor.
+ *   <li>There is a spare: exchange one lost acceptor for it.
+ *   <li>Two acceptors are lost and the set stays large enough: remove both.
+ * </ol>
  *
  * <p>Not safe for use by several threads.
  */
 public final class AcceptorSetPlanner {
-    /** Most acceptors. More would cost messages and bear no loss that is asked for. */
+    /** The most acceptors that the planner asks for. More would cost messages and tolerate no required loss. */
     public static final int MAX_MEMBERS = 9;
-    /** A spare that could not be brought in is passed over for so long. */
+
+    /** For how long a spare is excluded after a change that was to add it has failed. */
     static final long FAILED_SPARE_EXCLUSION_NANOS = 1_000_000_000L;
 
     /**
-     * A controller as its peers see it.
+     * A controller's acceptor, as another controller sees it.
      *
-     * @param member its acceptor
-     * @param reachable whether it can be reached now
-     * @param sinceNanos since when that holds
+     * @param reachable whether its process can be reached now
+     * @param sinceNanos the time since which that is so, on the clock of the caller
      */
-    public record Candidate(AcceptorMember member, boolean reachable, long sinceNanos) {}
+    public record Candidate(AcceptorMember member, boolean reachable, long sinceNanos) {
+        /** A candidate that can be reached since that time. */
+        public static Candidate ofReachable(AcceptorMember member, long sinceNanos) {
+            return new Candidate(member, true, sinceNanos);
+        }
+
+        /** A candidate that cannot be reached since that time. */
+        public static Candidate ofUnreachable(AcceptorMember member, long sinceNanos) {
+            return new Candidate(member, false, sinceNanos);
+        }
+    }
 
     private final long removeAfterNanos;
-    private final int leastMembers;
-    /** When spares could not be brought in, by storage identity; no more entries than candidates. */
-    private final Map<String, Long> failedAt = new HashMap<>();
+    private final int minMembers;
+
+    /** When changes that were to add a spare have failed, by storage identity; holds only present candidates. */
+    private final Map<String, Long> failedAtNanos = new HashMap<>();
 
     /**
-     * @param removeAfterNanos how long a member is out of reach before a spare takes its place
-     * @param leastMembers size below which no set is made smaller
+     * Creates a planner without memory of failed changes.
+     *
+     * @param removeAfterNanos for how long an acceptor must be unreachable before it counts as lost
+     * @param minMembers no set is made smaller than this
      */
-    public AcceptorSetPlanner(long removeAfterNanos, int leastMembers) {
+    public AcceptorSetPlanner(long removeAfterNanos, int minMembers) {
         this.removeAfterNanos = removeAfterNanos;
-        this.leastMembers = leastMembers;
+        this.minMembers = minMembers;
     }
 
-    /** The set to change to, or nothing where the present one is right. */
+    /** The members to change to; empty when the present ones are right or nothing better can be had. */
     public Optional<List<AcceptorMember>> nextMembers(
             List<AcceptorMember> members, List<Candidate> candidates, long nowNanos) {
-        forget(candidates, nowNanos);
+        forgetOldFailures(candidates, nowNanos);
         List<AcceptorMember> spares = spares(members, candidates);
         List<AcceptorMember> lost = lostMembers(members, candidates, nowNanos);
         boolean odd = members.size() % 2 == 1;
@@ -58,22 +83,27 @@
         if (!spares.isEmpty()) {
             return Optional.of(exchanged(members, lost.get(0), spares));
         }
-        boolean shrinks = lost.size() >= 2 && members.size() - 2 >= leastMembers;
-        return shrinks ? Optional.of(without(members, lost.subList(0, 2))) : Optional.empty();
+        boolean mayShrink = lost.size() >= 2 && members.size() - 2 >= minMembers;
+        return mayShrink ? Optional.of(without(members, lost.subList(0, 2))) : Optional.empty();
     }
 
-    /** A change to this set was not done: whoever was to join may be the reason. */
+    /**
+     * Reports that a change to these members failed. An acceptor that was to join may be the reason, so all that were to
+     * join are excluded as spares for a while.
+     */
     public void onChangeFailed(List<AcceptorMember> members, List<AcceptorMember> next, long nowNanos) {
         for (AcceptorMember joining : AcceptorSet.of(members).joining(next)) {
-            failedAt.put(joining.storageId(), nowNanos);
+            failedAtNanos.put(joining.storageId(), nowNanos);
         }
     }
 
-    private void forget(List<Candidate> candidates, long nowNanos) {
-        failedAt.entrySet()
+    private void forgetOldFailures(List<Candidate> candidates, long nowNanos) {
+        failedAtNanos
+                .entrySet()
                 .removeIf(entry -> nowNanos - entry.getValue() >= FAILED_SPARE_EXCLUSION_NANOS
                         || candidates.stream()
-                                .noneMatch(one -> one.member().storageId().equals(entry.getKey())));
+                                .noneMatch(candidate ->
+                                        candidate.member().storageId().equals(entry.getKey())));
     }
 
     private static Optional<List<AcceptorMember>> grown(
@@ -86,7 +116,7 @@
         return Optional.of(next);
     }
 
-    /** Best by one at the same address: a disk that came back empty. */
+    /** Prefers the spare at the same address: it is the same machine with an empty disk. */
     private static List<AcceptorMember> exchanged(
             List<AcceptorMember> members, AcceptorMember lost, List<AcceptorMember> spares) {
         AcceptorMember successor = spares.stream()
@@ -108,31 +138,35 @@
                 .filter(Candidate::reachable)
                 .filter(candidate -> !isMember(members, candidate))
                 .map(Candidate::member)
-                .filter(member -> !failedAt.containsKey(member.storageId()))
+                .filter(member -> !failedAtNanos.containsKey(member.storageId()))
                 .sorted(Comparator.comparing(AcceptorMember::address))
                 .toList();
     }
 
-    /** Those whose disk is gone first, then those that are long out of reach. */
+    /** The acceptors whose disk was replaced, then those that are unreachable for long enough. */
     private List<AcceptorMember> lostMembers(List<AcceptorMember> members, List<Candidate> candidates, long nowNanos) {
         List<AcceptorMember> lost = new ArrayList<>();
-        List<AcceptorMember> away = new ArrayList<>();
+        List<AcceptorMember> unreachable = new ArrayList<>();
         for (AcceptorMember member : members) {
             for (Candidate candidate : candidates) {
                 if (!candidate.member().address().equals(member.address())) {
                     continue;
                 }
-                if (candidate.reachable() && !candidate.member().storageId().equals(member.storageId())) {
+                if (hasReplacedDisk(candidate, member)) {
                     lost.add(member);
                 } else if (!candidate.reachable() && nowNanos - candidate.sinceNanos() >= removeAfterNanos) {
-                    away.add(member);
+                    unreachable.add(member);
                 }
             }
         }
-        lost.addAll(away);
+        lost.addAll(unreachable);
         return lost;
     }
 
+    private static boolean hasReplacedDisk(Candidate candidate, AcceptorMember member) {
+        return candidate.reachable() && !candidate.member().storageId().equals(member.storageId());
+    }
+
     private static List<AcceptorMember> without(List<AcceptorMember> members, List<AcceptorMember> removed) {
         List<AcceptorMember> next = new ArrayList<>(members);
         next.removeAll(removed);
--- a/coordination/src/main/java/burlarch/coordination/register/proposal/ChangeDecision.java
+++ b/coordination/src/main/java/burlarch/coordination/register/proposal/ChangeDecision.java
@@ -2,28 +2,31 @@
 
 import burlarch.coordination.register.RegisterValue;
 
-/** What a change makes of the register's current value. */
+/** What a {@link RegisterChange} decides to do with the register's current value. */
 public sealed interface ChangeDecision {
     /** Write {@code next} in place of the current value. It may name another acceptor set. */
     record Write(RegisterValue next) implements ChangeDecision {}
 
     /**
-     * Leave the value as it is, and report it once it is certain to be chosen.
-     *
-     * @param sealing whether the value has to be written again at a new ballot in any case. Only then can no
-     *     earlier proposal that was left undecided come to light any more. Needed before a change is refused
-     *     that a later value might take; not for a read, nor for a change that is in the value, nor for one
-     *     that no value after this one can take, such as one whose base is past
+     * Leave the value as it is and report it once it is certain to be chosen. Right for a read, for a change that is
+     * already applied, and for one that no later value can take, such as one whose base version has passed.
      */
-    record Keep(boolean sealing) implements ChangeDecision {}
+    record Keep() implements ChangeDecision {}
+
+    /**
+     * Leave the value as it is, but write it again under a new proposal number before it is reported. Once that write is
+     * chosen, no earlier proposal that was left unfinished can be chosen any more. Needed before a change is rejected
+     * that a later value might still take.
+     */
+    record Seal() implements ChangeDecision {}
 
     /** Reports the current value. */
     static ChangeDecision keep() {
-        return new Keep(false);
+        return new Keep();
     }
 
-    /** Reports the current value and bars all that was proposed before. */
+    /** Reports the current value and bars all earlier proposals. */
     static ChangeDecision seal() {
-        return new Keep(true);
+        return new Seal();
     }
 }
--- a/coordination/src/main/java/burlarch/coordination/register/proposal/ConflictBackoff.java
+++ b/coordination/src/main/java/burlarch/coordination/register/proposal/ConflictBackoff.java
@@ -2,10 +2,13 @@
 
 import java.util.random.RandomGenerator;
 
-/** Pauses between the ballots of proposers that get into each other's way: they double, with jitter. */
+/**
+ * The delays before a new attempt after proposers have conflicted. The upper bound doubles with each conflict; jitter
+ * keeps proposers from conflicting again.
+ */
 final class ConflictBackoff {
     private static final long FIRST_NANOS = 20_000_000L;
-    private static final int MOST_DOUBLINGS = 5;
+    private static final int MAX_DOUBLINGS = 5;
 
     private final RandomGenerator random;
     private int conflicts;
@@ -14,9 +17,9 @@
         this.random = random;
     }
 
-    /** Length of the next pause in nanoseconds. */
-    long next() {
-        long ceiling = FIRST_NANOS << Math.min(conflicts++, MOST_DOUBLINGS);
-        return ceiling / 4 + random.nextLong(ceiling);
+    /** The next delay, from a quarter of the bound to five quarters of it. */
+    long nextNanos() {
+        long boundNanos = FIRST_NANOS << Math.min(conflicts++, MAX_DOUBLINGS);
+        return boundNanos / 4 + random.nextLong(boundNanos);
     }
 }
--- a/coordination/src/main/java/burlarch/coordination/register/proposal/PrepareTally.java
+++ b/coordination/src/main/java/burlarch/coordination/register/proposal/PrepareTally.java
@@ -1,7 +1,7 @@
 package burlarch.coordination.register.proposal;
 
 import burlarch.coordination.register.ProposalNumber;
-import burlarch.coordination.register.RegisterMessage;
+import burlarch.coordination.register.RegisterMessage.PrepareResponse;
 import burlarch.coordination.register.RegisterValue;
 import burlarch.coordination.register.RegisterView;
 import burlarch.coordination.register.acceptorset.AcceptorMember;
@@ -13,80 +13,81 @@
 import java.util.Set;
 
 /**
- * Phase one of one ballot: who promised, and the newest value among what they accepted and what was known
- * before.
+ * The granted prepare responses of one attempt, and the newest value among those that they report and the one that the
+ * proposer knew before.
  *
- * <p>The set whose quorum counts is the one that the newest value names; the believed set only until a value
- * was seen.
+ * <p>Keeps PrepareQuorum: the set whose quorum counts is the one that the newest value names. The set of the proposer's
+ * view counts only until a newer value was seen.
  */
 final class PrepareTally {
-    private final Map<String, ProposalNumber> acceptedBy = new HashMap<>();
-    private final boolean mayFound;
-    private AcceptorSet set;
-    private ProposalNumber highest;
-    private RegisterValue value;
+    private final Map<String, ProposalNumber> acceptedByStorageId = new HashMap<>();
+    private final boolean mayWriteFirstValue;
+    private AcceptorSet acceptors;
+    private ProposalNumber newestNumber;
+    private RegisterValue newestValue;
 
-    PrepareTally(RegisterView belief) {
-        mayFound = belief.mayWriteFirstValue();
-        set = AcceptorSet.of(belief.members());
-        value = belief.value();
-        highest = value == null ? ProposalNumber.ZERO : belief.proposalNumber();
+    PrepareTally(RegisterView view) {
+        mayWriteFirstValue = view.mayWriteFirstValue();
+        acceptors = AcceptorSet.of(view.members());
+        newestValue = view.value();
+        newestNumber = newestValue == null ? ProposalNumber.ZERO : view.proposalNumber();
     }
 
-    /** Counts a granted promise. */
-    void grant(RegisterMessage.PrepareResponse promise) {
-        acceptedBy.put(promise.storageId(), promise.accepted());
-        if (promise.accepted().compareTo(highest) > 0) {
-            highest = promise.accepted();
-            value = promise.value();
-            set = AcceptorSet.of(value.members());
+    /** Counts a granted response. */
+    void add(PrepareResponse response) {
+        acceptedByStorageId.put(response.storageId(), response.accepted());
+        if (response.accepted().compareTo(newestNumber) > 0) {
+            newestNumber = response.accepted();
+            newestValue = response.value();
+            acceptors = AcceptorSet.of(newestValue.members());
         }
     }
 
-    AcceptorSet set() {
-        return set;
+    /** The acceptors whose quorum counts. */
+    AcceptorSet acceptors() {
+        return acceptors;
     }
 
-    ProposalNumber highest() {
-        return highest;
+    /** The proposal number of the newest value; {@link ProposalNumber#ZERO} when no value is known. */
+    ProposalNumber newestNumber() {
+        return newestNumber;
     }
 
-    RegisterValue value() {
-        return value;
+    /** The newest value; null when no value is known. */
+    RegisterValue newestValue() {
+        return newestValue;
     }
 
-    boolean answered(String storage) {
-        return acceptedBy.containsKey(storage);
+    boolean hasResponseOf(String storageId) {
+        return acceptedByStorageId.containsKey(storageId);
     }
 
-    /** Whether a quorum promised and the value to go on from is known, or known to be none yet. */
-    boolean isComplete() {
-        return (value != null || mayFound) && set.hasQuorum(acceptedBy.keySet());
+    boolean hasResponsesOf(List<AcceptorMember> members) {
+        return members.stream().allMatch(member -> hasResponseOf(member.storageId()));
     }
 
-    /** Whether a quorum of another set has promised as well. */
-    boolean cover(AcceptorSet other) {
-        return other.hasQuorum(acceptedBy.keySet());
+    boolean hasQuorumOf(AcceptorSet other) {
+        return other.hasQuorum(acceptedByStorageId.keySet());
     }
 
-    /** Whether all these promised. */
-    boolean answeredAll(List<AcceptorMember> members) {
-        return members.stream().allMatch(member -> answered(member.storageId()));
+    /** Whether a quorum is prepared and the value to build on is known, or is known not to exist yet. */
+    boolean isComplete() {
+        return (newestValue != null || mayWriteFirstValue) && hasQuorumOf(acceptors);
     }
 
-    /** Whether all these promised, and told that they hold the newest value. */
-    boolean heldByAll(List<AcceptorMember> members) {
-        return members.stream().allMatch(member -> highest.equals(acceptedBy.get(member.storageId())));
+    /** Whether all these acceptors have responded and reported that they hold the newest value. */
+    boolean allHaveNewestValue(List<AcceptorMember> members) {
+        return members.stream().allMatch(member -> newestNumber.equals(acceptedByStorageId.get(member.storageId())));
     }
 
-    /** Whether the newest value is known to be chosen, as a quorum reported that very ballot. */
-    boolean isConfirmed() {
-        Set<String> holders = new HashSet<>();
-        for (Map.Entry<String, ProposalNumber> entry : acceptedBy.entrySet()) {
-            if (entry.getValue().equals(highest)) {
-                holders.add(entry.getKey());
+    /** Whether the newest value is known to be chosen, because a quorum reported its proposal number. */
+    boolean isNewestValueChosen() {
+        Set<String> acceptedNewest = new HashSet<>();
+        for (Map.Entry<String, ProposalNumber> entry : acceptedByStorageId.entrySet()) {
+            if (entry.getValue().equals(newestNumber)) {
+                acceptedNewest.add(entry.getKey());
             }
         }
-        return value != null && set.hasQuorum(holders);
+        return newestValue != null && acceptors.hasQuorum(acceptedNewest);
     }
 }
--- a/coordination/src/main/java/burlarch/coordination/register/proposal/Proposal.java
+++ b/coordination/src/main/java/burlarch/coordination/register/proposal/Proposal.java
@@ -2,343 +2,302 @@
 
 import burlarch.coordination.register.ProposalNumber;
 import burlarch.coordination.register.RegisterMessage;
-import burlarch.coordination.register.RegisterValue;
+import burlarch.coordination.register.RegisterMessage.AcceptRequest;
+import burlarch.coordination.register.RegisterMessage.AcceptResponse;
+import burlarch.coordination.register.RegisterMessage.PrepareRequest;
+import burlarch.coordination.register.RegisterMessage.PrepareResponse;
 import burlarch.coordination.register.RegisterView;
-import burlarch.coordination.register.acceptorset.AcceptorMember;
-import burlarch.coordination.register.acceptorset.AcceptorSet;
+import burlarch.coordination.register.proposal.ProposalState.Event;
 import java.util.ArrayList;
-import java.util.HashSet;
-import java.util.LinkedHashMap;
 import java.util.List;
-import java.util.Map;
-import java.util.Set;
 import java.util.random.RandomGenerator;
 
 /**
- * One change of the register, driven through both phases by whoever wants it. No log and no leader: each
- * ballot reads the newest value at a quorum and writes the next one there.
+ * Drives one change of the register through both phases of the protocol, prepare and accept.
+ *
+ * <p>The register has no log and no leader. Each attempt of a proposal has a new {@link ProposalNumber}: it reads the
+ * newest value at a quorum of acceptors (prepare) and writes the next value there (accept). A proposal makes a further
+ * attempt after a conflict with another proposer, and after each intermediate write of a change of the acceptor set.
+ *
+ * <p><b>States.</b> See the table at {@link ProposalState}. {@link WritePlanner} decides what is written, {@link
+ * MessageExchange} sends and sends again, {@link PrepareTally} and {@link AcceptTally} count responses.
+ *
+ * <p><b>Invariants.</b> C(v) is the {@link burlarch.coordination.register.acceptorset.AcceptorSet} that value v names.
+ * A value is newer than another one when it was written under a higher proposal number.
  *
- * <p><b>Rules.</b> C(v) is the {@link AcceptorSet} that value v names.
  * <ol>
- * <li>A ballot that writes on top of a value w has promises from a quorum of C(w), and none of those
- *     acceptors has accepted anything newer than w. A proposal that meets a value with another set goes on
- *     with that one.
- * <li>A value v is chosen once a quorum of C(v) has accepted it at one ballot.
- * <li>A value names the set of the value that it is written on, with two exceptions: on a settled set M, a
- *     changing set (M, N); on a changing set (M, N), the settled N. For the latter, the value below has to be
- *     known as chosen; where it isn't, it is written again unchanged first.
- * <li>A changing set is written only after promises from a quorum of it, and from all that join, each of
- *     which holds the very value that it is written on. Where one doesn't, that value is first written again,
- *     to these too ({@link WritePlan.Step#COPY}): their answers count for nothing but this rule. So an
- *     acceptor that can't write, or doesn't answer, changes nothing: no other leaves for it.
- * <li>Replies count by the identity of the disk, and only those of acceptors in the set. A disk that comes
- *     back empty has a new identity: what it forgot is never counted on.
- * <li>The first value names the acceptors of the first start, which are the same for all who know any. It is
- *     written only by a proposer that knows of no value: see {@link RegisterView#mayWriteFirstValue}. One that knows a value,
- *     chosen or not, from its own disk or from a message, begins with that value in place of none ({@link
- *     PrepareTally}), and so asks the acceptors that it names. One that knows only the acceptors of a chosen
- *     value begins with these, and waits for a promise that carries a value.
- * <li>A ballot belongs to one proposal: no two proposals have one name, also after a restart.
+ *   <li><b>PrepareQuorum.</b> An attempt that writes on top of a value w holds granted prepare responses from a quorum
+ *       of C(w), and none of these acceptors has accepted a value newer than w. An attempt that reads a newer value with
+ *       another set goes on with that set.
+ *   <li><b>ChosenByQuorum.</b> A value v is chosen once a quorum of C(v) has accepted it under one proposal number.
+ *   <li><b>SetSuccession.</b> A value names the same set as the value that it is written on, with two exceptions: on a
+ *       value with a simple set M, a joint set (M, N) may be written; on a value with a joint set (M, N), the simple set
+ *       N. For the second exception the value below must be known to be chosen; when it is not, the attempt first writes
+ *       it again unchanged.
+ *   <li><b>JoinersHoldBase.</b> A joint set is written only after granted prepare responses from a quorum of it and from
+ *       all acceptors that join, each of which holds the very value that the joint set is written on. When a joining
+ *       acceptor does not hold that value, the attempt first writes the value again, to the joining acceptors too
+ *       ({@link WritePlan.CopyToJoiners}); their responses to that write count for this invariant alone. An acceptor
+ *       that cannot write, or does not respond, therefore changes nothing: no other acceptor leaves the set for it.
+ *   <li><b>DiskIdentity.</b> Responses count by the identity of the disk, and only those of acceptors in the set. A disk
+ *       that comes back empty has a new identity, so nothing depends on what it has forgotten.
+ *   <li><b>SingleFounding.</b> The first value names the initial acceptors, which are the same for all who know any. It
+ *       is written only by a proposer that knows of no value ({@link RegisterView#mayWriteFirstValue}). A proposer that
+ *       knows a value, chosen or not, from its own disk or from a message, begins with that value in place of none
+ *       ({@link PrepareTally}), and so asks the acceptors that it names. A proposer that knows only the acceptors of a
+ *       chosen value begins with these, and waits for a prepare response that carries a value.
+ *   <li><b>UniqueNumber.</b> A proposal number belongs to one attempt of one proposal: no two proposals have the same
+ *       name, also not after a restart.
  * </ol>
  *
- * <p><b>Why one chain.</b> Claim: if b is chosen, every write at a ballot c above b is on a value of ballot b
- * or above. Suppose c is the lowest that breaks this, writing on a below b. Let d be the last chosen ballot
- * not above a (or none), and take for b the first chosen one above a. By the choice of c, all writes in (d,
- * b] go back to d through writes in that span, and none but d is chosen among those that they are written on,
- * so by rule 3 a change is settled in that span only directly on top of d. Where d has a settled set M, all
- * sets of the span are M or (M, any); where it has (M, N), all are (M, N), N or (N, any). So all their
- * quorums, those of a and b included, hold a majority of one common list (M, or N), and an acceptor is in
- * both the promises of c, given by a quorum of C(a), and the quorum that chose b. It accepted b before its
- * promise, and so reported b or above, against rule 1, or was asked to after it, and refused. With the first
- * value, the common list is that of rule 6. Nothing in this hangs on how many acceptors change at once, on
- * who is known to be dead, or on how old a belief is; one change at a time keeps the quorums small.
+ * <p><b>SingleChain.</b> Theorem: if a value is chosen under number b, each write under a number c above b is on top of
+ * a value of number b or above. So all chosen values form one chain.
  *
- * <p><b>What an end means.</b> A value that was accepted somewhere but not chosen may be found and completed
- * by any later ballot, until a higher one is chosen. So a change that is refused may have to be sealed, see
- * {@link ChangeDecision.Keep}; this proposal seals by itself once it has sent its own write.
+ * <p>Proof. Suppose it is false, and let c be the lowest number that breaks it, writing on a value of number a below b.
+ * Let d be the highest chosen number that is not above a (or none), and take for b the lowest chosen number above a.
+ *
+ * <ol>
+ *   <li>By the choice of c, all writes in the span (d, b] go back to d through writes in that span. Of the values that
+ *       these are written on, none but that of d is chosen. So by SetSuccession a joint set is replaced by its new
+ *       simple set, within that span, only directly on top of d.
+ *   <li>When d has a simple set M, all sets of the span are therefore M or (M, any). When d has a joint set (M, N), all
+ *       are (M, N), N or (N, any). So all their quorums, those of a and b included, hold a majority of one common list:
+ *       M or N. When there is no d, the common list is that of the initial acceptors, by SingleFounding.
+ *   <li>Two majorities of one list share an acceptor (DiskIdentity: it has forgotten nothing). So some acceptor is both
+ *       in the quorum of C(a) that was prepared for c and in the quorum that chose b.
+ *   <li>If that acceptor accepted b before it granted c, it reported b or a newer value to c; by PrepareQuorum c was
+ *       then not written on a. If it was asked to accept b after it granted c, it rejected b, as b is below c; it is
+ *       then not in the quorum that chose b. Both contradict the supposition.
+ * </ol>
  *
- * <p>Pure: time comes in nanoseconds, randomness from the outside. Not safe for use by several threads.
+ * <p>The proof does not depend on how many acceptors change at once, on who is known to be lost, or on how old a
+ * proposer's view is. That sets change one at a time keeps the quorums small.
+ *
+ * <p><b>What a result means.</b> A value that some acceptor has accepted and that is not chosen may be found and
+ * completed by any later attempt, until a value is chosen under a higher number. A change that is rejected may therefore
+ * have to be sealed first, see {@link ChangeDecision.Seal}. This proposal seals by itself once it has sent its own
+ * change.
+ *
+ * <p>Times are nanoseconds of the driver's clock; randomness comes from outside. Every call returns the outputs that it
+ * has led to, in their order. Not safe for use by several threads.
  */
 public final class Proposal {
-    private static final long FIRST_RESEND_NANOS = 400_000_000L;
-    private static final long LONGEST_RESEND_NANOS = 1_600_000_000L;
-
-    private enum Phase {
-        IDLE,
-        PREPARING,
-        ACCEPTING,
-        DONE
-    }
-
     private final String name;
-    private final RegisterChange change;
-    private final long deadline;
+    private final long deadlineNanos;
     private final ConflictBackoff backoff;
+    private final WritePlanner planner;
+    private final MessageExchange exchange;
     private final List<ProposalOutput> outputs = new ArrayList<>();
-    private final Map<String, AcceptorMember> contacted = new LinkedHashMap<>();
-    private final Set<String> acceptedBy = new HashSet<>();
 
-    private Phase phase = Phase.IDLE;
-    private RegisterView belief;
-    private long round;
-    private long call;
-    private ProposalNumber ballot;
-    private PrepareTally promises;
-    private WritePlan plan;
-    private RegisterMessage request;
-    private ProposalNumber chosenBallot = ProposalNumber.ZERO;
-    private ChangeDecision setChange;
-    private List<AcceptorMember> joining = List.of();
-    private boolean changeSent;
-    private boolean refused;
-    private long wakeAt;
-    private long resendNanos;
+    private ProposalState state = ProposalState.NEW;
+    private RegisterView view;
+    private long highestTerm;
+    private long wakeAtNanos;
+
+    /** Number and prepare responses of the present attempt. */
+    private ProposalNumber number;
+
+    private PrepareTally prepares;
+
+    /** The present write and its responses, while accepts are awaited. */
+    private WritePlan.Write write;
+
+    private AcceptTally accepts;
 
     /**
-     * Prepares one change.
+     * Prepares one change. Nothing is sent before {@link #start}.
      *
      * @param name of this proposal alone, never used before, also not before a restart
-     * @param roundHint the highest round known of; only saves conflicts
-     * @param belief what is known of the register, however old
-     * @param deadline when to give up, on the clock of {@code now}
+     * @param termHint the highest term that is known; a low one only costs conflicts
+     * @param view what is known of the register, however old
+     * @param change the change to bring about
+     * @param deadlineNanos when to give up
+     * @param random for the first call id and the delays after conflicts
      */
     public Proposal(
             String name,
-            long roundHint,
-            RegisterView belief,
+            long termHint,
+            RegisterView view,
             RegisterChange change,
-            long deadline,
+            long deadlineNanos,
             RandomGenerator random) {
         this.name = name;
-        this.round = Math.max(roundHint, belief.proposalNumber().term());
-        this.belief = belief;
-        this.change = change;
-        this.deadline = deadline;
-        this.backoff = new ConflictBackoff(random);
-        this.call = random.nextLong() >>> 1;
+        this.highestTerm = Math.max(termHint, view.proposalNumber().term());
+        this.view = view;
+        this.deadlineNanos = deadlineNanos;
+        planner = new WritePlanner(change);
+        backoff = new ConflictBackoff(random);
+        long lastCallId = random.nextLong() >>> 1;
+        exchange = new MessageExchange(lastCallId, outputs::add);
     }
 
-    /** Begins; to be called once. */
-    public List<ProposalOutput> start(long now) {
-        outputs.add(new ProposalOutput.SetTimer(deadline));
-        prepare(now);
-        return take();
+    /** Starts the proposal. To be called once. */
+    public List<ProposalOutput> start(long nowNanos) {
+        outputs.add(new ProposalOutput.SetTimer(deadlineNanos));
+        prepare(Event.STARTED, nowNanos);
+        return takeOutputs();
     }
 
-    /** Takes a reply; those to other proposals, late and repeated ones do no harm. */
-    public List<ProposalOutput> onResponse(RegisterMessage message, long now) {
-        if (phase == Phase.IDLE || expires(now)) {
-            return take();
-        }
-        if (message instanceof RegisterMessage.PrepareResponse promise) {
-            onPromise(promise, now);
-        } else if (message instanceof RegisterMessage.AcceptResponse accepted) {
-            onAccepted(accepted, now);
+    /** Handles a response. Responses to other requests, late and repeated ones have no effect. */
+    public List<ProposalOutput> onResponse(RegisterMessage message, long nowNanos) {
+        if (isActive(nowNanos)) {
+            if (message instanceof PrepareResponse response) {
+                onPrepareResponse(response, nowNanos);
+            } else if (message instanceof AcceptResponse response) {
+                onAcceptResponse(response, nowNanos);
+            }
         }
-        return take();
+        return takeOutputs();
     }
 
-    /** To be called at the times asked for; calls at other times do no harm. */
-    public List<ProposalOutput> onTimer(long now) {
-        if (phase == Phase.IDLE || expires(now) || now - wakeAt < 0) {
-            return take();
-        }
-        if (refused) {
-            prepare(now);
-        } else {
-            resend(now);
+    /** To be called at the times that were asked for. Calls at other times have no effect. */
+    public List<ProposalOutput> onTimer(long nowNanos) {
+        if (isActive(nowNanos) && nowNanos - wakeAtNanos >= 0) {
+            if (state.isBackingOff()) {
+                prepare(Event.BACKOFF_ELAPSED, nowNanos);
+            } else {
+                exchange.resend(this::hasResponded);
+                wakeAt(nowNanos + exchange.resendIntervalNanos());
+            }
         }
-        return take();
+        return takeOutputs();
     }
 
     /**
-     * An acceptor that was out of reach may be reached again: those that have not answered yet are asked at
-     * once instead of at the next turn. Repeated messages do no harm.
+     * An acceptor that could not be reached may be reachable again. Those that have not responded are asked at once
+     * instead of at the next resend; repeated requests have no further effect.
      */
-    public List<ProposalOutput> onAcceptorReachable(long now) {
-        boolean asking = phase == Phase.PREPARING || phase == Phase.ACCEPTING;
-        if (asking && !expires(now) && !refused) {
-            resendNanos = FIRST_RESEND_NANOS / 2;
-            resend(now);
+    public List<ProposalOutput> onAcceptorReachable(long nowNanos) {
+        if (isActive(nowNanos) && !state.isBackingOff()) {
+            exchange.resendWithFirstInterval(this::hasResponded);
+            wakeAt(nowNanos + exchange.resendIntervalNanos());
         }
-        return take();
+        return takeOutputs();
     }
 
-    /** The highest round met: a hint for the next proposal. */
+    /** The highest term that was seen: a hint for the next proposal. */
     public long highestTerm() {
-        return round;
+        return highestTerm;
     }
 
-    private void prepare(long now) {
-        phase = Phase.PREPARING;
-        ballot = new ProposalNumber(++round, name);
-        promises = new PrepareTally(belief);
-        begin(new RegisterMessage.PrepareRequest(++call, ballot), promises.set(), now);
-    }
-
-    private void accept(WritePlan next, long now) {
-        phase = Phase.ACCEPTING;
-        plan = next;
-        changeSent |= next.carriesChange();
-        acceptedBy.clear();
-        begin(new RegisterMessage.AcceptRequest(++call, ballot, next.value()), writtenSet(), now);
-    }
-
-    private void begin(RegisterMessage message, AcceptorSet set, long now) {
-        request = message;
-        refused = false;
-        contacted.clear();
-        contact(set.votingMembers());
-        resendNanos = FIRST_RESEND_NANOS;
-        wake(now + resendNanos);
-    }
-
-    private void contact(List<AcceptorMember> members) {
-        for (AcceptorMember member : members) {
-            if (contacted.putIfAbsent(member.storageId(), member) == null) {
-                outputs.add(new ProposalOutput.Send(member, request));
-            }
+    /** Whether the proposal is started and not finished. Finishes it when the deadline has passed. */
+    private boolean isActive(long nowNanos) {
+        if (state == ProposalState.NEW || state == ProposalState.FINISHED) {
+            return false;
+        }
+        if (nowNanos - deadlineNanos >= 0) {
+            finish(planner.resultAtDeadline());
+            return false;
         }
+        return true;
     }
 
-    private void resend(long now) {
-        for (AcceptorMember member : contacted.values()) {
-            boolean answered = phase == Phase.PREPARING
-                    ? promises.answered(member.storageId())
-                    : acceptedBy.contains(member.storageId());
-            if (!answered) {
-                outputs.add(new ProposalOutput.Send(member, request));
-            }
-        }
-        resendNanos = Math.min(2 * resendNanos, LONGEST_RESEND_NANOS);
-        wake(now + resendNanos);
+    /** Begins a new attempt. */
+    private void prepare(Event cause, long nowNanos) {
+        state = state.after(cause);
+        number = new ProposalNumber(++highestTerm, name);
+        prepares = new PrepareTally(view);
+        exchange.begin(
+                callId -> new PrepareRequest(callId, number),
+                prepares.acceptors().votingMembers());
+        wakeAt(nowNanos + exchange.resendIntervalNanos());
     }
 
-    private void onPromise(RegisterMessage.PrepareResponse promise, long now) {
-        round = Math.max(round, promise.prepared().term());
-        if (phase != Phase.PREPARING || !isExpected(promise.callId(), promise.storageId())) {
+    private void onPrepareResponse(PrepareResponse response, long nowNanos) {
+        noteTerm(response.prepared());
+        if (!state.awaitsPrepares() || !exchange.expectsResponse(response.callId(), response.storageId())) {
             return;
         }
-        if (!promise.granted()) {
-            onRefusal(now);
-        } else if (promise.prepared().equals(ballot)) {
-            promises.grant(promise);
-            contact(promises.set().votingMembers());
-            if (promises.isComplete()) {
-                onQuorumPromised(now);
+        if (!response.granted()) {
+            onRejected(nowNanos);
+        } else if (response.prepared().equals(number)) {
+            prepares.add(response);
+            exchange.sendToNew(prepares.acceptors().votingMembers());
+            if (prepares.isComplete()) {
+                onPrepared(nowNanos);
             }
         }
     }
 
-    /** May come several times in a ballot: a new set has to promise too before it is written. */
-    private void onQuorumPromised(long now) {
-        if (promises.value() != null) {
-            belief = RegisterView.of(promises.highest(), promises.value());
+    /** May happen several times in an attempt: the acceptors of a new set have to be prepared too before a write. */
+    private void onPrepared(long nowNanos) {
+        if (prepares.newestValue() != null) {
+            view = RegisterView.of(prepares.newestNumber(), prepares.newestValue());
         }
-        WritePlan next = plan();
-        if (next.step() == WritePlan.Step.REPORT) {
-            finish(new ProposalResult.Chosen(promises.highest(), promises.value(), next.decision()));
-        } else if (next.step() == WritePlan.Step.CHANGE_SET) {
-            changeSet(next, now);
-        } else if (promises.cover(AcceptorSet.of(next.value().members()))) {
-            accept(next, now);
-        } else {
-            contact(AcceptorSet.of(next.value().members()).votingMembers());
+        WritePlan plan = planner.plan(prepares, view.members());
+        if (plan instanceof WritePlan.Report report) {
+            finish(new ProposalResult.Chosen(prepares.newestNumber(), prepares.newestValue(), report.decision()));
+        } else if (plan instanceof WritePlan.AwaitPrepares awaited) {
+            exchange.sendToNew(awaited.acceptors().votingMembers());
+        } else if (plan instanceof WritePlan.Write next) {
+            accept(next, nowNanos);
         }
     }
 
-    /** Rule 4: those that join have to hold the value that the change is written on. */
-    private void changeSet(WritePlan next, long now) {
-        AcceptorSet changing = AcceptorSet.of(next.value().members());
-        joining = promises.set().joining(changing.newMembers());
-        if (!promises.answeredAll(joining) || !promises.cover(changing)) {
-            contact(changing.votingMembers());
-        } else if (promises.heldByAll(joining)) {
-            accept(next, now);
-        } else {
-            accept(WritePlan.copying(promises.value()), now);
-            contact(joining);
-        }
+    private void accept(WritePlan.Write next, long nowNanos) {
+        state = state.after(Event.WRITE_READY);
+        write = next;
+        accepts = new AcceptTally(next);
+        planner.onSent(next);
+        exchange.begin(
+                callId -> new AcceptRequest(callId, number, next.value()),
+                next.acceptors().votingMembers());
+        wakeAt(nowNanos + exchange.resendIntervalNanos());
+        exchange.sendToNew(next.joiners());
     }
 
-    private WritePlan plan() {
-        RegisterValue current = promises.value();
-        if (current == null) {
-            return WritePlan.onEmpty(belief.members(), change);
-        }
-        boolean ownChosen = promises.highest().equals(chosenBallot);
-        if (ownChosen && setChange != null) {
-            return WritePlan.settling(current, setChange);
-        }
-        setChange = null;
-        return WritePlan.on(current, ownChosen || promises.isConfirmed(), !changeSent, change);
-    }
-
-    private void onAccepted(RegisterMessage.AcceptResponse accepted, long now) {
-        round = Math.max(round, accepted.prepared().term());
-        if (phase != Phase.ACCEPTING || !isExpected(accepted.callId(), accepted.storageId())) {
+    private void onAcceptResponse(AcceptResponse response, long nowNanos) {
+        noteTerm(response.prepared());
+        if (!state.awaitsAccepts() || !exchange.expectsResponse(response.callId(), response.storageId())) {
             return;
         }
-        if (!accepted.granted()) {
-            onRefusal(now);
-        } else if (accepted.prepared().equals(ballot)) {
-            acceptedBy.add(accepted.storageId());
-            if (writtenSet().hasQuorum(acceptedBy) && isCopied()) {
-                onChosen(now);
+        if (!response.granted()) {
+            onRejected(nowNanos);
+        } else if (response.prepared().equals(number)) {
+            accepts.add(response.storageId());
+            if (accepts.isComplete()) {
+                onChosen(nowNanos);
             }
         }
     }
 
-    private boolean isCopied() {
-        return plan.step() != WritePlan.Step.COPY
-                || joining.stream().allMatch(member -> acceptedBy.contains(member.storageId()));
-    }
-
-    private boolean isExpected(long answeredCall, String storage) {
-        return answeredCall == call && contacted.containsKey(storage);
-    }
-
-    private void onChosen(long now) {
-        if (plan.step() == WritePlan.Step.FINISH) {
-            finish(new ProposalResult.Chosen(ballot, plan.value(), plan.decision()));
+    private void onChosen(long nowNanos) {
+        if (write instanceof WritePlan.FinalWrite last) {
+            finish(new ProposalResult.Chosen(number, last.value(), last.decision()));
             return;
         }
-        chosenBallot = ballot;
-        setChange = plan.step() == WritePlan.Step.CHANGE_SET ? plan.decision() : null;
-        belief = RegisterView.of(ballot, plan.value());
-        prepare(now);
+        planner.onStepChosen(write, number);
+        view = RegisterView.of(number, write.value());
+        prepare(Event.STEP_CHOSEN, nowNanos);
     }
 
-    /** The ballot may yet get its quorum from others; if it doesn't within a pause, a higher one follows. */
-    private void onRefusal(long now) {
-        if (!refused) {
-            refused = true;
-            wake(now + backoff.next());
+    /** The attempt may yet succeed with the other acceptors. When it does not within a delay, a new one follows. */
+    private void onRejected(long nowNanos) {
+        if (!state.isBackingOff()) {
+            state = state.after(Event.REJECTED);
+            wakeAt(nowNanos + backoff.nextNanos());
         }
     }
 
-    private boolean expires(long now) {
-        if (phase != Phase.DONE && now - deadline >= 0) {
-            finish(changeSent ? new ProposalResult.Unknown() : new ProposalResult.NotStarted());
-        }
-        return phase == Phase.DONE;
-    }
-
     private void finish(ProposalResult result) {
-        phase = Phase.DONE;
+        state = state.after(Event.ENDED);
         outputs.add(new ProposalOutput.Finished(result));
     }
 
-    private AcceptorSet writtenSet() {
-        return AcceptorSet.of(plan.value().members());
+    private boolean hasResponded(String storageId) {
+        return state.awaitsPrepares() ? prepares.hasResponseOf(storageId) : accepts.hasResponseOf(storageId);
+    }
+
+    private void noteTerm(ProposalNumber seen) {
+        highestTerm = Math.max(highestTerm, seen.term());
     }
 
-    private void wake(long at) {
-        wakeAt = at;
-        outputs.add(new ProposalOutput.SetTimer(at));
+    private void wakeAt(long atNanos) {
+        wakeAtNanos = atNanos;
+        outputs.add(new ProposalOutput.SetTimer(atNanos));
     }
 
-    private List<ProposalOutput> take() {
+    private List<ProposalOutput> takeOutputs() {
         List<ProposalOutput> taken = List.copyOf(outputs);
         outputs.clear();
         return taken;
--- a/coordination/src/main/java/burlarch/coordination/register/proposal/ProposalResult.java
+++ b/coordination/src/main/java/burlarch/coordination/register/proposal/ProposalResult.java
@@ -6,18 +6,25 @@
 /** How a proposal ended. */
 public sealed interface ProposalResult {
     /**
-     * {@code value} is chosen at {@code proposalNumber}.
+     * {@code value} is chosen.
      *
-     * @param proposalNumber {@link ProposalNumber#ZERO} where the register is still empty
-     * @param value the register's value, null where it is still empty
-     * @param decision the one that led here
+     * @param proposalNumber the number under which it is chosen; {@link ProposalNumber#ZERO} when the register is still
+     *     empty
+     * @param value the register's value; null when the register is still empty
+     * @param decision the decision of the change that led to this result
      */
     record Chosen(ProposalNumber proposalNumber, RegisterValue value, ChangeDecision decision)
             implements ProposalResult {}
 
-    /** The deadline passed after the change was sent out: it may be chosen, now or later, or never. */
+    /**
+     * The deadline passed after the change was sent to acceptors. It may be chosen, now or later, or never. The caller
+     * may propose the same change again, when the payload shows whether it is applied.
+     */
     record Unknown() implements ProposalResult {}
 
-    /** The deadline passed before the change was sent to any acceptor: it is not chosen and never will be. */
+    /**
+     * The deadline passed before the change was sent to any acceptor. It is not chosen and never will be; the caller may
+     * propose it again.
+     */
     record NotStarted() implements ProposalResult {}
 }
--- a/coordination/src/main/java/burlarch/coordination/register/proposal/RegisterChange.java
+++ b/coordination/src/main/java/burlarch/coordination/register/proposal/RegisterChange.java
@@ -3,17 +3,17 @@
 import burlarch.coordination.register.RegisterValue;
 
 /**
- * One change of the register's value, run anew on each value that its proposal meets.
+ * One change of the register's value. Its proposal asks it again on each value that it reads.
  *
- * <p>After a conflict it may meet a value that its own earlier write led to, so the payload has to tell
- * whether the change is in it.
+ * <p>After a conflict a proposal may read a value that its own earlier write led to. The payload must therefore show
+ * whether the change is already applied.
  */
 public interface RegisterChange {
     /**
-     * Decides on the current value. Has no side effects.
+     * Decides on the current value. Must have no side effects that a repeated call could do harm with.
      *
-     * @param current the newest value, with a settled acceptor set; null before the first one, whose members
-     *     are then the believed set, whatever the written value names
+     * @param current the newest value, whose acceptor set is simple; null when the register has no value yet. The first
+     *     value always names the proposer's view of the initial acceptors, whatever members the decision names.
      */
     ChangeDecision decide(RegisterValue current);
 }
