--- a/controller/src/main/java/burlarch/controller/rollout/RolloutCoordinator.java
+++ b/controller/src/main/java/burlarch/controller/rollout/RolloutCoordinator.java
@@ -14,6 +14,7 @@
 import burlarch.engine.WeightsOrder;
 import burlarch.transport.EventLoop;
 import java.util.List;
+import java.util.Optional;
 import org.tinylog.Logger;
 
 /** Brings engines to the named weights while this controller owns the duty. Lives on the loop. */
@@ -83,7 +84,7 @@
             if (action instanceof RolloutAction.SendOrder order) {
                 sendOrder(order);
             } else if (action instanceof RolloutAction.MarkLoading mark) {
-                registry.setLoading(mark.instanceId(), mark.loading(), loop.nanoTime());
+                mark(mark);
             } else if (action instanceof RolloutAction.RequestReport ask) {
                 requestReport(ask.instanceId());
             } else if (action instanceof RolloutAction.Timer next) {
@@ -95,9 +96,17 @@
         publisher.sendInstances();
     }
 
+    private void mark(RolloutAction.MarkLoading mark) {
+        if (mark.loading()) {
+            registry.beginLoading(mark.instanceId(), loop.nanoTime());
+        } else {
+            registry.endLoading(mark.instanceId());
+        }
+    }
+
     private void sendOrder(RolloutAction.SendOrder order) {
-        Instance instance = registry.find(order.instanceId());
-        if (instance == null || !ownership.mayAct()) {
+        Optional<Instance> instance = registry.find(order.instanceId());
+        if (instance.isEmpty() || !ownership.mayAct()) {
             loop.execute(() -> onResult(order, OrderResult.NO_RESPONSE));
             return;
         }
@@ -108,7 +117,7 @@
                 ownership.holderName(),
                 order.fencingToken(),
                 order.expectedSequence());
-        engines.order(address(instance), sent).thenAccept(result -> loop.execute(() -> onResult(order, result)));
+        engines.order(address(instance.get()), sent).thenAccept(result -> loop.execute(() -> onResult(order, result)));
     }
 
     private void onResult(RolloutAction.SendOrder order, OrderResult result) {
@@ -117,12 +126,12 @@
     }
 
     private void requestReport(String id) {
-        Instance instance = registry.find(id);
-        if (instance == null) {
+        Optional<Instance> instance = registry.find(id);
+        if (instance.isEmpty()) {
             loop.execute(() -> perform(rollout.onReport(id, null, loop.nanoTime())));
             return;
         }
-        engines.report(address(instance))
+        engines.report(address(instance.get()))
                 .thenAccept(report ->
                         loop.execute(() -> perform(rollout.onReport(id, report.orElse(null), loop.nanoTime()))));
     }
--- a/coordination/src/main/java/burlarch/coordination/budget/BudgetSettings.java
+++ b/coordination/src/main/java/burlarch/coordination/budget/BudgetSettings.java
@@ -1,14 +1,14 @@
 package burlarch.coordination.budget;
 
 /**
- * Bounds of {@link RouterCountEstimate}; times in nanoseconds.
+ * Times and bounds of a {@link RouterCountEstimate}.
  *
- * @param windowNanos the span over which the whole budget is counted
- * @param contactTimeoutNanos a router that heard from no quorum for this long counts itself as cut off
- * @param disseminationNanos within which routers in contact learn of one another's coming and going
- * @param reserveFraction part of the whole, 0 to 1, kept for routers that are new or cut off
- * @param minReserveRouters so many of those may share the reserve at least, however few routers were counted
- * @param maxRouters bound on routers kept in mind, and the count of one that heard nothing
+ * @param windowNanos the time over which the whole budget is counted
+ * @param contactTimeoutNanos a router that heard from no quorum for this long counts itself as partitioned
+ * @param disseminationNanos within which routers in contact learn of each other's arrival and end
+ * @param reserveFraction part of the whole, 0 to 1, for routers that are new or partitioned
+ * @param minReserveRouters at least so many of those may divide the reserve, however few routers were counted
+ * @param maxRouters bound on the routers remembered, and the count that a router assumes before any contact
  */
 public record BudgetSettings(
         long windowNanos,
@@ -19,6 +19,7 @@
         int maxRouters) {
     private static final long NANOS_PER_SECOND = 1_000_000_000L;
 
+    /** @throws IllegalArgumentException if a time isn't positive, the fraction not in 0 to 1, or a count below 1 */
     public BudgetSettings {
         if (windowNanos <= 0
                 || contactTimeoutNanos <= 0
@@ -31,14 +32,12 @@
         }
     }
 
-    /** A fifth in reserve; half a budget's window without contact is too long. */
-    public static BudgetSettings forWindow(long window) {
-        return new BudgetSettings(window, window / 2, 2 * NANOS_PER_SECOND, 0.2, 8, 4_096);
+    /** The usual bounds: a fifth in reserve, and half a window without contact is too long. */
+    public static BudgetSettings forWindow(long windowNanos) {
+        return new BudgetSettings(windowNanos, windowNanos / 2, 2 * NANOS_PER_SECOND, 0.2, 8, 4_096);
     }
 
-    /**
-     * How long a router that went out of sight is still counted, and how long a new one waits to be counted.
-     */
+    /** How long a router that disappeared is still counted, and how long a new one waits until it is established. */
     long retentionNanos() {
         return windowNanos + contactTimeoutNanos + disseminationNanos;
     }
--- a/coordination/src/main/java/burlarch/coordination/budget/RouterCountEstimate.java
+++ b/coordination/src/main/java/burlarch/coordination/budget/RouterCountEstimate.java
@@ -5,111 +5,138 @@
 import java.util.Map;
 
 /**
- * How much of a budget that all routers share this one may use. Cautious: the count of the others rises at
- * once when one appears and falls only long after one was last seen.
+ * The fraction of a shared budget that this router may use, from a cautious count of the routers: it rises at once when a
+ * router appears and falls only long after one was last seen.
  *
- * <p>Why the shares never sum to more than the whole, in any span of the budget's window. Let W be that
- * window, L the limit of contact and S the time in which routers that are in contact with a quorum learn of
- * each other. A router uses a full share, (1 - r) / count, only if it had contact within L and has had it for
- * L + S + W; else it uses a part of the reserve r. Let n routers use a full share in a span of length W, A
- * and B among them.
+ * <p>Invariant <em>budget bound</em>: in any window the fractions that all routers use sum to at most the whole.
  *
- * <p>(1) When B begins to, it has been in contact for L + S + W. By L + S of that, A, if it uses a full share
- * at all, has had contact after B came and so has learned of it: A counts B for W before B's first full
- * share, so in every span that holds a full share of both. (2) If B ends or is cut off, its last full share
- * comes at most L after its last contact, and A loses sight of it no earlier than S before that contact
- * ended. The last full share leaves the span W later, and A counts B for W + L + S after it went out of
- * sight. By (1) and (2) each of the n counts n or more in the whole span, and the full shares sum to n (1 -
- * r) / n at most. The others' sum to r as long as no more of them are new or cut off in a span than the
- * larger of the count that they heard and {@link BudgetSettings#minReserveRouters()}.
+ * <p>Argument. Let W be {@link BudgetSettings#windowNanos}, C the contact time-out, and D the dissemination time, in which
+ * routers that are in contact with a quorum learn of each other. A router uses a full fraction, (1 - r) / count, only if
+ * it is <em>established</em>: it had contact within C and has had it for C + D + W. Else it uses a part of the reserve r.
+ * Let n routers use a full fraction in one window, A and B among them.
  *
- * <p>At the first start of the whole fleet nobody has used anything, so those that have contact within S need
- * only wait for 2 S, when all of them have learned of each other.
+ * <ol>
+ *   <li>When B becomes established it has been in contact for C + D + W. Within the first C + D of that, A, if it uses a
+ *       full fraction at all, has had contact after B arrived and so has learned of B. So A counts B for W before B's
+ *       first full fraction, and in every window that holds a full fraction of both.
+ *   <li>If B ends or is partitioned, it uses its last full fraction at most C after its last contact, and A sees B
+ *       disappear no earlier than D before that contact ended. The last full fraction leaves the window W later, and A
+ *       counts B for W + C + D after it disappeared.
+ * </ol>
+ *
+ * <p>By 1 and 2 each of the n counts n or more in the whole window, so the full fractions sum to n (1 - r) / n at most.
+ * The fractions of the others sum to at most r as long as no more of them are new or partitioned in one window than the
+ * larger of the count that they were told and {@link BudgetSettings#minReserveRouters()}.
+ *
+ * <p>At the first start of the whole fleet nobody has used anything. Routers that have contact within D then need to wait
+ * for 2 D only, when all of them have learned of each other.
+ *
+ * <p>Times are nanoseconds of one monotonic clock. Not thread-safe.
  */
 public final class RouterCountEstimate {
+    /** Whether the fleet had routers before. */
+    private enum FleetStart {
+        /** All routers start for the first time, within the dissemination time. */
+        FIRST,
+        /** Other routers may be running and using the budget. */
+        LATER
+    }
+
     private final BudgetSettings settings;
-    /** Every other router by process, with when it went out of sight; null while it is in sight. */
+    private final FleetStart fleetStart;
+    private final long startedAtNanos;
+    /** Every other router by its process id, with when it disappeared; null while it is seen. */
     private final Map<Long, Long> disappearedAtByProcess = new HashMap<>();
 
     private int largestReportedCount;
-    private final long startedAtNanos;
-    private final boolean firstStart;
-    private boolean contacted;
+    private boolean hadContact;
+    /** Since when contacts have followed each other within the time-out. */
     private long contactSinceNanos;
+
     private long lastContactNanos;
 
-    /**
-     * @param firstStart whether the whole fleet starts for the first time, all within the time of spreading
-     */
-    public RouterCountEstimate(BudgetSettings settings, boolean firstStart, long now) {
+    private RouterCountEstimate(BudgetSettings settings, FleetStart fleetStart, long nowNanos) {
         this.settings = settings;
-        this.firstStart = firstStart;
-        startedAtNanos = now;
+        this.fleetStart = fleetStart;
+        startedAtNanos = nowNanos;
+    }
+
+    /** The estimate of a router that starts while the whole fleet starts for the first time. */
+    public static RouterCountEstimate atFirstFleetStart(BudgetSettings settings, long nowNanos) {
+        return new RouterCountEstimate(settings, FleetStart.FIRST, nowNanos);
+    }
+
+    /** The estimate of a router that starts while others may be running. */
+    public static RouterCountEstimate inRunningFleet(BudgetSettings settings, long nowNanos) {
+        return new RouterCountEstimate(settings, FleetStart.LATER, nowNanos);
     }
 
-    /** Another router came in sight; {@code process} is unique to one start of one router. */
-    public void onRouterAppeared(long process, long now) {
-        forgetDisappeared(now);
-        if (disappearedAtByProcess.size() < settings.maxRouters() || disappearedAtByProcess.containsKey(process)) {
-            disappearedAtByProcess.put(process, null);
+    /** Another router is seen; {@code processId} is unique to one start of one router. */
+    public void onRouterAppeared(long processId, long nowNanos) {
+        forgetDisappeared(nowNanos);
+        boolean hasRoom = disappearedAtByProcess.size() < settings.maxRouters();
+        if (hasRoom || disappearedAtByProcess.containsKey(processId)) {
+            disappearedAtByProcess.put(processId, null);
         }
     }
 
-    /** Another router went out of sight, whether it ended or is cut off. */
-    public void onRouterDisappeared(long process, long now) {
-        if (disappearedAtByProcess.containsKey(process) && disappearedAtByProcess.get(process) == null) {
-            disappearedAtByProcess.put(process, now);
+    /** Another router is seen no more, whether it ended or is partitioned. */
+    public void onRouterDisappeared(long processId, long nowNanos) {
+        boolean isSeen = disappearedAtByProcess.containsKey(processId) && disappearedAtByProcess.get(processId) == null;
+        if (isSeen) {
+            disappearedAtByProcess.put(processId, nowNanos);
         }
     }
 
-    /** Another member told how many routers it counts, this one included. */
+    /** A controller reported how many routers it counts, this one included. */
     public void onReportedCount(int count) {
         largestReportedCount = Math.min(settings.maxRouters(), Math.max(largestReportedCount, count));
     }
 
-    /** This router heard from a controller that has a quorum. */
-    public void onQuorumContact(long now) {
-        if (!contacted || now - lastContactNanos >= settings.contactTimeoutNanos()) {
-            contactSinceNanos = now;
+    /** This router heard from a controller that has contact to a quorum. */
+    public void onQuorumContact(long nowNanos) {
+        if (!hadContact || nowNanos - lastContactNanos >= settings.contactTimeoutNanos()) {
+            contactSinceNanos = nowNanos;
         }
-        contacted = true;
-        lastContactNanos = now;
+        hadContact = true;
+        lastContactNanos = nowNanos;
     }
 
-    /** How many routers may share the budget now, this one included. */
-    public int count(long now) {
-        forgetDisappeared(now);
+    /** How many routers may use the budget now, this one included. */
+    public int count(long nowNanos) {
+        forgetDisappeared(nowNanos);
         return disappearedAtByProcess.size() + 1;
     }
 
-    /** Part of the whole budget, 0 to 1, that this router may use in the present window. */
-    public double budgetFraction(long now) {
-        int count = count(now);
-        if (isEstablished(now)) {
+    /** The fraction of the whole budget, 0 to 1, that this router may use in the present window. */
+    public double budgetFraction(long nowNanos) {
+        int count = count(nowNanos);
+        if (isEstablished(nowNanos)) {
             return (1 - settings.reserveFraction()) / count;
         }
-        int known = contacted ? Math.max(count, largestReportedCount) : settings.maxRouters();
+        int known = hadContact ? Math.max(count, largestReportedCount) : settings.maxRouters();
         return settings.reserveFraction() / Math.max(settings.minReserveRouters(), known);
     }
 
-    /** Whether this router has been in contact for long enough that all in contact count it. */
-    public boolean isEstablished(long now) {
-        return contacted
-                && now - lastContactNanos < settings.contactTimeoutNanos()
-                && now - contactSinceNanos >= establishingNanos();
+    /** Whether this router has been in contact for so long that all routers in contact count it. */
+    public boolean isEstablished(long nowNanos) {
+        return hadContact
+                && nowNanos - lastContactNanos < settings.contactTimeoutNanos()
+                && nowNanos - contactSinceNanos >= establishingNanos();
     }
 
     private long establishingNanos() {
-        boolean withAllOthers = firstStart && contactSinceNanos - startedAtNanos < settings.disseminationNanos();
-        return withAllOthers ? 2 * settings.disseminationNanos() : settings.retentionNanos();
+        boolean startedWithAllOthers =
+                fleetStart == FleetStart.FIRST && contactSinceNanos - startedAtNanos < settings.disseminationNanos();
+        return startedWithAllOthers ? 2 * settings.disseminationNanos() : settings.retentionNanos();
     }
 
-    private void forgetDisappeared(long now) {
-        Iterator<Long> goneAt = disappearedAtByProcess.values().iterator();
-        while (goneAt.hasNext()) {
-            Long gone = goneAt.next();
-            if (gone != null && now - gone >= settings.retentionNanos()) {
-                goneAt.remove();
+    private void forgetDisappeared(long nowNanos) {
+        Iterator<Long> disappearedAt = disappearedAtByProcess.values().iterator();
+        while (disappearedAt.hasNext()) {
+            Long at = disappearedAt.next();
+            if (at != null && nowNanos - at >= settings.retentionNanos()) {
+                disappearedAt.remove();
             }
         }
     }
--- a/coordination/src/main/java/burlarch/coordination/distribution/AcknowledgementTracker.java
+++ b/coordination/src/main/java/burlarch/coordination/distribution/AcknowledgementTracker.java
@@ -9,16 +9,27 @@
 import java.util.OptionalLong;
 
 /**
- * Which subscribers hold which revision of one stream of updates, and who waits for all of them to hold one.
- * A subscriber that leaves is waited for no longer. Bounded by the subscribers and by {@link #MAX_WAITS}.
+ * Which revision each subscriber of a stream has acknowledged, and the waits until all of them have acknowledged one.
  *
- * @param <S> names a subscriber
+ * <p>Invariants:
+ *
+ * <ul>
+ *   <li><em>Acknowledgements only rise</em>: an acknowledgement of an older revision changes nothing.
+ *   <li><em>Bounded waits</em>: a wait ends at its deadline, and a subscriber that left is waited for no longer. There
+ *       are at most {@link #MAX_WAITS}.
+ * </ul>
+ *
+ * <p>Times are nanoseconds of one monotonic clock. Not thread-safe.
+ *
+ * @param <S> identifies a subscriber
  */
 public final class AcknowledgementTracker<S> {
-    /** Waits at the same time; a further one is over at once, with no claim that all hold the revision. */
+    /** Most waits at the same time; a further one is not begun, which doesn't say that all have acknowledged. */
     public static final int MAX_WAITS = 1_024;
 
-    /** One wait for a revision. */
+    private static final long NOTHING_ACKNOWLEDGED = Long.MIN_VALUE;
+
+    /** One wait until all subscribers have acknowledged a revision. */
     public static final class Wait {
         private final long revision;
         private final long deadlineNanos;
@@ -28,7 +39,7 @@
             this.deadlineNanos = deadlineNanos;
         }
 
-        /** The revision that is waited for. */
+        /** The revision that is to be acknowledged. */
         public long revision() {
             return revision;
         }
@@ -37,27 +48,27 @@
     private final Map<S, Long> acknowledgedRevisions = new HashMap<>();
     private final List<Wait> waits = new ArrayList<>();
 
-    /** A subscriber came; it holds nothing yet. */
+    /** Adds a subscriber that has acknowledged nothing yet. */
     public void subscribe(S subscriber) {
-        acknowledgedRevisions.put(subscriber, Long.MIN_VALUE);
+        acknowledgedRevisions.put(subscriber, NOTHING_ACKNOWLEDGED);
     }
 
-    /** A subscriber is gone. Call {@link #takeFinishedWaits} afterwards. */
+    /** Removes a subscriber. Call {@link #takeFinishedWaits} afterwards. */
     public void unsubscribe(S subscriber) {
         acknowledgedRevisions.remove(subscriber);
     }
 
     /**
-     * A subscriber holds that revision; an older one changes nothing. Call {@link #takeFinishedWaits} afterwards.
+     * A subscriber acknowledged a revision; an unknown subscriber is ignored. Call {@link #takeFinishedWaits} afterwards.
      */
     public void onAcknowledged(S subscriber, long revision) {
-        acknowledgedRevisions.computeIfPresent(subscriber, (key, held) -> Math.max(held, revision));
+        acknowledgedRevisions.computeIfPresent(subscriber, (key, known) -> Math.max(known, revision));
     }
 
-    /** The newest revision that a subscriber said it holds, if it said anything. */
+    /** The newest revision that the subscriber acknowledged, empty if none. */
     public OptionalLong acknowledgedBy(S subscriber) {
-        long held = acknowledgedRevisions.getOrDefault(subscriber, Long.MIN_VALUE);
-        return held == Long.MIN_VALUE ? OptionalLong.empty() : OptionalLong.of(held);
+        long revision = acknowledgedRevisions.getOrDefault(subscriber, NOTHING_ACKNOWLEDGED);
+        return revision == NOTHING_ACKNOWLEDGED ? OptionalLong.empty() : OptionalLong.of(revision);
     }
 
     /** How many subscribers there are. */
@@ -65,28 +76,28 @@
         return acknowledgedRevisions.size();
     }
 
-    /** Those that hold less than the revision. */
+    /** The subscribers that have not acknowledged the revision, in no order. */
     public List<S> laggingBehind(long revision) {
-        List<S> behind = new ArrayList<>();
+        List<S> lagging = new ArrayList<>();
         for (Map.Entry<S, Long> entry : acknowledgedRevisions.entrySet()) {
             if (entry.getValue() < revision) {
-                behind.add(entry.getKey());
+                lagging.add(entry.getKey());
             }
         }
-        return behind;
+        return lagging;
     }
 
-    /** Whether every subscriber holds the revision. */
+    /** Whether every subscriber has acknowledged the revision. */
     public boolean allAcknowledged(long revision) {
-        for (long held : acknowledgedRevisions.values()) {
-            if (held < revision) {
+        for (long acknowledged : acknowledgedRevisions.values()) {
+            if (acknowledged < revision) {
                 return false;
             }
         }
         return true;
     }
 
-    /** Begins to wait, or nothing if all hold it already or too many wait. */
+    /** Begins a wait; empty if all have acknowledged the revision already, or if there are too many waits. */
     public Optional<Wait> await(long revision, long deadlineNanos) {
         if (allAcknowledged(revision) || waits.size() >= MAX_WAITS) {
             return Optional.empty();
@@ -96,10 +107,11 @@
         return Optional.of(wait);
     }
 
-    /** Takes out the waits that are over: all hold the revision, or the deadline has passed. */
+    /** Takes out the waits that are over: all have acknowledged the revision, or the deadline has passed. */
     public List<Wait> takeFinishedWaits(long nowNanos) {
         List<Wait> finished = new ArrayList<>();
-        for (Iterator<Wait> remaining = waits.iterator(); remaining.hasNext(); ) {
+        Iterator<Wait> remaining = waits.iterator();
+        while (remaining.hasNext()) {
             Wait wait = remaining.next();
             if (nowNanos - wait.deadlineNanos >= 0 || allAcknowledged(wait.revision)) {
                 remaining.remove();
--- a/coordination/src/main/java/burlarch/coordination/registry/InstanceChanges.java
+++ b/coordination/src/main/java/burlarch/coordination/registry/InstanceChanges.java
@@ -3,10 +3,11 @@
 import java.util.List;
 
 /**
- * What a registry holds or what changed in it, those that have gone included.
+ * A part or all of what a registry knows, as others are to see it. Removed instances are included as
+ * {@link InstanceState#GONE}.
  *
- * @param revision the registry's, up to which this tells
- * @param complete whether this is all that the registry knows, so that what is absent is not known to it
+ * @param revision the registry's revision that a receiver knows after it has applied this
+ * @param complete whether this is all that the registry knows; a receiver then forgets what is absent
  * @param instances in the order of their last changes
  */
 public record InstanceChanges(long revision, boolean complete, List<Instance> instances) {}
--- a/coordination/src/main/java/burlarch/coordination/registry/InstanceRegistry.java
+++ b/coordination/src/main/java/burlarch/coordination/registry/InstanceRegistry.java
@@ -3,18 +3,27 @@
 import java.util.ArrayList;
 import java.util.Collection;
 import java.util.HashMap;
-import java.util.Iterator;
-import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
-import java.util.TreeMap;
+import java.util.Optional;
 
 /**
- * The instances by what they announced. One rule orders all news of an id, wherever it comes from: the
- * highest sequence wins. An instance that has left has the sequence {@link #LEFT_SEQUENCE}, which nothing beats; one
- * that was not heard of for too long, or whose address another took, keeps its last sequence, so that it
- * comes back with its next announcement. Times are nanoseconds of one clock that doesn't jump. Not safe for
- * use by threads at the same time.
+ * One controller's registry of instances, from announcements that came here or were forwarded by other controllers.
+ *
+ * <p>Invariants:
+ *
+ * <ul>
+ *   <li><em>Highest sequence wins</em>: an announcement counts only if its sequence is higher than the known one of its
+ *       id. So announcements may come late, repeated and in any order.
+ *   <li><em>Final leave</em>: an instance that has left has the sequence {@link #LEFT_SEQUENCE}, which none is above.
+ *   <li><em>Permanent drain</em>: an instance that said that it drains is never READY again ({@link RegistryEntry}).
+ *   <li><em>Return after a loss</em>: one that was lost keeps its last sequence, so its next announcement brings it back.
+ *   <li><em>One instance an address</em>: a newer announcement of another id at an address removes the former instance.
+ *   <li><em>Loss only in contact</em>: nobody is lost to missing heartbeats during a grace, as then this controller may
+ *       have missed them.
+ * </ul>
+ *
+ * <p>Bounded by {@link RegistrySettings}. Times are nanoseconds of a monotonic clock. Not thread-safe.
  */
 public final class InstanceRegistry {
     /** The sequence of an instance that has left for good. */
@@ -22,102 +31,188 @@
 
     /** What became of an announcement. */
     public enum AnnouncementResult {
-        /** The instance isn't what it was believed to be. */
+        /** What is believed of the instance changed. */
         CHANGED,
-        /** A heartbeat that changes nothing, but that it may end that the instance counts as unheard. */
+        /** A heartbeat that changes nothing, except that an unheard instance is heard again. */
         REFRESHED,
-        /** Older than what is known; nothing was done. */
+        /** Its sequence isn't above the known one; it was ignored. */
         STALE,
-        /** There is no room for another instance; nothing was done. */
+        /** There is no room for another instance; it was ignored. */
         TABLE_FULL
     }
 
+    /** A check that comes later than the expiry divided by this shows a pause of this process. */
     private static final int PAUSE_DIVISOR = 2;
 
     private final RegistrySettings settings;
     private final Map<String, RegistryEntry> entries = new HashMap<>();
+    /** The entries that are not removed. */
     private final Map<String, RegistryEntry> byAddress = new HashMap<>();
-    private final Map<String, RegistryEntry> removed = new LinkedHashMap<>();
-    private final TreeMap<Long, RegistryEntry> byRevision = new TreeMap<>();
-    private long revision;
-    private long forgottenRevision;
+
+    private final RemovedEntries removed;
+    private final RevisionIndex revisions = new RevisionIndex();
     private long graceFromNanos;
     private long checkedAtNanos;
 
-    /** An empty registry that begins at {@code startNanos}. */
+    /** An empty registry whose first grace begins at {@code startNanos}. */
     public InstanceRegistry(RegistrySettings settings, long startNanos) {
         this.settings = settings;
+        this.removed = new RemovedEntries(settings);
         this.graceFromNanos = startNanos;
         this.checkedAtNanos = startNanos;
     }
 
-    /** Takes what an instance says of itself. */
+    /** Applies what an instance says of itself. */
     public AnnouncementResult announce(Instance instance, long nowNanos) {
         RegistryEntry entry = entries.get(instance.id());
         if (entry != null && instance.sequence() <= entry.sequence()) {
             return AnnouncementResult.STALE;
         }
-        if (entry == null
-                && instance.state() != InstanceState.GONE
-                && entries.size() - removed.size() >= settings.maxInstances()) {
+        if (entry == null && instance.state() != InstanceState.GONE && isFull()) {
             return AnnouncementResult.TABLE_FULL;
         }
-        return take(entry, instance, nowNanos) ? AnnouncementResult.CHANGED : AnnouncementResult.REFRESHED;
+        return apply(entry, instance, nowNanos);
     }
 
     /**
-     * Takes that an instance has left for good.
+     * Removes an instance that says that it leaves for good.
      *
-     * @return what to tell others, for their {@link #merge}
+     * @return the final announcement, for the {@link #merge} of other registries
      */
     public Instance leave(String id, long nowNanos) {
         RegistryEntry entry = entries.get(id);
         Instance last = entry == null
                 ? new Instance(id, "", "", "", "", 0, InstanceState.GONE, 0, List.of(), LEFT_SEQUENCE)
-                : withStateAndSequence(entry.view(), InstanceState.GONE, LEFT_SEQUENCE);
+                : entry.believed().withStateAndSequence(InstanceState.GONE, LEFT_SEQUENCE);
         if (entry == null || !entry.hasLeft()) {
-            take(entry, last, nowNanos);
+            apply(entry, last, nowNanos);
         }
         return last;
     }
 
     /**
-     * Takes what another registry holds or took, in any order. A mark of loading stays with the registry that
-     * made it.
+     * Applies what another registry knows or accepted, in any order. Which instances load is not merged: that stays with
+     * the registry that was told.
      *
      * @return whether others are to see a change
      */
     public boolean merge(Collection<Instance> instances, long nowNanos) {
-        long before = revision;
+        long before = revisions.revision();
         for (Instance instance : instances) {
             announce(instance, nowNanos);
         }
-        return revision != before;
+        return revisions.revision() != before;
+    }
+
+    /** Notes that an instance loads weights, until {@link #endLoading} or the time-out of the settings. */
+    public void beginLoading(String id, long nowNanos) {
+        RegistryEntry entry = entries.get(id);
+        if (entry != null) {
+            Instance before = entry.stated();
+            entry.beginLoading(nowNanos + settings.loadingTimeoutNanos());
+            publishIfChanged(before, entry);
+        }
+    }
+
+    /** Notes that an instance loads no weights any more. */
+    public void endLoading(String id) {
+        RegistryEntry entry = entries.get(id);
+        if (entry != null) {
+            endLoading(entry);
+        }
+    }
+
+    /**
+     * Lets time pass: ends overdue loads, loses instances without heartbeats, forgets removed ones. To be called several
+     * times within {@link RegistrySettings#expiryNanos}; a call that comes much later shows that this process stood still
+     * and begins a grace. During a grace others are told of an instance without heartbeats that it is unheard.
+     */
+    public void expire(long nowNanos) {
+        if (nowNanos - checkedAtNanos > settings.expiryNanos() / PAUSE_DIVISOR) {
+            restartGrace(nowNanos);
+        }
+        checkedAtNanos = nowNanos;
+        endOverdueLoads(nowNanos);
+        expireUnresponsive(nowNanos);
+        removed.takeForgettable(nowNanos).forEach(this::forget);
+    }
+
+    /**
+     * Begins a grace, in which nobody is lost. To be called when announcements may have been missed: when a controller
+     * that forwarded them is disconnected, as its instances need time to turn to another.
+     */
+    public void restartGrace(long nowNanos) {
+        graceFromNanos = nowNanos;
     }
 
-    private boolean take(RegistryEntry known, Instance instance, long nowNanos) {
-        RegistryEntry entry = known == null ? new RegistryEntry() : known;
-        Instance believed = known == null ? null : known.view();
-        Instance stated = known == null ? null : known.statement();
+    /** Rises with each change that others are to see, not with a mere heartbeat. 0 for an empty registry. */
+    public long revision() {
+        return revisions.revision();
+    }
+
+    /** What changed after a revision of this registry, or everything if that is no longer known. */
+    public InstanceChanges changesSince(long seenRevision) {
+        if (!revisions.knowsAllSince(seenRevision)) {
+            return snapshot();
+        }
+        return new InstanceChanges(revision(), false, statements(revisions.changedSince(seenRevision)));
+    }
+
+    /** All that is known, as others are to see it. */
+    public InstanceChanges snapshot() {
+        return new InstanceChanges(revision(), true, statements(revisions.all()));
+    }
+
+    /**
+     * What another registry is to know, for its {@link #merge}: what instances said of themselves, that is who was heard
+     * lately, who drains or did, and who left. Missing heartbeats are for each registry to find out itself.
+     */
+    public List<Instance> selfReported() {
+        List<Instance> reported = new ArrayList<>();
+        for (RegistryEntry entry : revisions.all()) {
+            entry.selfReported().ifPresent(reported::add);
+        }
+        return reported;
+    }
+
+    /** The instance as this registry believes it to be, empty if it isn't known. */
+    public Optional<Instance> find(String id) {
+        return Optional.ofNullable(entries.get(id)).map(RegistryEntry::believed);
+    }
+
+    private boolean isFull() {
+        return entries.size() - removed.size() >= settings.maxInstances();
+    }
+
+    private AnnouncementResult apply(RegistryEntry known, Instance instance, long nowNanos) {
         if (known == null) {
+            RegistryEntry entry = new RegistryEntry();
             entries.put(instance.id(), entry);
-        } else {
-            byAddress.remove(known.address(), known);
+            update(entry, instance, nowNanos);
+            revisions.onChanged(entry);
+            return AnnouncementResult.CHANGED;
         }
-        entry.take(instance, nowNanos);
+        Instance believedBefore = known.believed();
+        Instance statedBefore = known.stated();
+        byAddress.remove(known.address(), known);
+        update(known, instance, nowNanos);
+        publishIfChanged(statedBefore, known);
+        return believedBefore.hasSameContent(known.believed())
+                ? AnnouncementResult.REFRESHED
+                : AnnouncementResult.CHANGED;
+    }
+
+    private void update(RegistryEntry entry, Instance instance, long nowNanos) {
+        entry.onAnnouncement(instance, nowNanos);
         if (entry.isRemoved()) {
             remember(entry);
         } else {
             removed.remove(instance.id());
-            claimAddress(entry, nowNanos);
-        }
-        if (stated == null || !RegistryEntry.hasSameContent(stated, entry.statement())) {
-            changed(entry);
+            takeAddress(entry, nowNanos);
         }
-        return believed == null || !RegistryEntry.hasSameContent(believed, entry.view());
     }
 
-    private void claimAddress(RegistryEntry entry, long nowNanos) {
+    private void takeAddress(RegistryEntry entry, long nowNanos) {
         RegistryEntry former = byAddress.put(entry.address(), entry);
         if (former != null && former != entry) {
             lose(former, nowNanos);
@@ -125,164 +220,68 @@
     }
 
     private void lose(RegistryEntry entry, long nowNanos) {
-        entry.lose(nowNanos);
+        entry.onLost(nowNanos);
         byAddress.remove(entry.address(), entry);
         remember(entry);
-        changed(entry);
+        revisions.onChanged(entry);
     }
 
     private void remember(RegistryEntry entry) {
-        removed.remove(entry.id());
-        removed.put(entry.id(), entry);
-        if (removed.size() > settings.maxRemoved()) {
-            RegistryEntry oldest = removed.values().iterator().next();
-            removed.remove(oldest.id());
-            forget(oldest);
-        }
+        removed.add(entry).ifPresent(this::forget);
     }
 
     private void forget(RegistryEntry entry) {
         entries.remove(entry.id());
-        byRevision.remove(entry.revision());
-        forgottenRevision = Math.max(forgottenRevision, entry.revision());
+        revisions.forget(entry);
     }
 
-    private void changed(RegistryEntry entry) {
-        byRevision.remove(entry.revision());
-        revision++;
-        entry.changedAt(revision);
-        byRevision.put(revision, entry);
-    }
-
-    /** Marks that an instance loads weights, or that it is done. The mark ends by itself after a time. */
-    public void setLoading(String id, boolean loading, long nowNanos) {
-        RegistryEntry entry = entries.get(id);
-        if (entry != null) {
-            load(entry, loading, nowNanos + settings.loadingTimeoutNanos());
+    private void publishIfChanged(Instance statedBefore, RegistryEntry entry) {
+        if (!statedBefore.hasSameContent(entry.stated())) {
+            revisions.onChanged(entry);
         }
     }
 
-    private void load(RegistryEntry entry, boolean loading, long untilNanos) {
-        Instance before = entry.statement();
-        entry.load(loading, untilNanos);
-        if (!RegistryEntry.hasSameContent(before, entry.statement())) {
-            changed(entry);
-        }
+    private void endLoading(RegistryEntry entry) {
+        Instance before = entry.stated();
+        entry.endLoading();
+        publishIfChanged(before, entry);
     }
 
-    /**
-     * Lets time pass; to be called several times within {@link RegistrySettings#expiryNanos}. A call that
-     * comes much later shows that this process stood still and can't tell who was silent. One that was silent
-     * in a grace isn't lost, but others are told that nothing is known of it here.
-     */
-    public void expire(long nowNanos) {
-        if (nowNanos - checkedAtNanos > settings.expiryNanos() / PAUSE_DIVISOR) {
-            restartGrace(nowNanos);
-        }
-        checkedAtNanos = nowNanos;
-        boolean judges = nowNanos - graceFromNanos >= settings.graceNanos();
+    private void endOverdueLoads(long nowNanos) {
         for (RegistryEntry entry : entries.values()) {
-            if (entry.hasLoadedTooLong(nowNanos)) {
-                load(entry, false, nowNanos);
+            if (entry.isLoadingOverdue(nowNanos)) {
+                endLoading(entry);
             }
         }
-        for (RegistryEntry silent : unresponsive(nowNanos)) {
-            if (judges) {
-                lose(silent, nowNanos);
-            } else if (!silent.isUnheard()) {
-                silent.markUnheard();
-                changed(silent);
+    }
+
+    private void expireUnresponsive(long nowNanos) {
+        boolean inGrace = nowNanos - graceFromNanos < settings.graceNanos();
+        for (RegistryEntry entry : unresponsive(nowNanos)) {
+            if (!inGrace) {
+                lose(entry, nowNanos);
+            } else if (!entry.isUnheard()) {
+                entry.onUnheard(nowNanos);
+                revisions.onChanged(entry);
             }
         }
-        forgetOld(nowNanos);
     }
 
     private List<RegistryEntry> unresponsive(long nowNanos) {
-        List<RegistryEntry> silent = new ArrayList<>();
+        List<RegistryEntry> found = new ArrayList<>();
         for (RegistryEntry entry : entries.values()) {
             if (entry.isUnresponsive(nowNanos, settings.expiryNanos())) {
-                silent.add(entry);
+                found.add(entry);
             }
         }
-        return silent;
+        return found;
     }
 
-    private void forgetOld(long nowNanos) {
-        Iterator<RegistryEntry> oldestFirst = removed.values().iterator();
-        while (oldestFirst.hasNext()) {
-            RegistryEntry entry = oldestFirst.next();
-            if (!entry.isForgettable(nowNanos, settings.removedRetentionNanos())) {
-                return;
-            }
-            oldestFirst.remove();
-            forget(entry);
-        }
-    }
-
-    /**
-     * Lets nobody expire for a while. To be called when news may have been missed: when a controller that
-     * passed announcements on is out of touch, as its instances need time to turn to another.
-     */
-    public void restartGrace(long nowNanos) {
-        graceFromNanos = nowNanos;
-    }
-
-    /** Rises with each change that others are to see, not with a mere heartbeat. 0 for an empty registry. */
-    public long revision() {
-        return revision;
-    }
-
-    /** What changed after a revision of this registry, or all where that is no longer known. */
-    public InstanceChanges changesSince(long seenRevision) {
-        if (seenRevision <= 0 || seenRevision < forgottenRevision || seenRevision > revision) {
-            return snapshot();
-        }
-        return new InstanceChanges(
-                revision, false, views(byRevision.tailMap(seenRevision, false).values()));
-    }
-
-    /** All that is known, as others are to see it. */
-    public InstanceChanges snapshot() {
-        return new InstanceChanges(revision, true, views(byRevision.values()));
-    }
-
-    /**
-     * What another registry is to know, for its {@link #merge}: who was heard lately, who drains or did, and
-     * who left. Who was silent is for each registry to find out itself.
-     */
-    public List<Instance> selfReported() {
-        List<Instance> known = new ArrayList<>();
-        for (RegistryEntry entry : byRevision.values()) {
-            entry.selfReported().ifPresent(known::add);
-        }
-        return known;
-    }
-
-    /** The instance as it is believed to be here, or null where it isn't known. */
-    public Instance find(String id) {
-        RegistryEntry entry = entries.get(id);
-        return entry == null ? null : entry.view();
-    }
-
-    private static List<Instance> views(Collection<RegistryEntry> changed) {
-        List<Instance> views = new ArrayList<>(changed.size());
+    private static List<Instance> statements(Collection<RegistryEntry> changed) {
+        List<Instance> statements = new ArrayList<>(changed.size());
         for (RegistryEntry entry : changed) {
-            views.add(entry.statement());
+            statements.add(entry.stated());
         }
-        return views;
-    }
-
-    private static Instance withStateAndSequence(Instance last, InstanceState state, long sequence) {
-        return new Instance(
-                last.id(),
-                last.service(),
-                last.address(),
-                last.zone(),
-                last.softwareVersion(),
-                last.capacity(),
-                state,
-                last.warmupLeftMillis(),
-                last.models(),
-                sequence);
+        return statements;
     }
 }
--- a/coordination/src/main/java/burlarch/coordination/registry/InstanceState.java
+++ b/coordination/src/main/java/burlarch/coordination/registry/InstanceState.java
@@ -1,18 +1,22 @@
 package burlarch.coordination.registry;
 
-/** Where an instance stands in its life. */
+/**
+ * The lifecycle state of an instance, as an instance announces it, a controller states it or a router sees it.
+ * {@link RegistryEntry} derives the state that a controller states, {@link MergedInstanceView} the one
+ * that a router sees.
+ */
 public enum InstanceState {
-    /** Takes requests. */
+    /** It serves requests. */
     READY,
-    /** Loads weights: it turns requests away until it is done. */
+    /** It loads weights and rejects requests until that is done. */
     LOADING,
-    /** Leaves: no new request may be sent to it. */
+    /** It shuts down gracefully: no new request may be sent to it, ever. */
     DRAINING,
     /**
-     * Only in what a registry tells others: not heard of for a while by a controller that may have missed it,
-     * so that this says neither that the instance lives nor that it is lost.
+     * Only in what a controller states to others: no heartbeat came for the expiry, but this controller may have missed
+     * them. It says neither that the instance lives nor that it has failed.
      */
     UNHEARD,
-    /** Has left, or was not heard of for too long by a controller that would have heard it. */
+    /** It has left, or no heartbeat came for the expiry at a controller that would have received one. */
     GONE
 }
--- a/coordination/src/main/java/burlarch/coordination/registry/MergedInstanceView.java
+++ b/coordination/src/main/java/burlarch/coordination/registry/MergedInstanceView.java
@@ -11,49 +11,74 @@
 import java.util.Set;
 
 /**
- * What a router holds of the instances, combined from what the registries of several controllers state.
+ * A router's view of the instances, merged from what the registries of several controllers state.
+ *
+ * <p>Invariants, the first that applies decides:
  *
  * <ol>
- * <li>An instance that said that it leaves has left, whoever told so and whatever others state.</li>
- * <li>One that said that it drains never takes requests again.</li>
- * <li>One that some controller hears is live. That another lost it to silence is the statement of one
- * observer, at whatever sequence: mere heartbeats are not told to routers, so that sequences of different
- * controllers don't tell who heard it last. Not so where the one that lost it hears another instance at its
- * address: that one has taken its place.</li>
- * <li>One that nobody hears is lost where some controller states so; the others are those that couldn't hear
- * it ({@link InstanceState#UNHEARD}) and those that don't know it, as after a restart.</li>
- * <li>Else it stays as it was.</li>
+ *   <li><em>Final leave</em>: an instance that said that it leaves is gone, whichever controller told of it and whatever
+ *       others state.
+ *   <li><em>Permanent drain</em>: one that said that it drains is never READY again.
+ *   <li><em>One observer's loss</em>: one that some controller hears is live. That another controller lost it to missing
+ *       heartbeats is the statement of one observer, at whatever sequence: routers aren't told of mere heartbeats, so
+ *       sequences of different controllers don't tell who heard it last. The exception: the controller that lost it hears
+ *       another instance at its address, which has replaced it.
+ *   <li>One that nobody hears is lost if some controller states so. The others are those that could not hear it
+ *       ({@link InstanceState#UNHEARD}) and those that don't know it, as after a restart.
+ *   <li>Else it stays as it was.
  * </ol>
  *
- * <p>Content comes from the newest announcement. Bounded by {@link #MAX_INSTANCES}. Not safe for use by
- * threads at the same time.
+ * <p>Content is that of the newest announcement. Bounded by {@link #MAX_INSTANCES}; instances beyond it are ignored. Not
+ * thread-safe.
  */
 public final class MergedInstanceView {
-    /** Instances beyond this number are passed over. */
+    /** Most instances in the view. */
     public static final int MAX_INSTANCES = 8_192;
 
-    private final Map<String, Map<String, Instance>> viewsByController = new HashMap<>();
+    /** What each connected controller states, by its name, then by the instance's id. */
+    private final Map<String, Map<String, Instance>> statedByController = new HashMap<>();
+
     private final Map<String, Instance> merged = new HashMap<>();
-    /** Ids that never come back, in the order in which they left; the oldest give way to further ones. */
+    /** Ids of instances that left, in that order. They outlive the controller that told; the oldest give way. */
     private final Set<String> left = new LinkedHashSet<>();
-    /** Ids that never take requests again, in the order in which they began to drain; bounded alike. */
+    /** Ids of instances that drain or did, alike. */
     private final Set<String> draining = new LinkedHashSet<>();
 
-    /**
-     * Takes an update of one controller.
-     *
-     * @param whole whether it replaces all that this controller told before
-     */
-    public void onUpdate(String controller, boolean whole, Collection<Instance> instances) {
-        Map<String, Instance> view = viewsByController.computeIfAbsent(controller, key -> new HashMap<>());
+    /** A controller states all that it knows; what is absent it knows no longer. */
+    public void onSnapshot(String controller, Collection<Instance> instances) {
+        Map<String, Instance> stated = statedBy(controller);
         Set<String> touched = new HashSet<>();
-        if (whole) {
-            touched.addAll(view.keySet());
-            view.clear();
+        touched.addAll(stated.keySet());
+        stated.clear();
+        apply(stated, instances, touched);
+    }
+
+    /** A controller states what changed. */
+    public void onChanges(String controller, Collection<Instance> instances) {
+        apply(statedBy(controller), instances, new HashSet<>());
+    }
+
+    /** A controller is disconnected: what it stated of loading ends, the instances that it announced stay. */
+    public void onControllerLost(String controller) {
+        Map<String, Instance> stated = statedByController.remove(controller);
+        if (stated != null) {
+            stated.keySet().forEach(this::merge);
         }
+    }
+
+    /** The instances that are not gone, in no order. */
+    public List<Instance> instances() {
+        return new ArrayList<>(merged.values());
+    }
+
+    private Map<String, Instance> statedBy(String controller) {
+        return statedByController.computeIfAbsent(controller, key -> new HashMap<>());
+    }
+
+    private void apply(Map<String, Instance> stated, Collection<Instance> instances, Set<String> touched) {
         for (Instance instance : instances) {
             touched.add(instance.id());
-            view.put(instance.id(), instance);
+            stated.put(instance.id(), instance);
             rememberFinalState(instance);
         }
         touched.forEach(this::merge);
@@ -75,55 +100,56 @@
         }
     }
 
-    /** A controller is no longer connected: its marks of loading end, what it announced stays. */
-    public void onControllerLost(String controller) {
-        Map<String, Instance> view = viewsByController.remove(controller);
-        if (view != null) {
-            view.keySet().forEach(this::merge);
-        }
-    }
-
     private void merge(String id) {
-        Instance held = merged.get(id);
+        Instance present = merged.get(id);
         Instance heard = null;
         Instance unheard = null;
         boolean lost = false;
-        for (Map<String, Instance> view : viewsByController.values()) {
-            Instance stated = view.get(id);
-            if (stated == null) {
+        for (Map<String, Instance> stated : statedByController.values()) {
+            Instance instance = stated.get(id);
+            if (instance == null) {
                 continue;
             }
-            switch (stated.state()) {
+            switch (instance.state()) {
                 case GONE -> lost = true;
-                case UNHEARD -> unheard = newer(stated, unheard);
-                default -> heard = newer(stated, heard);
+                case UNHEARD -> unheard = newer(instance, unheard);
+                default -> heard = newer(instance, heard);
             }
         }
         if (left.contains(id) || lost && (heard == null || isReplaced(id))) {
             merged.remove(id);
         } else if (heard != null) {
-            put(newer(heard, held));
-        } else if (held != null || unheard != null) {
-            put(held != null ? held : unheard);
+            put(newer(heard, present));
+        } else if (present != null) {
+            put(present);
+        } else if (unheard != null) {
+            put(unheard);
         }
     }
 
-    /** Whether a controller that lost the instance holds another live at its address. */
+    /** Whether a controller that lost the instance states another live one at its address. */
     private boolean isReplaced(String id) {
-        for (Map<String, Instance> view : viewsByController.values()) {
-            Instance stated = view.get(id);
-            if (stated != null
-                    && stated.state() == InstanceState.GONE
-                    && view.values().stream()
-                            .anyMatch(other -> other.state() != InstanceState.GONE
-                                    && other.address().equals(stated.address()))) {
+        for (Map<String, Instance> stated : statedByController.values()) {
+            Instance instance = stated.get(id);
+            if (instance != null
+                    && instance.state() == InstanceState.GONE
+                    && hasOtherLiveAt(stated, instance.address())) {
                 return true;
             }
         }
         return false;
     }
 
-    /** Of equal announcements the first. */
+    private static boolean hasOtherLiveAt(Map<String, Instance> stated, String address) {
+        for (Instance other : stated.values()) {
+            if (other.state() != InstanceState.GONE && other.address().equals(address)) {
+                return true;
+            }
+        }
+        return false;
+    }
+
+    /** The one of the higher sequence; of equal ones the first. */
     private static Instance newer(Instance one, Instance other) {
         return other == null || one.sequence() >= other.sequence() ? one : other;
     }
@@ -131,21 +157,21 @@
     private void put(Instance newest) {
         String id = newest.id();
         if (merged.containsKey(id) || merged.size() < MAX_INSTANCES) {
-            merged.put(id, withState(newest, state(newest)));
+            merged.put(id, newest.withState(stateOf(newest)));
         }
     }
 
-    private InstanceState state(Instance newest) {
+    private InstanceState stateOf(Instance newest) {
         if (draining.contains(newest.id())) {
             return InstanceState.DRAINING;
         }
         return isLoading(newest) ? InstanceState.LOADING : InstanceState.READY;
     }
 
-    /** A mark by a controller that has not heard of weights that another heard of is over. */
+    /** A controller's statement of loading counts unless another controller heard of newer weights since. */
     private boolean isLoading(Instance newest) {
-        for (Map<String, Instance> view : viewsByController.values()) {
-            Instance instance = view.get(newest.id());
+        for (Map<String, Instance> stated : statedByController.values()) {
+            Instance instance = stated.get(newest.id());
             if (instance != null && instance.state() == InstanceState.LOADING && !hasNewerWeights(newest, instance)) {
                 return true;
             }
@@ -163,23 +189,4 @@
         }
         return false;
     }
-
-    private static Instance withState(Instance instance, InstanceState state) {
-        return new Instance(
-                instance.id(),
-                instance.service(),
-                instance.address(),
-                instance.zone(),
-                instance.softwareVersion(),
-                instance.capacity(),
-                state,
-                instance.warmupLeftMillis(),
-                instance.models(),
-                instance.sequence());
-    }
-
-    /** All that are not gone. */
-    public List<Instance> instances() {
-        return new ArrayList<>(merged.values());
-    }
 }
--- a/coordination/src/main/java/burlarch/coordination/registry/RegistryEntry.java
+++ b/coordination/src/main/java/burlarch/coordination/registry/RegistryEntry.java
@@ -1,48 +1,101 @@
 package burlarch.coordination.registry;
 
-import java.util.Objects;
 import java.util.Optional;
-
-/** What a registry knows of one instance. */
+import java.util.OptionalLong;
+
+/**
+ * What one registry knows of one instance: its newest announcement, and three facts that are independent of each other.
+ *
+ * <p><em>Presence</em>, whose transitions {@link #moveTo} makes:
+ *
+ * <pre>
+ * from            event                                                            to
+ * (new), any      newer announcement, not GONE                                     HEARD
+ * any             newer announcement, GONE, of an ordinary sequence                LOST
+ * any             newer announcement, GONE, of the sequence of a final leave       LEFT
+ * HEARD           silent for the expiry while this registry may have missed it     UNHEARD
+ * HEARD, UNHEARD  silent for the expiry, or another instance has taken its address LOST
+ * </pre>
+ *
+ * After LEFT no newer announcement is possible, so LEFT is final.
+ *
+ * <p><em>Draining</em>: set by an announcement that says so and never cleared (invariant <em>permanent drain</em>).
+ *
+ * <p><em>Loading</em>: set and cleared by the owner of the weights rollout, with a deadline.
+ *
+ * <p>The states that follow from them:
+ *
+ * <pre>
+ * presence    draining  loading  believed here  stated to others  self-reported
+ * LEFT        any       any      GONE           GONE              GONE
+ * LOST        yes       any      GONE           GONE              DRAINING
+ * LOST        no        any      GONE           GONE              (none)
+ * UNHEARD     yes       any      DRAINING       DRAINING          DRAINING
+ * UNHEARD     no        yes      LOADING        UNHEARD           (none)
+ * UNHEARD     no        no       READY          UNHEARD           (none)
+ * HEARD       yes       any      DRAINING       DRAINING          DRAINING
+ * HEARD       no        yes      LOADING        LOADING           LOADING
+ * HEARD       no        no       READY          READY             READY
+ * </pre>
+ */
 final class RegistryEntry {
+    /** Whether the instance is heard of. */
+    private enum Presence {
+        /** Its heartbeats come. */
+        HEARD,
+        /** No heartbeat came for the expiry, which may be this controller's own fault. */
+        UNHEARD,
+        /** Its heartbeats ended; a newer one brings it back. */
+        LOST,
+        /** It has left for good. */
+        LEFT
+    }
+
     private Instance announced;
+    private Presence presence = Presence.HEARD;
     private boolean draining;
-    private boolean gone;
-    private boolean loading;
-    private boolean unheard;
-    private long heardNanos;
-    private long goneNanos;
-    private long loadingUntilNanos;
+    /** When the loading state ends by itself; empty while the instance doesn't load. */
+    private OptionalLong loadingDeadlineNanos = OptionalLong.empty();
+
+    private long heardAtNanos;
+    private long removedAtNanos;
     private long revision;
 
-    /** Takes an announcement that is newer than all before. */
-    void take(Instance newer, long nowNanos) {
+    /** Applies an announcement of a higher sequence than all before. */
+    void onAnnouncement(Instance newer, long nowNanos) {
         announced = newer;
         draining |= newer.state() == InstanceState.DRAINING;
-        gone = newer.state() == InstanceState.GONE;
-        unheard = false;
-        heardNanos = nowNanos;
-        goneNanos = nowNanos;
+        heardAtNanos = nowNanos;
+        moveTo(newer.state() == InstanceState.GONE ? removedPresence() : Presence.HEARD, nowNanos);
     }
 
-    /** Marks it as gone until a newer announcement says otherwise. */
-    void lose(long nowNanos) {
-        gone = true;
-        goneNanos = nowNanos;
+    /** Its heartbeats ended, or another instance has its address. */
+    void onLost(long nowNanos) {
+        moveTo(removedPresence(), nowNanos);
     }
 
-    /** Nothing was heard of it for a while, which may be this controller's own fault. */
-    void markUnheard() {
-        unheard = true;
+    /** No heartbeat came for the expiry, which may be this controller's own fault. */
+    void onUnheard(long nowNanos) {
+        moveTo(Presence.UNHEARD, nowNanos);
     }
 
-    boolean isUnheard() {
-        return unheard;
+    /** The instance loads weights, until {@link #endLoading} or the deadline. */
+    void beginLoading(long deadlineNanos) {
+        loadingDeadlineNanos = OptionalLong.of(deadlineNanos);
+    }
+
+    /** The instance loads no weights. */
+    void endLoading() {
+        loadingDeadlineNanos = OptionalLong.empty();
     }
 
-    void load(boolean loads, long untilNanos) {
-        loading = loads;
-        loadingUntilNanos = untilNanos;
+    /** The registry's revision since which others are to see the present statement. */
+    void setRevision(long newRevision) {
+        revision = newRevision;
+    }
+
+    long revision() {
+        return revision;
     }
 
     String id() {
@@ -57,89 +110,70 @@
         return announced.sequence();
     }
 
+    boolean isUnheard() {
+        return presence == Presence.UNHEARD;
+    }
+
     boolean isRemoved() {
-        return gone;
+        return presence == Presence.LOST || presence == Presence.LEFT;
     }
 
-    /** Whether it is gone for good. */
     boolean hasLeft() {
-        return gone && sequence() == InstanceRegistry.LEFT_SEQUENCE;
+        return presence == Presence.LEFT;
     }
 
     boolean isUnresponsive(long nowNanos, long expiryNanos) {
-        return !gone && nowNanos - heardNanos >= expiryNanos;
+        return !isRemoved() && nowNanos - heardAtNanos >= expiryNanos;
     }
 
-    boolean isForgettable(long nowNanos, long keepNanos) {
-        return gone && nowNanos - goneNanos >= keepNanos;
+    boolean isForgettable(long nowNanos, long retentionNanos) {
+        return isRemoved() && nowNanos - removedAtNanos >= retentionNanos;
     }
 
-    boolean hasLoadedTooLong(long nowNanos) {
-        return loading && nowNanos - loadingUntilNanos >= 0;
-    }
-
-    long revision() {
-        return revision;
-    }
-
-    void changedAt(long newRevision) {
-        revision = newRevision;
+    boolean isLoadingOverdue(long nowNanos) {
+        return loadingDeadlineNanos.isPresent() && nowNanos - loadingDeadlineNanos.getAsLong() >= 0;
     }
 
     /** The instance as this registry believes it to be. */
-    Instance view() {
-        return withState(state());
+    Instance believed() {
+        return announced.withState(believedState());
     }
 
-    /** What this registry tells others of the instance: a drain or an end also of one that wasn't heard. */
-    Instance statement() {
-        boolean saysNothing = unheard && !gone && !draining;
-        return withState(saysNothing ? InstanceState.UNHEARD : state());
+    /** What this registry states to others: a drain or an end also of an instance that wasn't heard of. */
+    Instance stated() {
+        boolean statesNothing = presence == Presence.UNHEARD && !draining;
+        return announced.withState(statesNothing ? InstanceState.UNHEARD : believedState());
     }
 
-    /** What the instance said of itself and no silence takes back; empty where only silence speaks. */
+    /** What the instance said of itself and no missing heartbeat takes back; empty where only silence speaks. */
     Optional<Instance> selfReported() {
         if (hasLeft()) {
-            return Optional.of(statement());
+            return Optional.of(stated());
         }
         if (draining) {
-            return Optional.of(withState(InstanceState.DRAINING));
+            return Optional.of(announced.withState(InstanceState.DRAINING));
         }
-        return gone || unheard ? Optional.empty() : Optional.of(statement());
+        return presence == Presence.HEARD ? Optional.of(stated()) : Optional.empty();
     }
 
-    private Instance withState(InstanceState state) {
-        return new Instance(
-                announced.id(),
-                announced.service(),
-                announced.address(),
-                announced.zone(),
-                announced.softwareVersion(),
-                announced.capacity(),
-                state,
-                announced.warmupLeftMillis(),
-                announced.models(),
-                announced.sequence());
-    }
-
-    private InstanceState state() {
-        if (gone) {
+    private InstanceState believedState() {
+        if (isRemoved()) {
             return InstanceState.GONE;
         }
         if (draining) {
             return InstanceState.DRAINING;
         }
-        return loading ? InstanceState.LOADING : InstanceState.READY;
-    }
-
-    /** Whether two views tell the same: all but what each heartbeat changes. */
-    static boolean hasSameContent(Instance one, Instance other) {
-        return one.state() == other.state()
-                && one.capacity() == other.capacity()
-                && Objects.equals(one.service(), other.service())
-                && Objects.equals(one.address(), other.address())
-                && Objects.equals(one.zone(), other.zone())
-                && Objects.equals(one.softwareVersion(), other.softwareVersion())
-                && Objects.equals(one.models(), other.models());
+        return loadingDeadlineNanos.isPresent() ? InstanceState.LOADING : InstanceState.READY;
+    }
+
+    private void moveTo(Presence next, long nowNanos) {
+        presence = next;
+        if (isRemoved()) {
+            removedAtNanos = nowNanos;
+        }
+    }
+
+    private Presence removedPresence() {
+        return sequence() == InstanceRegistry.LEFT_SEQUENCE ? Presence.LEFT : Presence.LOST;
     }
 }
--- a/coordination/src/main/java/burlarch/coordination/registry/RegistrySettings.java
+++ b/coordination/src/main/java/burlarch/coordination/registry/RegistrySettings.java
@@ -3,14 +3,14 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Bounds of a registry. Times are nanoseconds.
+ * Times and bounds of an {@link InstanceRegistry}.
  *
- * @param expiryNanos an instance that wasn't heard of for so long counts as gone
- * @param graceNanos nothing expires for so long after the registry itself knew little
- * @param removedRetentionNanos how long an instance that has gone is remembered
- * @param loadingTimeoutNanos a mark of loading ends by itself after so long
- * @param maxInstances how many instances live at most; others are turned away
- * @param maxRemoved how many that have gone are remembered at most
+ * @param expiryNanos an instance without a heartbeat for this long is lost, or unheard during a grace
+ * @param graceNanos how long a grace is
+ * @param removedRetentionNanos how long a removed instance is remembered
+ * @param loadingTimeoutNanos after which the loading state ends by itself
+ * @param maxInstances most instances that are not removed; announcements of further ones are rejected
+ * @param maxRemoved most removed instances that are remembered
  */
 public record RegistrySettings(
         long expiryNanos,
@@ -27,14 +27,14 @@
     private static final int MAX_REMOVED = 1024;
 
     /**
-     * The usual bounds for instances that announce themselves so often. However often that is, expiry stays
-     * long beside a pause between two checks, which would else look like a standstill of the process.
+     * The usual bounds for instances with this heartbeat interval. The expiry has a lower bound, so that it stays long
+     * beside the time between two checks, which would else look like a pause of this process.
      */
     public static RegistrySettings forHeartbeat(long heartbeatNanos) {
-        long expiry = Math.max(MISSED_HEARTBEATS * heartbeatNanos, TimeUnit.SECONDS.toNanos(MIN_EXPIRY_SECONDS));
+        long expiryNanos = Math.max(MISSED_HEARTBEATS * heartbeatNanos, TimeUnit.SECONDS.toNanos(MIN_EXPIRY_SECONDS));
         return new RegistrySettings(
-                expiry,
-                expiry,
+                expiryNanos,
+                expiryNanos,
                 TimeUnit.SECONDS.toNanos(REMOVED_RETENTION_SECONDS),
                 TimeUnit.SECONDS.toNanos(LOADING_TIMEOUT_SECONDS),
                 MAX_INSTANCES,
--- a/router/src/main/java/burlarch/router/control/ControllerLinks.java
+++ b/router/src/main/java/burlarch/router/control/ControllerLinks.java
@@ -160,7 +160,7 @@
         } else if (message instanceof ConfigurationChange change) {
             onConfigurationChange(connection, change);
         } else if (message instanceof InstancesUpdate update) {
-            mergedInstances.onUpdate(connection.peerHello().nodeName(), update.whole(), update.instances());
+            applyInstances(connection.peerHello().nodeName(), update);
             applyInstances();
             connection.send(new InstancesAck(update.revision()));
         } else if (message instanceof FleetUpdate update) {
@@ -172,6 +172,14 @@
         }
     }
 
+    private void applyInstances(String controller, InstancesUpdate update) {
+        if (update.whole()) {
+            mergedInstances.onSnapshot(controller, update.instances());
+        } else {
+            mergedInstances.onChanges(controller, update.instances());
+        }
+    }
+
     /** Every controller sends each change: only the first one has an effect. */
     private void applyInstances() {
         List<Instance> newer = mergedInstances.instances();
--- a/router/src/main/java/burlarch/router/control/RouterCountTracker.java
+++ b/router/src/main/java/burlarch/router/control/RouterCountTracker.java
@@ -25,7 +25,9 @@
     /** @param firstStart whether the complete fleet starts for the first time */
     public RouterCountTracker(BudgetSettings settings, boolean firstStart, long nowNanos) {
         this.settings = settings;
-        estimate = new RouterCountEstimate(settings, firstStart, nowNanos);
+        estimate = firstStart
+                ? RouterCountEstimate.atFirstFleetStart(settings, nowNanos)
+                : RouterCountEstimate.inRunningFleet(settings, nowNanos);
     }
 
     /** Membership has changed. */
