--- a/controller/src/main/java/burlarch/controller/register/AcceptorSetReconciler.java
+++ b/controller/src/main/java/burlarch/controller/register/AcceptorSetReconciler.java
@@ -1,12 +1,12 @@
 package burlarch.controller.register;
 
 import burlarch.controller.peers.ControllerPeers;
+import burlarch.coordination.register.ProposalNumber;
 import burlarch.coordination.register.acceptorset.AcceptorMember;
 import burlarch.coordination.register.acceptorset.AcceptorReachability;
 import burlarch.coordination.register.acceptorset.AcceptorSetChange;
 import burlarch.coordination.register.acceptorset.AcceptorSetPlanner;
 import burlarch.coordination.register.acceptorset.AcceptorSetPlanner.Candidate;
-import burlarch.coordination.register.ProposalNumber;
 import burlarch.transport.EventLoop;
 import java.util.ArrayList;
 import java.util.List;
--- a/controller/src/main/java/burlarch/controller/register/CommittedState.java
+++ b/controller/src/main/java/burlarch/controller/register/CommittedState.java
@@ -2,11 +2,11 @@
 
 import burlarch.controller.state.SystemState;
 import burlarch.controller.state.SystemStateCodec;
-import burlarch.coordination.register.acceptorset.AcceptorMember;
-import burlarch.coordination.register.acceptorset.AcceptorSetChange;
 import burlarch.coordination.register.ProposalNumber;
 import burlarch.coordination.register.RegisterValue;
 import burlarch.coordination.register.RegisterView;
+import burlarch.coordination.register.acceptorset.AcceptorMember;
+import burlarch.coordination.register.acceptorset.AcceptorSetChange;
 import java.util.ArrayList;
 import java.util.List;
 import org.tinylog.Logger;
--- a/controller/src/main/java/burlarch/controller/register/ProposalExecutor.java
+++ b/controller/src/main/java/burlarch/controller/register/ProposalExecutor.java
@@ -1,14 +1,14 @@
 package burlarch.controller.register;
 
 import burlarch.controller.peers.ControllerPeers;
-import burlarch.coordination.register.proposal.Proposal;
 import burlarch.coordination.register.ProposalNumber;
-import burlarch.coordination.register.proposal.ProposalOutput;
-import burlarch.coordination.register.proposal.ProposalResult;
-import burlarch.coordination.register.proposal.RegisterChange;
 import burlarch.coordination.register.RegisterMessage;
 import burlarch.coordination.register.RegisterValue;
 import burlarch.coordination.register.RegisterView;
+import burlarch.coordination.register.proposal.Proposal;
+import burlarch.coordination.register.proposal.ProposalOutput;
+import burlarch.coordination.register.proposal.ProposalResult;
+import burlarch.coordination.register.proposal.RegisterChange;
 import burlarch.transport.EventLoop;
 import burlarch.transport.NodeMessage;
 import burlarch.transport.PeerConnection;
--- a/controller/src/main/java/burlarch/controller/register/RegisterStorage.java
+++ b/controller/src/main/java/burlarch/controller/register/RegisterStorage.java
@@ -2,8 +2,8 @@
 
 import static java.nio.charset.StandardCharsets.UTF_8;
 
-import burlarch.coordination.register.acceptorset.AcceptorMember;
 import burlarch.coordination.register.RegisterView;
+import burlarch.coordination.register.acceptorset.AcceptorMember;
 import burlarch.storage.AcceptorStore;
 import burlarch.storage.Disk;
 import burlarch.storage.SegmentedLog;
--- a/controller/src/main/java/burlarch/controller/register/StoredAcceptorSet.java
+++ b/controller/src/main/java/burlarch/controller/register/StoredAcceptorSet.java
@@ -2,9 +2,9 @@
 
 import static java.nio.charset.StandardCharsets.UTF_8;
 
-import burlarch.coordination.register.acceptorset.AcceptorMember;
 import burlarch.coordination.register.ProposalNumber;
 import burlarch.coordination.register.RegisterView;
+import burlarch.coordination.register.acceptorset.AcceptorMember;
 import burlarch.storage.AcceptorStore;
 import java.io.IOException;
 import java.util.ArrayList;
--- a/controller/src/main/java/burlarch/controller/state/StateChangeProposal.java
+++ b/controller/src/main/java/burlarch/controller/state/StateChangeProposal.java
@@ -5,11 +5,11 @@
 import burlarch.controller.state.ChangeResult.Changed;
 import burlarch.controller.state.ChangeResult.Unchanged;
 import burlarch.controller.state.ChangeResult.UnchangedReason;
+import burlarch.coordination.register.RegisterValue;
 import burlarch.coordination.register.acceptorset.AcceptorMember;
 import burlarch.coordination.register.proposal.ChangeDecision;
 import burlarch.coordination.register.proposal.ProposalResult;
 import burlarch.coordination.register.proposal.RegisterChange;
-import burlarch.coordination.register.RegisterValue;
 import java.util.List;
 import java.util.function.Function;
 
--- a/simulation/src/test/java/burlarch/simulation/coordination/SealingTest.java
+++ b/simulation/src/test/java/burlarch/simulation/coordination/SealingTest.java
@@ -4,10 +4,10 @@
 
 import burlarch.controller.ControllerRuntime;
 import burlarch.controller.register.Proposer;
+import burlarch.coordination.register.RegisterValue;
 import burlarch.coordination.register.proposal.ChangeDecision;
 import burlarch.coordination.register.proposal.ProposalResult;
 import burlarch.coordination.register.proposal.RegisterChange;
-import burlarch.coordination.register.RegisterValue;
 import burlarch.simulation.NodeContext;
 import burlarch.simulation.Simulation;
 import burlarch.transport.EventLoop;
--- a/simulation/src/test/java/burlarch/simulation/disk/ManyChangesTest.java
+++ b/simulation/src/test/java/burlarch/simulation/disk/ManyChangesTest.java
@@ -2,10 +2,10 @@
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-import burlarch.coordination.register.acceptorset.AcceptorMember;
 import burlarch.coordination.register.AcceptorState;
 import burlarch.coordination.register.ProposalNumber;
 import burlarch.coordination.register.RegisterValue;
+import burlarch.coordination.register.acceptorset.AcceptorMember;
 import burlarch.simulation.Simulation;
 import burlarch.storage.AcceptorStore;
 import java.io.IOException;
--- a/transport/src/main/java/burlarch/transport/WireFieldNames.java
+++ b/transport/src/main/java/burlarch/transport/WireFieldNames.java
@@ -1,9 +1,9 @@
 package burlarch.transport;
 
 import burlarch.coordination.register.ProposalNumber;
-import burlarch.coordination.register.acceptorset.AcceptorMember;
 import burlarch.coordination.register.RegisterMessage;
 import burlarch.coordination.register.RegisterValue;
+import burlarch.coordination.register.acceptorset.AcceptorMember;
 import burlarch.coordination.registry.Instance;
 import burlarch.coordination.registry.InstanceState;
 import com.fasterxml.jackson.annotation.JsonProperty;
