--- a/storage/src/main/java/burlarch/storage/AcceptorRecordCodec.java
+++ b/storage/src/main/java/burlarch/storage/AcceptorRecordCodec.java
@@ -21,12 +21,12 @@
  * <pre>
  *   kind              fields
  *   1 SNAPSHOT        identity, state, number of named values, then name and bytes of each
- *   2 PROMISED        ballot; the accepted ballot and value stay as they are
+ *   2 PREPARED        prepared number; the accepted number and value stay as they are
  *   3 ACCEPTED        state
  *   4 NAMED_VALUE     name, bytes
  *
- *   state             promised ballot, accepted ballot, whether there is a value, value
- *   ballot            round (long), proposer
+ *   state             prepared number, accepted number, whether there is a value, value
+ *   number            term (long), proposer
  *   value             number of members, then storage and address of each; payload
  * </pre>
  *
@@ -35,7 +35,7 @@
  */
 final class AcceptorRecordCodec {
     private static final int SNAPSHOT = 1;
-    private static final int PROMISED = 2;
+    private static final int PREPARED = 2;
     private static final int ACCEPTED = 3;
     private static final int NAMED_VALUE = 4;
     /** While a set of acceptors changes, a value names those before and those after. */
@@ -59,15 +59,15 @@
     }
 
     /**
-     * Returns the record that leads from one state to the next. If only the promised ballot changed, the record does
+     * Returns the record that leads from one state to the next. If only the prepared number changed, the record does
      * not repeat the value, which may be large.
      */
     static byte[] encodeChange(AcceptorState from, AcceptorState to) throws IOException {
         ByteArrayOutputStream bytes = new ByteArrayOutputStream();
         DataOutputStream out = new DataOutputStream(bytes);
         if (to.accepted().equals(from.accepted())) {
-            out.writeByte(PROMISED);
-            writeBallot(out, to.prepared());
+            out.writeByte(PREPARED);
+            writeProposalNumber(out, to.prepared());
         } else {
             out.writeByte(ACCEPTED);
             writeState(out, to);
@@ -95,8 +95,8 @@
         int kind = in.readByte();
         switch (kind) {
             case SNAPSHOT -> applySnapshot(in, contents);
-            case PROMISED -> contents.state =
-                    new AcceptorState(readBallot(in), contents.state.accepted(), contents.state.value());
+            case PREPARED -> contents.state =
+                    new AcceptorState(readProposalNumber(in), contents.state.accepted(), contents.state.value());
             case ACCEPTED -> contents.state = readState(in);
             case NAMED_VALUE -> contents.namedValues.put(in.readUTF(), readBytes(in));
             default -> throw new IOException("record of unknown kind " + kind);
@@ -114,8 +114,8 @@
     }
 
     private static void writeState(DataOutputStream out, AcceptorState state) throws IOException {
-        writeBallot(out, state.prepared());
-        writeBallot(out, state.accepted());
+        writeProposalNumber(out, state.prepared());
+        writeProposalNumber(out, state.accepted());
         out.writeBoolean(state.value() != null);
         if (state.value() != null) {
             writeValue(out, state.value());
@@ -123,9 +123,9 @@
     }
 
     private static AcceptorState readState(DataInputStream in) throws IOException {
-        ProposalNumber promised = readBallot(in);
-        ProposalNumber accepted = readBallot(in);
-        return new AcceptorState(promised, accepted, in.readBoolean() ? readValue(in) : null);
+        ProposalNumber prepared = readProposalNumber(in);
+        ProposalNumber accepted = readProposalNumber(in);
+        return new AcceptorState(prepared, accepted, in.readBoolean() ? readValue(in) : null);
     }
 
     private static void writeValue(DataOutputStream out, RegisterValue value) throws IOException {
@@ -149,12 +149,12 @@
         return new RegisterValue(List.copyOf(members), readBytes(in));
     }
 
-    private static void writeBallot(DataOutputStream out, ProposalNumber ballot) throws IOException {
-        out.writeLong(ballot.term());
-        out.writeUTF(ballot.proposer());
+    private static void writeProposalNumber(DataOutputStream out, ProposalNumber proposalNumber) throws IOException {
+        out.writeLong(proposalNumber.term());
+        out.writeUTF(proposalNumber.proposer());
     }
 
-    private static ProposalNumber readBallot(DataInputStream in) throws IOException {
+    private static ProposalNumber readProposalNumber(DataInputStream in) throws IOException {
         return new ProposalNumber(in.readLong(), in.readUTF());
     }
 
--- a/storage/src/main/java/burlarch/storage/AcceptorStore.java
+++ b/storage/src/main/java/burlarch/storage/AcceptorStore.java
@@ -8,8 +8,8 @@
 import java.util.function.Supplier;
 
 /**
- * The durable state of one register acceptor: its identity, the ballot it promised, the value it accepted, and a few
- * named values of the controller beside it.
+ * The durable state of one register acceptor: its identity, the highest proposal number it prepared, the value it
+ * accepted, and a few named values of the controller beside it.
  *
  * <p><b>Durable before acknowledged.</b> {@link #save} and {@link #saveNamedValue} return only after the new state is
  * synced; an acceptor replies to a request only after that. So no reply is ever based on a state that a power failure
--- a/transport/src/main/java/burlarch/transport/FrameCodec.java
+++ b/transport/src/main/java/burlarch/transport/FrameCodec.java
@@ -34,7 +34,7 @@
  *
  * <p><b>Compatibility.</b> Numbers and field names are fixed for good, as nodes of different programs talk with each
  * other during an upgrade. Unknown fields are ignored; absent strings, lists and byte arrays are read as empty; an
- * absent ballot or instance state makes the message invalid.
+ * absent proposal number or instance state makes the message invalid.
  */
 public final class FrameCodec {
     /** Length of the length field. */
--- a/transport/src/main/java/burlarch/transport/MessageOrderValidator.java
+++ b/transport/src/main/java/burlarch/transport/MessageOrderValidator.java
@@ -5,11 +5,12 @@
 /**
  * Rejects messages that cannot follow the ones before them on the same connection.
  *
- * <p><b>Numbers never go back.</b> Versions of the configuration, revisions of the instances and ballots of committed
- * values that one process sends only rise. A message with a lower number was sent earlier, or on another connection: it
- * is late or repeated, and acting on it could bring back an old state.
+ * <p><b>Numbers never go back.</b> Versions of the configuration, revisions of the instances and proposal numbers of
+ * committed values that one process sends only rise. A message with a lower number was sent earlier, or on another
+ * connection: it is late or repeated, and acting on it could bring back an old state.
  *
- * <p>Messages of the register are not checked: each names its ballot and its call, and a repeated one does no harm.
+ * <p>Messages of the register are not checked: each names its proposal number and its call, and a repeated one does
+ * no harm.
  *
  * <p>One validator serves one direction of one connection, on its event loop.
  */
@@ -18,7 +19,7 @@
     private long acknowledgedConfigurationVersion = Long.MIN_VALUE;
     private long instancesRevision = Long.MIN_VALUE;
     private long acknowledgedInstancesRevision = Long.MIN_VALUE;
-    private ProposalNumber committedBallot = ProposalNumber.ZERO;
+    private ProposalNumber committedNumber = ProposalNumber.ZERO;
 
     /**
      * Checks the next message after Hello, and remembers its number.
@@ -41,9 +42,9 @@
             acknowledgedInstancesRevision =
                     requireNotBelow("acknowledged revision", acknowledgedInstancesRevision, ack.revision());
         } else if (message instanceof NodeMessage.Committed committed) {
-            acceptBallot(committed.proposalNumber());
+            acceptProposalNumber(committed.proposalNumber());
         } else if (message instanceof NodeMessage.ControllerStatus status) {
-            acceptBallot(status.decided());
+            acceptProposalNumber(status.decided());
         }
     }
 
@@ -51,11 +52,11 @@
         configurationVersion = requireNotBelow("configuration", configurationVersion, version);
     }
 
-    private void acceptBallot(ProposalNumber next) throws FrameException {
-        if (next.compareTo(committedBallot) < 0) {
-            throw new FrameException("late or repeated: ballot " + next + " after " + committedBallot);
+    private void acceptProposalNumber(ProposalNumber next) throws FrameException {
+        if (next.compareTo(committedNumber) < 0) {
+            throw new FrameException("late or repeated: proposal number " + next + " after " + committedNumber);
         }
-        committedBallot = next;
+        committedNumber = next;
     }
 
     private static long requireNotBelow(String name, long before, long next) throws FrameException {
