--- a/engine-client/src/main/java/burlarch/engine/DelayedExecutor.java
+++ b/engine-client/src/main/java/burlarch/engine/DelayedExecutor.java
@@ -1,6 +1,7 @@
 package burlarch.engine;
 
-/** Runs tasks later, on a thread of its own choice. */
+/** Runs tasks after a delay, on a thread of its choice. */
 public interface DelayedExecutor {
+    /** Runs the task once, after at least that delay. */
     void schedule(Runnable task, long delayMillis);
 }
--- a/engine-client/src/main/java/burlarch/engine/EngineAddress.java
+++ b/engine-client/src/main/java/burlarch/engine/EngineAddress.java
@@ -3,9 +3,9 @@
 import java.net.URI;
 
 /**
- * Where a call goes.
+ * Target of a call.
  *
- * @param instance id of the engine that has to answer, null for a store, which has none
+ * @param instance id of the engine that must respond; null for a store, which has none
  * @param address IP:PORT
  */
 public record EngineAddress(String instance, String address) {
--- a/engine-client/src/main/java/burlarch/engine/EngineClient.java
+++ b/engine-client/src/main/java/burlarch/engine/EngineClient.java
@@ -11,64 +11,64 @@
 import org.eclipse.jetty.client.Request;
 
 /**
- * The calls to engines and stores that aren't requests. Failures are values of the answers: the futures don't
- * fail, and they complete on a thread of the HTTP client.
+ * Sends the calls to engines and stores that are no requests of clients. Failures are values of the results:
+ * the futures do not fail, and they complete on a thread of the HTTP client. May be called on any thread.
  */
 public final class EngineClient implements EngineControlClient {
-    /** The longest wait that a call for events may ask for. */
-    public static final long MAXIMUM_WAIT_MILLIS = 1000;
+    /** The maximum wait that a call for events may ask for. */
+    public static final long MAX_WAIT_MILLIS = 1000;
 
-    private static final long MARGIN_MILLIS = 700;
-    private static final int MAXIMUM_EVENTS_BYTES = 1 << 20;
-    private static final int MAXIMUM_LIST_BYTES = 2 << 20;
-    private static final int MAXIMUM_SMALL_BYTES = 64 << 10;
+    private static final long TIMEOUT_MARGIN_MILLIS = 700;
+    private static final int MAX_EVENTS_BYTES = 1 << 20;
+    private static final int MAX_SNAPSHOT_BYTES = 2 << 20;
+    private static final int MAX_SMALL_BYTES = 64 << 10;
 
     private final HttpClient http;
     private final EngineJsonCodec json = new EngineJsonCodec();
 
-    /** @param http started, shared with the rest of the process */
+    /** @param http started; shared with the rest of the process */
     public EngineClient(HttpClient http) {
         this.http = http;
     }
 
     /**
-     * Events after {@code since}.
+     * Requests the events after {@code since}.
      *
-     * @param waitMillis how long the source may hold the call while there are none, at most
-     *     {@link #MAXIMUM_WAIT_MILLIS}; calls that wait less than 200 ms are priced
+     * @param waitMillis how long the source may hold the call while there are no events, at most
+     *     {@link #MAX_WAIT_MILLIS}; calls that wait less than 200 ms are charged
      */
     public CompletableFuture<KvEventsResponse> kvEvents(EngineAddress target, long since, long waitMillis) {
-        long wait = Math.max(0, Math.min(MAXIMUM_WAIT_MILLIS, waitMillis));
+        long wait = Math.max(0, Math.min(MAX_WAIT_MILLIS, waitMillis));
         Request request = request(target, "/burlarch/kv-events?since=" + since, wait);
         String waitText = Long.toString(wait);
         request.headers(headers -> headers.put("Wait-Ms", waitText));
-        return send(request, new KvCall(json, MAXIMUM_EVENTS_BYTES));
+        return send(request, new KvCall(json, MAX_EVENTS_BYTES));
     }
 
-    /** All that the source keeps. This holds its work up and is priced. */
+    /** Requests a snapshot of everything that the source caches. The call delays its work and is charged. */
     public CompletableFuture<KvEventsResponse> kvList(EngineAddress target) {
-        return send(request(target, "/burlarch/kv-list", MAXIMUM_WAIT_MILLIS), new KvCall(json, MAXIMUM_LIST_BYTES));
+        return send(request(target, "/burlarch/kv-list", MAX_WAIT_MILLIS), new KvCall(json, MAX_SNAPSHOT_BYTES));
     }
 
-    /** The engine's report, empty where it gave none. It is priced as a probe. */
+    /** Requests the engine's report; empty if it gave none. The call is charged as a health check. */
     @Override
     public CompletableFuture<Optional<EngineReport>> report(EngineAddress target) {
         return send(request(target, "/burlarch/report", 0), new ReportCall(json));
     }
 
-    /** Sends an order, once. */
+    /** Sends an order once, without a retry. */
     @Override
     public CompletableFuture<OrderResult> order(EngineAddress target, WeightsOrder order) {
         Request request = request(target, "/burlarch/order", 0)
                 .method("POST")
-                .body(new BytesRequestContent("application/json", json.order(order)));
+                .body(new BytesRequestContent("application/json", json.writeOrder(order)));
         return send(request, new OrderCall());
     }
 
     private Request request(EngineAddress target, String path, long waitMillis) {
         Request request = http.newRequest(target.uri(path))
                 .followRedirects(false)
-                .timeout(waitMillis + MARGIN_MILLIS, TimeUnit.MILLISECONDS);
+                .timeout(waitMillis + TIMEOUT_MARGIN_MILLIS, TimeUnit.MILLISECONDS);
         if (target.instance() != null) {
             request.headers(headers -> headers.put("X-Target-Instance", target.instance()));
         }
@@ -83,25 +83,25 @@
     private static final class KvCall extends EngineResponseListener<KvEventsResponse> {
         private final EngineJsonCodec json;
 
-        KvCall(EngineJsonCodec json, int maximumBytes) {
-            super(maximumBytes);
+        KvCall(EngineJsonCodec json, int maxBytes) {
+            super(maxBytes);
             this.json = json;
         }
 
         @Override
-        KvEventsResponse meaning(int status, byte[] body) {
+        KvEventsResponse interpret(int status, byte[] body) {
             return switch (status) {
-                case 200 -> parsed(body);
+                case 200 -> parse(body);
                 case 421 -> KvEventsResponse.failed(KvEventsResponse.Status.MISDIRECTED);
                 case 429 -> KvEventsResponse.failed(KvEventsResponse.Status.LIMITED);
-                case NONE -> KvEventsResponse.failed(KvEventsResponse.Status.NO_ANSWER);
+                case NO_RESPONSE -> KvEventsResponse.failed(KvEventsResponse.Status.NO_RESPONSE);
                 default -> KvEventsResponse.failed(KvEventsResponse.Status.INVALID);
             };
         }
 
-        private KvEventsResponse parsed(byte[] body) {
+        private KvEventsResponse parse(byte[] body) {
             try {
-                return json.kv(body);
+                return json.readKvEvents(body);
             } catch (IOException e) {
                 return KvEventsResponse.failed(KvEventsResponse.Status.INVALID);
             }
@@ -112,17 +112,17 @@
         private final EngineJsonCodec json;
 
         ReportCall(EngineJsonCodec json) {
-            super(MAXIMUM_SMALL_BYTES);
+            super(MAX_SMALL_BYTES);
             this.json = json;
         }
 
         @Override
-        Optional<EngineReport> meaning(int status, byte[] body) {
+        Optional<EngineReport> interpret(int status, byte[] body) {
             if (status != 200) {
                 return Optional.empty();
             }
             try {
-                return Optional.of(json.report(body));
+                return Optional.of(json.readReport(body));
             } catch (IOException e) {
                 return Optional.empty();
             }
@@ -131,11 +131,11 @@
 
     private static final class OrderCall extends EngineResponseListener<OrderResult> {
         OrderCall() {
-            super(MAXIMUM_SMALL_BYTES);
+            super(MAX_SMALL_BYTES);
         }
 
         @Override
-        OrderResult meaning(int status, byte[] body) {
+        OrderResult interpret(int status, byte[] body) {
             return switch (status) {
                 case 200 -> OrderResult.ALREADY_LOADED;
                 case 202 -> OrderResult.ACCEPTED;
--- a/engine-client/src/main/java/burlarch/engine/EngineControlClient.java
+++ b/engine-client/src/main/java/burlarch/engine/EngineControlClient.java
@@ -5,13 +5,11 @@
 import java.util.Optional;
 import java.util.concurrent.CompletableFuture;
 
-/**
- * The calls that bring engines to other weights. Failures are values of the answers: the futures don't fail.
- */
+/** The calls of a rollout of weights. Failures are values of the results: the futures do not fail. */
 public interface EngineControlClient {
-    /** The engine's report, empty where it gave none. */
+    /** Requests the engine's report; empty if it gave none. */
     CompletableFuture<Optional<EngineReport>> report(EngineAddress target);
 
-    /** Sends an order, once. */
+    /** Sends an order once, without a retry. */
     CompletableFuture<OrderResult> order(EngineAddress target, WeightsOrder order);
 }
--- a/engine-client/src/main/java/burlarch/engine/EngineHttpClientFactory.java
+++ b/engine-client/src/main/java/burlarch/engine/EngineHttpClientFactory.java
@@ -8,15 +8,18 @@
 import org.eclipse.jetty.util.ssl.SslContextFactory;
 import org.eclipse.jetty.util.thread.Scheduler;
 
-/** Makes the HTTP client for calls to engines beside requests, from parts that the process has already. */
+/**
+ * Creates the HTTP client for calls to engines that are no requests of clients, from threads and buffers that
+ * the process has already.
+ */
 public final class EngineHttpClientFactory {
-    private static final long CONNECT_MILLIS = 800;
-    private static final long IDLE_MILLIS = 5_000;
-    private static final int CONNECTIONS_PER_ENGINE = 2;
+    private static final long CONNECT_TIMEOUT_MILLIS = 800;
+    private static final long IDLE_TIMEOUT_MILLIS = 5_000;
+    private static final int MAX_CONNECTIONS_PER_ENGINE = 2;
 
     private EngineHttpClientFactory() {}
 
-    /** A started client. */
+    /** Creates and starts a client; the caller stops it. */
     public static HttpClient start(Executor executor, Scheduler scheduler, ByteBufferPool buffers) throws Exception {
         ClientConnector connector = new PlainConnector();
         connector.setSelectors(1);
@@ -27,9 +30,9 @@
         client.setExecutor(executor);
         client.setScheduler(scheduler);
         client.setByteBufferPool(buffers);
-        client.setConnectTimeout(CONNECT_MILLIS);
-        client.setIdleTimeout(IDLE_MILLIS);
-        client.setMaxConnectionsPerDestination(CONNECTIONS_PER_ENGINE);
+        client.setConnectTimeout(CONNECT_TIMEOUT_MILLIS);
+        client.setIdleTimeout(IDLE_TIMEOUT_MILLIS);
+        client.setMaxConnectionsPerDestination(MAX_CONNECTIONS_PER_ENGINE);
         client.setFollowRedirects(false);
         client.setUserAgentField(null);
         client.start();
@@ -37,7 +40,7 @@
         return client;
     }
 
-    /** Engines are called without TLS: its providers and the system's certificates need not load. */
+    /** Engines are called without TLS, so neither its providers nor the certificates of the system are loaded. */
     private static final class PlainConnector extends ClientConnector {
         @Override
         protected SslContextFactory.Client newSslContextFactory() {
--- a/engine-client/src/main/java/burlarch/engine/EngineJsonCodec.java
+++ b/engine-client/src/main/java/burlarch/engine/EngineJsonCodec.java
@@ -13,105 +13,116 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** Reads and writes the bodies of the engines' own calls, token by token. */
+/**
+ * Reads and writes the JSON bodies of the engines' own calls, token by token. May be used on any thread.
+ */
 final class EngineJsonCodec {
     private static final int HEX_DIGITS = 16;
 
     private final JsonFactory factory = new JsonFactory();
     private final StringInterner strings = new StringInterner();
 
-    /** The body of an answer to a call for events or for the list. */
-    KvEventsResponse kv(byte[] body) throws IOException {
+    /** Reads the body of a response to a call for events or for a snapshot. */
+    KvEventsResponse readKvEvents(byte[] body) throws IOException {
         long epoch = 0;
         long next = 0;
         boolean lost = false;
-        boolean whole = false;
+        boolean epochRead = false;
         List<KvEvent> events = List.of();
         try (JsonParser parser = factory.createParser(body)) {
-            want(parser, parser.nextToken(), JsonToken.START_OBJECT);
+            expect(parser, parser.nextToken(), JsonToken.START_OBJECT);
             while (parser.nextToken() == JsonToken.FIELD_NAME) {
                 String name = parser.currentName();
                 parser.nextToken();
                 switch (name) {
                     case "epoch" -> {
                         epoch = parser.getLongValue();
-                        whole = true;
+                        epochRead = true;
                     }
                     case "next_page_token" -> next = parser.getLongValue();
                     case "lost" -> lost = parser.getBooleanValue();
-                    case "events" -> events = items(parser, true);
-                    case "held" -> events = items(parser, false);
+                    case "events" -> events = readNumberedEvents(parser);
+                    case "held" -> events = readSnapshotEntries(parser);
                     default -> parser.skipChildren();
                 }
             }
-            want(parser, parser.currentToken(), JsonToken.END_OBJECT);
-            if (!whole) {
+            expect(parser, parser.currentToken(), JsonToken.END_OBJECT);
+            if (!epochRead) {
                 throw new JsonParseException(parser, "no epoch");
             }
         }
         return new KvEventsResponse(KvEventsResponse.Status.OK, epoch, next, lost, events);
     }
 
-    private List<KvEvent> items(JsonParser parser, boolean numbered) throws IOException {
-        want(parser, parser.currentToken(), JsonToken.START_ARRAY);
+    /** Entries of the form [number, "+" or "-", salt, part, tokens, model, ...]. */
+    private List<KvEvent> readNumberedEvents(JsonParser parser) throws IOException {
+        expect(parser, parser.currentToken(), JsonToken.START_ARRAY);
         List<KvEvent> events = new ArrayList<>();
         while (parser.nextToken() == JsonToken.START_ARRAY) {
-            events.add(item(parser, numbered));
+            expect(parser, parser.nextToken(), JsonToken.VALUE_NUMBER_INT);
+            expect(parser, parser.nextToken(), JsonToken.VALUE_STRING);
+            boolean added = parser.getTextLength() == 1 && parser.getTextCharacters()[parser.getTextOffset()] == '+';
+            events.add(readRestOfEntry(parser, added));
         }
-        want(parser, parser.currentToken(), JsonToken.END_ARRAY);
+        expect(parser, parser.currentToken(), JsonToken.END_ARRAY);
         return events;
     }
 
-    private KvEvent item(JsonParser parser, boolean numbered) throws IOException {
-        boolean added = true;
-        if (numbered) {
-            want(parser, parser.nextToken(), JsonToken.VALUE_NUMBER_INT);
-            want(parser, parser.nextToken(), JsonToken.VALUE_STRING);
-            added = parser.getTextLength() == 1 && parser.getTextCharacters()[parser.getTextOffset()] == '+';
+    /** Entries of the form [salt, part, tokens, model, ...]. */
+    private List<KvEvent> readSnapshotEntries(JsonParser parser) throws IOException {
+        expect(parser, parser.currentToken(), JsonToken.START_ARRAY);
+        List<KvEvent> entries = new ArrayList<>();
+        while (parser.nextToken() == JsonToken.START_ARRAY) {
+            entries.add(readRestOfEntry(parser, true));
         }
-        String salt = text(parser);
-        want(parser, parser.nextToken(), JsonToken.VALUE_STRING);
-        long part = hex(parser);
-        want(parser, parser.nextToken(), JsonToken.VALUE_NUMBER_INT);
+        expect(parser, parser.currentToken(), JsonToken.END_ARRAY);
+        return entries;
+    }
+
+    private KvEvent readRestOfEntry(JsonParser parser, boolean added) throws IOException {
+        String salt = readText(parser);
+        expect(parser, parser.nextToken(), JsonToken.VALUE_STRING);
+        long part = readHex(parser);
+        expect(parser, parser.nextToken(), JsonToken.VALUE_NUMBER_INT);
         int tokens = parser.getIntValue();
-        String model = text(parser);
+        String model = readText(parser);
         while (parser.nextToken() != JsonToken.END_ARRAY) {
             if (parser.currentToken() == null) {
-                throw new JsonParseException(parser, "cut off");
+                throw new JsonParseException(parser, "truncated");
             }
             parser.skipChildren();
         }
         return new KvEvent(added, salt, part, tokens, model);
     }
 
-    private String text(JsonParser parser) throws IOException {
+    private String readText(JsonParser parser) throws IOException {
         if (parser.nextToken() == JsonToken.VALUE_NULL) {
             return "";
         }
-        want(parser, parser.currentToken(), JsonToken.VALUE_STRING);
-        return strings.of(parser.getTextCharacters(), parser.getTextOffset(), parser.getTextLength());
+        expect(parser, parser.currentToken(), JsonToken.VALUE_STRING);
+        return strings.intern(parser.getTextCharacters(), parser.getTextOffset(), parser.getTextLength());
     }
 
-    private static long hex(JsonParser parser) throws IOException {
+    private static long readHex(JsonParser parser) throws IOException {
         int length = parser.getTextLength();
         int offset = parser.getTextOffset();
         char[] characters = parser.getTextCharacters();
         if (length == 0 || length > HEX_DIGITS) {
-            throw new JsonParseException(parser, "no id of a part");
+            throw new JsonParseException(parser, "part id expected");
         }
         long value = 0;
         for (int i = offset; i < offset + length; i++) {
             int digit = Character.digit(characters[i], HEX_DIGITS);
             if (digit < 0) {
-                throw new JsonParseException(parser, "no id of a part");
+                throw new JsonParseException(parser, "part id expected");
             }
             value = value << 4 | digit;
         }
         return value;
     }
 
-    /** The body of a report. */
-    EngineReport report(byte[] body) throws IOException {
+    /** Reads the body of a report. */
+    EngineReport readReport(byte[] body) throws IOException {
         List<ServedModel> models = List.of();
         boolean busy = false;
         long sequence = 0;
@@ -120,12 +131,12 @@
         long kvUsed = 0;
         long kvTotal = 0;
         try (JsonParser parser = factory.createParser(body)) {
-            want(parser, parser.nextToken(), JsonToken.START_OBJECT);
+            expect(parser, parser.nextToken(), JsonToken.START_OBJECT);
             while (parser.nextToken() == JsonToken.FIELD_NAME) {
                 String name = parser.currentName();
                 parser.nextToken();
                 switch (name) {
-                    case "models" -> models = models(parser);
+                    case "models" -> models = readModels(parser);
                     case "busy" -> busy = parser.getBooleanValue();
                     case "sequence" -> sequence = parser.getLongValue();
                     case "queued" -> queued = parser.getIntValue();
@@ -135,40 +146,40 @@
                     default -> parser.skipChildren();
                 }
             }
-            want(parser, parser.currentToken(), JsonToken.END_OBJECT);
+            expect(parser, parser.currentToken(), JsonToken.END_OBJECT);
         }
         return new EngineReport(models, busy, sequence, queued, running, kvUsed, kvTotal);
     }
 
-    private List<ServedModel> models(JsonParser parser) throws IOException {
-        want(parser, parser.currentToken(), JsonToken.START_ARRAY);
+    private List<ServedModel> readModels(JsonParser parser) throws IOException {
+        expect(parser, parser.currentToken(), JsonToken.START_ARRAY);
         List<ServedModel> models = new ArrayList<>();
         while (parser.nextToken() == JsonToken.START_OBJECT) {
-            models.add(model(parser));
+            models.add(readModel(parser));
         }
-        want(parser, parser.currentToken(), JsonToken.END_ARRAY);
+        expect(parser, parser.currentToken(), JsonToken.END_ARRAY);
         return models;
     }
 
-    private ServedModel model(JsonParser parser) throws IOException {
+    private ServedModel readModel(JsonParser parser) throws IOException {
         String model = "";
         long version = 0;
         while (parser.nextToken() == JsonToken.FIELD_NAME) {
             String name = parser.currentName();
             if (name.equals("name")) {
-                model = text(parser);
+                model = readText(parser);
             } else if (parser.nextToken() != null && name.equals("config_version")) {
                 version = parser.getLongValue();
             } else {
                 parser.skipChildren();
             }
         }
-        want(parser, parser.currentToken(), JsonToken.END_OBJECT);
+        expect(parser, parser.currentToken(), JsonToken.END_OBJECT);
         return new ServedModel(model, version);
     }
 
     /** The body of an order. */
-    byte[] order(WeightsOrder order) {
+    byte[] writeOrder(WeightsOrder order) {
         ByteArrayOutputStream out = new ByteArrayOutputStream(256);
         try (JsonGenerator json = factory.createGenerator(out)) {
             json.writeStartObject();
@@ -188,9 +199,9 @@
         return out.toByteArray();
     }
 
-    private static void want(JsonParser parser, JsonToken found, JsonToken wanted) throws IOException {
-        if (found != wanted) {
-            throw new JsonParseException(parser, "not as agreed");
+    private static void expect(JsonParser parser, JsonToken found, JsonToken expected) throws IOException {
+        if (found != expected) {
+            throw new JsonParseException(parser, "unexpected token");
         }
     }
 }
--- a/engine-client/src/main/java/burlarch/engine/EngineResponseListener.java
+++ b/engine-client/src/main/java/burlarch/engine/EngineResponseListener.java
@@ -5,31 +5,31 @@
 import org.eclipse.jetty.client.Response;
 import org.eclipse.jetty.client.Result;
 
-/** Collects the answer to one call, within a bound, and completes the call's future with what it means. */
+/** Collects the response to one call, up to a limit, and completes the call's future with its meaning. */
 abstract class EngineResponseListener<T> extends BufferingResponseListener {
-    /** The status where no whole answer came. */
-    static final int NONE = 0;
-    /** The status where the answer was larger than the bound. */
+    /** The status if no complete response was received. */
+    static final int NO_RESPONSE = 0;
+    /** The status if the response exceeds the limit. */
     static final int TOO_LARGE = -1;
 
     private static final byte[] EMPTY = {};
 
     private final CompletableFuture<T> future = new CompletableFuture<>();
 
-    EngineResponseListener(int maximumBytes) {
-        super(maximumBytes);
+    EngineResponseListener(int maxBytes) {
+        super(maxBytes);
     }
 
     CompletableFuture<T> future() {
         return future;
     }
 
-    /** These calls carry no request id: an answer with one is a late surplus to a request before. */
+    /** These calls carry no request id: a response with one belongs to an earlier request. */
     @Override
     public void onHeaders(Response response) {
         String id = response.getHeaders().get("X-Request-Id");
         if (id != null && !id.isEmpty()) {
-            response.abort(new IllegalStateException("answer to another request"));
+            response.abort(new IllegalStateException("response to another request"));
             return;
         }
         super.onHeaders(response);
@@ -37,12 +37,12 @@
 
     @Override
     public void onComplete(Result result) {
-        boolean whole = result.getResponseFailure() == null && result.getResponse() != null;
-        int status = whole ? result.getResponse().getStatus() : failure(result.getResponseFailure());
-        byte[] body = whole ? getContent() : EMPTY;
+        boolean complete = result.getResponseFailure() == null && result.getResponse() != null;
+        int status = complete ? result.getResponse().getStatus() : failureStatus(result.getResponseFailure());
+        byte[] body = complete ? getContent() : EMPTY;
         T meaning;
         try {
-            meaning = meaning(status, body == null ? EMPTY : body);
+            meaning = interpret(status, body == null ? EMPTY : body);
         } catch (Exception e) {
             future.completeExceptionally(e);
             return;
@@ -50,10 +50,10 @@
         future.complete(meaning);
     }
 
-    private static int failure(Throwable cause) {
-        return cause instanceof IllegalArgumentException ? TOO_LARGE : NONE;
+    private static int failureStatus(Throwable cause) {
+        return cause instanceof IllegalArgumentException ? TOO_LARGE : NO_RESPONSE;
     }
 
-    /** What the answer says; {@link #NONE} or {@link #TOO_LARGE} where none could be read. */
-    abstract T meaning(int status, byte[] body);
+    /** The meaning of a response; the status is {@link #NO_RESPONSE} or {@link #TOO_LARGE} if there is none. */
+    abstract T interpret(int status, byte[] body);
 }
--- a/engine-client/src/main/java/burlarch/engine/KvEventCompactor.java
+++ b/engine-client/src/main/java/burlarch/engine/KvEventCompactor.java
@@ -8,25 +8,25 @@
 import java.util.Set;
 
 /**
- * Of events that came together those that still tell something. Each event names how many tokens of a part
- * are kept from then on, so that of several of one part the last alone counts: a part that is read or dropped
- * in pieces makes an event for each piece.
+ * Removes the events of one response that a later event of it supersedes. Each event states how many tokens of
+ * a part are cached from then on, so only the last event of each part counts. A part that is read or evicted in
+ * pieces causes an event for each piece.
  */
 final class KvEventCompactor {
-    private record Part(String salt, long id) {}
+    private record SegmentKey(String salt, long id) {}
 
     private KvEventCompactor() {}
 
-    /** The last event of each part, in their order. */
-    static List<KvEvent> of(List<KvEvent> events) {
+    /** The last event of each part, in the order of the events. */
+    static List<KvEvent> compact(List<KvEvent> events) {
         if (events.size() < 2) {
             return events;
         }
-        Set<Part> told = new HashSet<>(2 * events.size());
+        Set<SegmentKey> seen = new HashSet<>(2 * events.size());
         List<KvEvent> latest = new ArrayList<>(events.size());
         for (int i = events.size() - 1; i >= 0; i--) {
             KvEvent event = events.get(i);
-            if (told.add(new Part(event.salt(), event.segment()))) {
+            if (seen.add(new SegmentKey(event.salt(), event.segment()))) {
                 latest.add(event);
             }
         }
--- a/engine-client/src/main/java/burlarch/engine/KvEventSubscriber.java
+++ b/engine-client/src/main/java/burlarch/engine/KvEventSubscriber.java
@@ -14,19 +14,21 @@
 import java.util.function.LongSupplier;
 
 /**
- * Follows the events of a changing set of engines and stores, with one call under way for each of them.
- * Which process follows which source is decided elsewhere.
+ * Subscribes to the prefix-cache events of a changing set of engines and stores by long polling, with one call
+ * in flight for each of them. Which process reads which source is decided elsewhere. Its methods may be called
+ * on any thread; the set of subscriptions is guarded by this.
  */
 public final class KvEventSubscriber implements AutoCloseable {
     /** How long a source may hold a call; longer waits cost nothing more. */
     public static final long WAIT_MILLIS = 900;
 
     private final EngineClient client;
-    private final KvUpdateListener reader;
+    private final KvUpdateListener listener;
     private final DelayedExecutor delays;
     private final LongSupplier clock;
     private final DoubleSupplier random;
-    private final Map<String, Following> followed = new HashMap<>();
+    /** By name of the source. */
+    private final Map<String, Subscription> subscriptions = new HashMap<>();
 
     /**
      * An engine or a store.
@@ -38,56 +40,58 @@
     public record Source(String name, String address, boolean store) {}
 
     /**
-     * @param reader is called on threads of the client's
+     * A subscriber without sources.
+     *
+     * @param listener is called on threads of the client
      * @param clock nanoseconds of a monotonic clock
      * @param random numbers from 0 (inclusive) to 1 (exclusive)
      */
     public KvEventSubscriber(
             EngineClient client,
-            KvUpdateListener reader,
+            KvUpdateListener listener,
             DelayedExecutor delays,
             LongSupplier clock,
             DoubleSupplier random) {
         this.client = client;
-        this.reader = reader;
+        this.listener = listener;
         this.delays = delays;
         this.clock = clock;
         this.random = random;
     }
 
-    /** The whole set of sources from now on, new ones from their oldest event. */
+    /** Replaces the set of sources; new ones are read from their oldest event. */
     public void subscribe(Collection<Source> sources) {
         subscribe(sources, source -> null);
     }
 
     /**
-     * The whole set of sources from now on; those that stay are not disturbed.
+     * Replaces the set of sources; those that stay are not interrupted.
      *
-     * @param positions how far a source's events are known by its name, or null where they are not
+     * @param offsets up to which offset the source of that name is known; null if it is unknown
      */
-    public synchronized void subscribe(Collection<Source> sources, Function<String, KvOffset> positions) {
-        Set<Source> wanted = new HashSet<>(sources);
-        for (Iterator<Following> all = followed.values().iterator(); all.hasNext(); ) {
-            Following following = all.next();
-            if (!wanted.remove(following.source)) {
-                following.stopped = true;
+    public synchronized void subscribe(Collection<Source> sources, Function<String, KvOffset> offsets) {
+        Set<Source> added = new HashSet<>(sources);
+        for (Iterator<Subscription> all = subscriptions.values().iterator(); all.hasNext(); ) {
+            Subscription subscription = all.next();
+            if (!added.remove(subscription.source)) {
+                subscription.stopped = true;
                 all.remove();
             }
         }
-        for (Source source : wanted) {
-            Following following = new Following(source, positions.apply(source.name()));
-            Following replaced = followed.put(source.name(), following);
+        for (Source source : added) {
+            Subscription subscription = new Subscription(source, offsets.apply(source.name()));
+            Subscription replaced = subscriptions.put(source.name(), subscription);
             if (replaced != null) {
                 replaced.stopped = true;
             }
-            delays.schedule(following, 0);
+            delays.schedule(subscription, 0);
         }
     }
 
-    /** Asks each source that is followed for its list soon, because others may lack what it told before. */
+    /** Requests a snapshot of each source soon, because others may have missed its earlier updates. */
     public synchronized void requestSnapshotsSoon() {
-        for (Following following : followed.values()) {
-            following.listAsked = true;
+        for (Subscription subscription : subscriptions.values()) {
+            subscription.snapshotRequested = true;
         }
     }
 
@@ -96,65 +100,72 @@
         subscribe(Set.of());
     }
 
-    /** One source: each step begins once the one before is over, so only the flags are shared. */
-    private final class Following implements Runnable, BiConsumer<KvEventsResponse, Throwable> {
+    /** One source. Each step begins after the one before has ended, so only the two flags are shared. */
+    private final class Subscription implements Runnable, BiConsumer<KvEventsResponse, Throwable> {
         private final Source source;
         private final EngineAddress address;
-        private final KvSubscriptionState progress;
+        private final KvSubscriptionState state;
         private volatile boolean stopped;
-        private volatile boolean listAsked;
-        private long started;
-        private boolean listing;
+        private volatile boolean snapshotRequested;
+        private long startedNanos;
+        private boolean callIsForSnapshot;
 
-        Following(Source source, KvOffset known) {
+        Subscription(Source source, KvOffset offset) {
             this.source = source;
             this.address = new EngineAddress(source.store() ? null : source.name(), source.address());
-            this.progress = new KvSubscriptionState(source.name(), random, clock.getAsLong());
-            if (known != null) {
-                progress.goOnFrom(known);
+            this.state = new KvSubscriptionState(source.name(), random, clock.getAsLong());
+            if (offset != null) {
+                state.continueFrom(offset);
             }
         }
 
+        /** Starts the next call. */
         @Override
         public void run() {
             if (stopped) {
                 return;
             }
-            started = clock.getAsLong();
-            if (listAsked) {
-                listAsked = false;
-                progress.wantList(started);
+            startedNanos = clock.getAsLong();
+            if (snapshotRequested) {
+                snapshotRequested = false;
+                state.requestSnapshot(startedNanos);
             }
-            listing = progress.listDue(started);
-            CompletableFuture<KvEventsResponse> call;
+            callIsForSnapshot = state.isSnapshotDue(startedNanos);
+            startCall().whenComplete(this);
+        }
+
+        private CompletableFuture<KvEventsResponse> startCall() {
             try {
-                call = listing ? client.kvList(address) : client.kvEvents(address, progress.since(), WAIT_MILLIS);
+                return callIsForSnapshot
+                        ? client.kvList(address)
+                        : client.kvEvents(address, state.since(), WAIT_MILLIS);
             } catch (RuntimeException e) {
-                call = CompletableFuture.failedFuture(e);
+                return CompletableFuture.failedFuture(e);
             }
-            call.whenComplete(this);
         }
 
+        /** A call has ended: delivers its update and schedules the next call. */
         @Override
-        public void accept(KvEventsResponse answer, Throwable failure) {
+        public void accept(KvEventsResponse response, Throwable failure) {
             if (stopped) {
                 return;
             }
-            long now = clock.getAsLong();
-            KvEventsResponse known = answer != null ? answer : KvEventsResponse.failed(KvEventsResponse.Status.INVALID);
+            long nowNanos = clock.getAsLong();
+            KvEventsResponse known =
+                    response != null ? response : KvEventsResponse.failed(KvEventsResponse.Status.INVALID);
             try {
-                handOn(known, now);
+                deliver(known, nowNanos);
             } finally {
-                long pause = Math.max(0, progress.pauseNanos(now));
-                delays.schedule(this, TimeUnit.NANOSECONDS.toMillis(pause));
+                long delayNanos = Math.max(0, state.delayNanos(nowNanos));
+                delays.schedule(this, TimeUnit.NANOSECONDS.toMillis(delayNanos));
             }
         }
 
-        private void handOn(KvEventsResponse answer, long now) {
-            KvUpdate news = listing ? progress.onListed(answer, now) : progress.onPolled(answer, started, now);
-            if (news != null) {
-                reader.onUpdate(news);
-            }
+        private void deliver(KvEventsResponse response, long nowNanos) {
+            (callIsForSnapshot
+                            ? state.onSnapshot(response, nowNanos)
+                            : state.onEvents(response, startedNanos, nowNanos))
+                    .ifPresent(listener::onUpdate);
         }
     }
 }
--- a/engine-client/src/main/java/burlarch/engine/KvEventsResponse.java
+++ b/engine-client/src/main/java/burlarch/engine/KvEventsResponse.java
@@ -4,25 +4,26 @@
 import java.util.List;
 
 /**
- * The answer to a call for events or for the list of kept parts.
+ * The response to a call for prefix-cache events or for a snapshot.
  *
  * @param next the {@code since} of the next call
  * @param lost whether events before these are missing
- * @param events what happened, or for a list what is kept; all empty unless the status is OK
+ * @param events the events, or for a snapshot what is cached; all fields are empty unless the status is OK
  */
 public record KvEventsResponse(Status status, long epoch, long next, boolean lost, List<KvEvent> events) {
 
     /** How the call ended. */
     public enum Status {
+        /** A valid response was received. */
         OK,
-        /** 429: too many such calls are held there. */
+        /** 429: the source holds too many such calls. */
         LIMITED,
         /** 421: another instance has that address. */
         MISDIRECTED,
-        /** An answer that can't be used: another status, not the JSON wanted, or larger than the bound. */
+        /** The response is unusable: another status, not the expected JSON, or larger than the limit. */
         INVALID,
-        /** None in time, or the connection failed. */
-        NO_ANSWER
+        /** No response in time, or the connection failed. */
+        NO_RESPONSE
     }
 
     static KvEventsResponse failed(Status status) {
--- a/engine-client/src/main/java/burlarch/engine/KvSubscriptionState.java
+++ b/engine-client/src/main/java/burlarch/engine/KvSubscriptionState.java
@@ -2,149 +2,161 @@
 
 import burlarch.routing.KvEvents;
 import java.util.List;
+import java.util.Optional;
 import java.util.concurrent.TimeUnit;
 import java.util.function.DoubleSupplier;
 
 /**
- * How far the events of one source are known, and what is to be asked next and when. No I/O, no clock, not
- * thread-safe; times are nanoseconds of one monotonic clock.
+ * State of the subscription to one source: up to which offset its events are known, and what is to be
+ * requested next and when. No I/O, no clock, not thread-safe; times are nanoseconds of one monotonic clock.
+ *
+ * <p>A response in a new epoch restarts the subscription at offset 0. Missing events, an unusable response or
+ * the request of a caller make a snapshot due; a snapshot is requested at most once in about
+ * {@link #SNAPSHOT_INTERVAL_NANOS}. Failures are retried with an exponential backoff with jitter.
  */
 final class KvSubscriptionState {
-    /** Events gather for this long between calls, or a busy source would answer each of them with one. */
-    static final long MINIMUM_INTERVAL = TimeUnit.MILLISECONDS.toNanos(250);
-
-    private static final long SHORTEST_PAUSE = TimeUnit.MILLISECONDS.toNanos(300);
-    private static final long LONGEST_PAUSE = TimeUnit.SECONDS.toNanos(3);
-    private static final long LIMITED_PAUSE = TimeUnit.SECONDS.toNanos(1);
-    private static final long LIST_INTERVAL = TimeUnit.SECONDS.toNanos(10);
-    private static final long LIST_SPREAD = TimeUnit.MILLISECONDS.toNanos(500);
+    /** Events gather for this long between calls; otherwise a busy source would respond to each single one. */
+    static final long MIN_CALL_INTERVAL_NANOS = TimeUnit.MILLISECONDS.toNanos(250);
+
+    private static final long MIN_BACKOFF_NANOS = TimeUnit.MILLISECONDS.toNanos(300);
+    private static final long MAX_BACKOFF_NANOS = TimeUnit.SECONDS.toNanos(3);
+    private static final long LIMITED_BACKOFF_NANOS = TimeUnit.SECONDS.toNanos(1);
+    private static final long SNAPSHOT_INTERVAL_NANOS = TimeUnit.SECONDS.toNanos(10);
+    private static final long SNAPSHOT_SPREAD_NANOS = TimeUnit.MILLISECONDS.toNanos(500);
     private static final double JITTER = 0.5;
-    private static final int MOST_DOUBLINGS = 4;
+    private static final int MAX_DOUBLINGS = 4;
 
     private final String source;
     private final DoubleSupplier random;
-    private boolean met;
+    /** Whether {@code epoch} and {@code since} come from the source or from another reader. */
+    private boolean epochKnown;
+
     private long epoch;
+    /** The offset of the next call for events. */
     private long since;
-    /** The {@code since} that goes with what was handed on last. */
-    private long handedOn;
+    /** The offset after the update that was delivered last. */
+    private long delivered;
 
-    private long notBefore;
+    private long nextCallNanos;
     private int failures;
-    private boolean listWanted;
-    private boolean listed;
-    private long listNotBefore;
+    private boolean snapshotRequested;
+    private boolean snapshotTaken;
+    /** No snapshot is requested before this time. */
+    private long nextSnapshotNanos;
 
     /** @param random numbers from 0 (inclusive) to 1 (exclusive) */
-    KvSubscriptionState(String source, DoubleSupplier random, long now) {
+    KvSubscriptionState(String source, DoubleSupplier random, long nowNanos) {
         this.source = source;
         this.random = random;
-        this.notBefore = now;
+        this.nextCallNanos = nowNanos;
     }
 
-    /** Goes on from where others have read it, rather than from the oldest event that is left. */
-    void goOnFrom(KvOffset position) {
-        met = true;
-        epoch = position.epoch();
-        since = position.next();
-        handedOn = since;
+    /** Continues after what others have read, rather than from the oldest event of the source. */
+    void continueFrom(KvOffset offset) {
+        epochKnown = true;
+        epoch = offset.epoch();
+        since = offset.next();
+        delivered = since;
     }
 
-    /** The {@code since} of the next call for events. */
+    /** The offset of the next call for events. */
     long since() {
         return since;
     }
 
-    /** How long nothing is to be asked, 0 or less where it is time. */
-    long pauseNanos(long now) {
-        return notBefore - now;
+    /** How long to wait until the next call; 0 or less if it is due. */
+    long delayNanos(long nowNanos) {
+        return nextCallNanos - nowNanos;
     }
 
-    /** Whether the list is to be asked for next, not events. */
-    boolean listDue(long now) {
-        return listWanted && now - listNotBefore >= 0;
+    /** Whether the next call is for a snapshot rather than for events. */
+    boolean isSnapshotDue(long nowNanos) {
+        return snapshotRequested && nowNanos - nextSnapshotNanos >= 0;
     }
 
-    /** An answer to a call for events that began at {@code started}: what is to be handed on, or null. */
-    KvUpdate onPolled(KvEventsResponse answer, long started, long now) {
-        if (answer.status() != KvEventsResponse.Status.OK) {
-            onFailure(answer.status(), now);
-            return null;
+    /** A call for events that began at {@code startedNanos} has ended. Returns the update to deliver, if any. */
+    Optional<KvUpdate> onEvents(KvEventsResponse response, long startedNanos, long nowNanos) {
+        if (response.status() != KvEventsResponse.Status.OK) {
+            onFailure(response.status(), nowNanos);
+            return Optional.empty();
         }
         failures = 0;
-        notBefore = started + MINIMUM_INTERVAL;
-        boolean sameEpoch = met && answer.epoch() == epoch;
-        boolean fromStart = since == 0;
-        boolean changed = !sameEpoch;
-        met = true;
-        epoch = answer.epoch();
-        if (changed && !fromStart) {
-            since = 0;
-            listWanted = false;
-            notBefore = now;
-            handedOn = 0;
-            return new KvUpdate(new KvEvents(source, epoch, false, List.of()), false, 0, 0);
+        nextCallNanos = startedNanos + MIN_CALL_INTERVAL_NANOS;
+        boolean newEpoch = !epochKnown || response.epoch() != epoch;
+        boolean fromOldest = since == 0;
+        epochKnown = true;
+        epoch = response.epoch();
+        if (newEpoch && !fromOldest) {
+            return Optional.of(restart(nowNanos));
         }
-        since = answer.next();
-        if (answer.lost()) {
-            wantList(now);
+        since = response.next();
+        if (response.lost()) {
+            requestSnapshot(nowNanos);
         }
-        boolean news = changed || answer.lost() || !answer.events().isEmpty();
-        if (!news) {
-            return null;
+        if (!newEpoch && !response.lost() && response.events().isEmpty()) {
+            return Optional.empty();
         }
-        long from = handedOn;
-        handedOn = since;
-        KvEvents told = new KvEvents(source, epoch, answer.lost(), KvEventCompactor.of(answer.events()));
-        return new KvUpdate(told, false, from, since);
+        long from = delivered;
+        delivered = since;
+        KvEvents events = new KvEvents(source, epoch, response.lost(), KvEventCompactor.compact(response.events()));
+        return Optional.of(new KvUpdate(events, false, from, since));
+    }
+
+    /** The source has a new epoch, and the call did not ask for its oldest events: read them at once. */
+    private KvUpdate restart(long nowNanos) {
+        since = 0;
+        snapshotRequested = false;
+        nextCallNanos = nowNanos;
+        delivered = 0;
+        return new KvUpdate(new KvEvents(source, epoch, false, List.of()), false, 0, 0);
     }
 
-    /** An answer to a call for the list: what is to be handed on, or null. */
-    KvUpdate onListed(KvEventsResponse answer, long now) {
-        listed = true;
-        listNotBefore = now + spread(LIST_INTERVAL);
-        if (answer.status() != KvEventsResponse.Status.OK) {
-            onFailure(answer.status(), now);
-            return null;
+    /** A call for a snapshot has ended. Returns the update to deliver, if any. */
+    Optional<KvUpdate> onSnapshot(KvEventsResponse response, long nowNanos) {
+        snapshotTaken = true;
+        nextSnapshotNanos = nowNanos + withJitter(SNAPSHOT_INTERVAL_NANOS);
+        if (response.status() != KvEventsResponse.Status.OK) {
+            onFailure(response.status(), nowNanos);
+            return Optional.empty();
         }
         failures = 0;
-        listWanted = false;
-        met = true;
-        epoch = answer.epoch();
-        since = answer.next();
-        handedOn = since;
-        notBefore = now;
-        return new KvUpdate(new KvEvents(source, epoch, false, answer.events()), true, since, since);
+        snapshotRequested = false;
+        epochKnown = true;
+        epoch = response.epoch();
+        since = response.next();
+        delivered = since;
+        nextCallNanos = nowNanos;
+        return Optional.of(new KvUpdate(new KvEvents(source, epoch, false, response.events()), true, since, since));
     }
 
-    /** The list is to be asked for soon, as far as the last one is not too young. */
-    void wantList(long now) {
-        if (listWanted) {
+    /** Makes a snapshot due soon, unless the last one is too recent. */
+    void requestSnapshot(long nowNanos) {
+        if (snapshotRequested) {
             return;
         }
-        listWanted = true;
-        long soon = now + (long) (LIST_SPREAD * random.getAsDouble());
-        if (!listed || soon - listNotBefore > 0) {
-            listNotBefore = soon;
+        snapshotRequested = true;
+        long soonNanos = nowNanos + (long) (SNAPSHOT_SPREAD_NANOS * random.getAsDouble());
+        if (!snapshotTaken || soonNanos - nextSnapshotNanos > 0) {
+            nextSnapshotNanos = soonNanos;
         }
     }
 
-    private void onFailure(KvEventsResponse.Status status, long now) {
+    private void onFailure(KvEventsResponse.Status status, long nowNanos) {
         if (status == KvEventsResponse.Status.LIMITED) {
-            notBefore = now + spread(LIMITED_PAUSE);
+            nextCallNanos = nowNanos + withJitter(LIMITED_BACKOFF_NANOS);
             return;
         }
         if (status == KvEventsResponse.Status.INVALID) {
-            wantList(now);
+            requestSnapshot(nowNanos);
         }
-        int doublings = status == KvEventsResponse.Status.MISDIRECTED ? MOST_DOUBLINGS : failures;
-        long pause = Math.min(LONGEST_PAUSE, SHORTEST_PAUSE << doublings);
-        notBefore = now + Math.min(LONGEST_PAUSE, spread(pause));
-        failures = Math.min(MOST_DOUBLINGS, failures + 1);
+        int doublings = status == KvEventsResponse.Status.MISDIRECTED ? MAX_DOUBLINGS : failures;
+        long backoffNanos = Math.min(MAX_BACKOFF_NANOS, MIN_BACKOFF_NANOS << doublings);
+        nextCallNanos = nowNanos + Math.min(MAX_BACKOFF_NANOS, withJitter(backoffNanos));
+        failures = Math.min(MAX_DOUBLINGS, failures + 1);
     }
 
     /** From three quarters to five quarters of that time. */
-    private long spread(long nanos) {
+    private long withJitter(long nanos) {
         return (long) (nanos * (1 - JITTER / 2 + JITTER * random.getAsDouble()));
     }
 }
--- a/engine-client/src/main/java/burlarch/engine/KvUpdate.java
+++ b/engine-client/src/main/java/burlarch/engine/KvUpdate.java
@@ -3,9 +3,9 @@
 import burlarch.routing.KvEvents;
 
 /**
- * What one answer of a source told, with its place in the source's numbering: whoever has had all up to
- * {@code since} has had all up to {@code next} with this.
+ * What one response of a source contained, with its offsets: a reader that knows everything up to
+ * {@code since} knows everything up to {@code next} with this update.
  *
- * @param snapshot whether this is the whole of what is kept, as of {@code next}; events otherwise
+ * @param snapshot whether this is everything that is cached as of {@code next}; events otherwise
  */
 public record KvUpdate(KvEvents events, boolean snapshot, long since, long next) {}
--- a/engine-client/src/main/java/burlarch/engine/KvUpdateListener.java
+++ b/engine-client/src/main/java/burlarch/engine/KvUpdateListener.java
@@ -1,7 +1,7 @@
 package burlarch.engine;
 
-/** Takes what is told of kept parts. The calls for one source come one after another. */
+/** Receives updates of sources. The calls for one source come one after another, on any thread. */
 public interface KvUpdateListener {
-    /** Events in their order, or the whole of what is kept. A new epoch voids all that was known before. */
-    void onUpdate(KvUpdate news);
+    /** Events in their order, or a snapshot. A new epoch invalidates everything that was known before. */
+    void onUpdate(KvUpdate update);
 }
