--- /dev/null
+++ b/simulation/src/main/java/burlarch/simulation/coordination/check/Rule.java
@@ -0,0 +1,55 @@
+package burlarch.simulation.coordination.check;
+
+/**
+ * The properties of a fleet that the checkers verify. Each has an id, by which reports, file names and the
+ * measurements refer to it, and which therefore does not change.
+ */
+public enum Rule {
+    /** Committed values form one chain: each holds all that values of lower proposal numbers hold. */
+    COMMITTED_CHAIN("chain"),
+    /** What was acknowledged is committed, and no read shows an older version than was acknowledged before it began. */
+    ACKNOWLEDGED_IS_DURABLE("lost"),
+    /** A rejected change is never applied, and never acknowledged. */
+    REJECTED_IS_FINAL("refused"),
+    /** Of the changes on one base version one is acknowledged. */
+    ONE_CHANGE_PER_BASE("race"),
+    /** An invalid change is never acknowledged. */
+    INVALID_IS_REJECTED("invalid"),
+    /** Without faults a call is answered within {@code FleetTimings.CALL_LIMIT_NANOS}. */
+    TIMELY_ANSWER("slow"),
+    /** A router applies only configurations that were committed. */
+    ROUTER_APPLIES_COMMITTED("undecided"),
+    /** A router never goes back to an older configuration. */
+    ROUTER_VERSION_RISES("back"),
+    /** A connected router applies an acknowledged configuration within {@code FleetTimings.APPLY_LIMIT_NANOS}. */
+    ROUTER_APPLIES_IN_TIME("late"),
+    /** Connected routers have applied a configuration before its change is acknowledged to the operator. */
+    ROUTERS_NOTIFIED_FIRST("told"),
+    /** Connected routers know of an acknowledged drain or leave within {@code FleetTimings.DRAIN_LIMIT_NANOS}. */
+    DRAIN_IN_TIME("drain"),
+    /** Connected routers list an instance soon after a connected controller acknowledged its heartbeat. */
+    HEARTBEAT_IN_TIME("absent"),
+    /** A live instance that announces itself to any controller that a router reaches stays listed there. */
+    LIVE_INSTANCE_LISTED("instance"),
+    /** An instance whose end was acknowledged does not come back. */
+    ENDED_INSTANCE_REMOVED("returned"),
+    /** One holder at a time orders engines, and a new one only after the former one's lease. */
+    ONE_LEASE_HOLDER("one"),
+    /** No holder sends the same order twice. */
+    NO_DUPLICATE_ORDER("twice"),
+    /** After the faults have ended a change and a read succeed. */
+    PROGRESS("stuck"),
+    /** No component throws an exception that its caller doesn't expect. */
+    NO_UNEXPECTED_EXCEPTION("failure");
+
+    private final String id;
+
+    Rule(String id) {
+        this.id = id;
+    }
+
+    /** Stable name in reports. */
+    public String id() {
+        return id;
+    }
+}
--- /dev/null
+++ b/simulation/src/main/java/burlarch/simulation/coordination/node/ControllerNode.java
@@ -0,0 +1,320 @@
+package burlarch.simulation.coordination.node;
+
+import burlarch.controller.ControllerRuntime;
+import burlarch.controller.ControllerSettings;
+import burlarch.controller.api.ControlService;
+import burlarch.controller.register.RegisterStorage;
+import burlarch.coordination.register.ProposalNumber;
+import burlarch.node.NodeRoles;
+import burlarch.simulation.NodeContext;
+import burlarch.simulation.SimulatedNode;
+import burlarch.simulation.Simulation;
+import burlarch.simulation.coordination.check.FleetCheckers;
+import burlarch.simulation.coordination.node.CallMessages.ControlRequest;
+import burlarch.simulation.coordination.node.CallMessages.EngineResponse;
+import burlarch.simulation.coordination.plan.FleetPlan;
+import burlarch.simulation.coordination.plan.FleetTimings;
+import burlarch.simulation.disk.SimulatedDisk;
+import burlarch.simulation.link.SimulatedDiskExecutor;
+import burlarch.simulation.link.SimulatedLinks;
+import burlarch.simulation.link.SimulatedLoop;
+import burlarch.simulation.link.SimulatedMembership;
+import burlarch.storage.Disk;
+import burlarch.transport.NodeMessage;
+import burlarch.transport.PeerConnection;
+import burlarch.transport.PeerConnectionListener;
+import java.io.IOException;
+import java.util.LinkedHashSet;
+import java.util.List;
+import java.util.Set;
+
+/**
+ * A controller: the real {@link ControllerRuntime} on simulated connections, disk and clock. Its process goes through
+ * these phases; from each it may be killed.
+ *
+ * <pre>
+ * OPENING      opens its storage, again and again while the disk refuses; ignores messages
+ * RUNNING      takes messages and calls
+ * TERMINATING  after SIGTERM: has left the membership, takes messages but no more calls
+ * </pre>
+ */
+public final class ControllerNode implements SimulatedNode {
+    /** Whether the storage may be created for a new register. */
+    public enum StartKind {
+        /** The first start of one of the controllers that the fleet begins with. */
+        FIRST_OF_FLEET,
+        /** Any other start: the acceptors are those that the disk or other controllers name. */
+        LATER
+    }
+
+    /** Observes what a controller does. */
+    public interface Observer {
+        /** A call of an operator or an instance has arrived. */
+        void onCall(ControlAction action);
+
+        /** A call has succeeded; its response has been sent. */
+        void onSuccess(ControlAction action);
+
+        /** An order to an engine is about to be sent. */
+        void onOrder();
+    }
+
+    private enum Phase {
+        OPENING,
+        RUNNING,
+        TERMINATING
+    }
+
+    private static final String ZONE = "zone";
+    private static final long REOPEN_NANOS = Simulation.SECOND;
+
+    private final Simulation simulation;
+    private final FleetPlan plan;
+    private final FleetCheckers checkers;
+    private final ComponentOverrides overrides;
+    private final NodeContext context;
+    private final SimulatedDisk simulatedDisk;
+    private final Disk disk;
+    private final List<String> seeds;
+    private final StartKind startKind;
+    private final Observer observer;
+    private final SimulatedLoop loop;
+    private final Set<PeerConnection> routerLinks = new LinkedHashSet<>();
+    private Phase phase = Phase.OPENING;
+    private ControllerRuntime core;
+    private SimulatedLinks links;
+    private SimulatedMembership membership;
+    private ControlEndpoint endpoint;
+    private SimulatedEngineOrders engineOrders;
+    /** Proposal number of the newest value that was reported to the checkers. */
+    private ProposalNumber reportedNumber = ProposalNumber.ZERO;
+
+    private long peerUpNanos = -1;
+    private boolean powerLost;
+
+    /**
+     * Creates the process.
+     *
+     * @param disk the machine's disk, as an earlier process left it
+     * @param seeds addresses of controllers that the settings name
+     */
+    public ControllerNode(
+            FleetEnvironment environment,
+            NodeContext context,
+            SimulatedDisk disk,
+            List<String> seeds,
+            StartKind startKind,
+            Observer observer) {
+        simulation = environment.simulation();
+        plan = environment.plan();
+        checkers = environment.checkers();
+        overrides = environment.overrides();
+        this.context = context;
+        simulatedDisk = disk;
+        this.disk = overrides.disk(context.name(), disk);
+        this.seeds = seeds;
+        this.startKind = startKind;
+        this.observer = observer;
+        loop = new SimulatedLoop(context);
+    }
+
+    @Override
+    public void start(long now) {
+        runEvent(now, this::openStorage);
+    }
+
+    private void openStorage() {
+        long begin = simulation.now();
+        simulatedDisk.beginCalls(begin);
+        try {
+            RegisterStorage storage = RegisterStorage.open(
+                    disk,
+                    context.address(),
+                    seeds,
+                    startKind == StartKind.FIRST_OF_FLEET,
+                    this::drawDiskIdentity,
+                    plan.segmentBytes());
+            loop.schedule(simulatedDisk.callsDoneNanos() - begin, () -> run(storage));
+        } catch (IOException full) {
+            loop.schedule(REOPEN_NANOS, this::openStorage);
+        }
+    }
+
+    private String drawDiskIdentity() {
+        return overrides.diskIdentity(
+                context.address(), Long.toHexString(context.random().nextLong()));
+    }
+
+    private void run(RegisterStorage storage) {
+        core = overrides.controllerCore(loop, context);
+        links = new SimulatedLinks(
+                context,
+                loop,
+                hello(storage),
+                new LinkRecorder(overrides.controllerListener(core.listener())),
+                this::onUnexpectedException);
+        engineOrders = new SimulatedEngineOrders(context, loop, checkers.orders(), simulation, observer::onOrder);
+        // The loop runs on the machine's monotonic clock, the disk on virtual time.
+        SimulatedDiskExecutor diskExecutor =
+                new SimulatedDiskExecutor(loop, simulatedDisk, simulation.now() - loop.nanoTime());
+        ControlService service = core.start(
+                settings(),
+                storage,
+                new ControllerRuntime.Environment(
+                        links, diskExecutor, overrides.engineOrders(engineOrders), context.random()));
+        membership = new SimulatedMembership(context, loop, NodeRoles.CONTROLLER, seeds, core::onMembers);
+        endpoint = new ControlEndpoint(
+                context,
+                loop,
+                overrides.controlService(service, core, routerLinks),
+                this::onUnexpectedException,
+                observer);
+        phase = Phase.RUNNING;
+    }
+
+    private String incarnation() {
+        return Long.toHexString(context.incarnation());
+    }
+
+    private NodeMessage.Hello hello(RegisterStorage storage) {
+        return new NodeMessage.Hello(
+                context.name(),
+                NodeRoles.CONTROLLER,
+                context.address(),
+                ZONE,
+                storage.store().identity(),
+                incarnation());
+    }
+
+    private ControllerSettings settings() {
+        return new ControllerSettings(
+                context.address(),
+                ZONE,
+                seeds,
+                context.name() + "-" + incarnation(),
+                FleetTimings.HEARTBEAT_INTERVAL_NANOS,
+                FleetTimings.VERSION_LIMIT_MILLIS,
+                overrides.leaseNanos(context.name(), FleetTimings.LEASE_NANOS),
+                plan.tolerance());
+    }
+
+    /** Passes all events on, and records the connections to routers and when one to a controller came up. */
+    private final class LinkRecorder implements PeerConnectionListener {
+        private final PeerConnectionListener delegate;
+
+        LinkRecorder(PeerConnectionListener delegate) {
+            this.delegate = delegate;
+        }
+
+        @Override
+        public void onConnected(PeerConnection link) {
+            if (link.peerHello().role().equals(NodeRoles.ROUTER)) {
+                routerLinks.add(link);
+            } else {
+                peerUpNanos = simulation.now();
+            }
+            delegate.onConnected(link);
+        }
+
+        @Override
+        public void onMessage(PeerConnection link, NodeMessage message) {
+            delegate.onMessage(link, message);
+        }
+
+        @Override
+        public void onDisconnected(PeerConnection link) {
+            routerLinks.remove(link);
+            delegate.onDisconnected(link);
+        }
+    }
+
+    @Override
+    public void onMessage(String from, Object message, long now) {
+        runEvent(now, () -> {
+            if (phase != Phase.OPENING) {
+                dispatch(from, message);
+            }
+        });
+    }
+
+    private void dispatch(String from, Object message) {
+        if (message instanceof ControlRequest request) {
+            if (phase == Phase.RUNNING) {
+                endpoint.onRequest(from, request);
+            }
+        } else if (message instanceof NodeSignals.Terminate) {
+            phase = Phase.TERMINATING;
+            membership.leave();
+        } else if (message instanceof NodeSignals.ReloadSeeds settings) {
+            core.addControllerAddresses(settings.seeds());
+        } else if (message instanceof NodeSignals.BreakConnections broken) {
+            links.closeRandomly(broken.probability());
+        } else if (message instanceof EngineResponse response) {
+            engineOrders.onResponse(response);
+        } else if (message instanceof byte[] datagram) {
+            membership.onDatagram(from, datagram);
+        } else {
+            links.onPacket(from, message);
+        }
+    }
+
+    @Override
+    public void onTimer(long now) {
+        runEvent(now, () -> {});
+    }
+
+    private void runEvent(long now, Runnable action) {
+        loop.beginEvent(now);
+        try {
+            action.run();
+            loop.endEvent();
+        } catch (RuntimeException unexpected) {
+            onUnexpectedException(unexpected);
+            loop.endEvent();
+        }
+        reportCommitted();
+    }
+
+    private void reportCommitted() {
+        if (core != null && !core.committedProposalNumber().equals(reportedNumber)) {
+            reportedNumber = core.committedProposalNumber();
+            checkers.onCommitted(context.name(), reportedNumber, core.committedState());
+        }
+    }
+
+    private void onUnexpectedException(Throwable exception) {
+        checkers.onUnexpectedException(context.name(), exception);
+    }
+
+    /** Version of the newest configuration that this controller knows as committed. */
+    public long knownVersion() {
+        return core.committedState().configurationVersion();
+    }
+
+    /** When a connection with another controller came up last; -1 where none has. */
+    public long peerUpNanos() {
+        return peerUpNanos;
+    }
+
+    /** Proposal number of the newest value that this controller knows as committed. */
+    public ProposalNumber committedNumber() {
+        return reportedNumber;
+    }
+
+    /** The end of this process, which has to follow at once, is a loss of power. */
+    public void losePower() {
+        powerLost = true;
+    }
+
+    @Override
+    public void onKilled() {
+        if (powerLost) {
+            simulatedDisk.onPowerLoss(simulation.now());
+            return;
+        }
+        simulatedDisk.onProcessKilled(simulation.now());
+        if (phase != Phase.OPENING) {
+            links.onProcessKilled();
+        }
+    }
+}
--- /dev/null
+++ b/simulation/src/main/java/burlarch/simulation/coordination/node/InstanceNode.java
@@ -0,0 +1,275 @@
+package burlarch.simulation.coordination.node;
+
+import burlarch.coordination.registry.Instance;
+import burlarch.coordination.registry.Instance.ServedModel;
+import burlarch.coordination.registry.InstanceState;
+import burlarch.coordination.rollout.EngineReport;
+import burlarch.coordination.rollout.OrderResult;
+import burlarch.engine.WeightsOrder;
+import burlarch.simulation.NodeContext;
+import burlarch.simulation.SimulatedNode;
+import burlarch.simulation.Simulation;
+import burlarch.simulation.coordination.check.FleetCheckers;
+import burlarch.simulation.coordination.node.CallMessages.ControlResponse;
+import burlarch.simulation.coordination.node.CallMessages.EngineRequest;
+import burlarch.simulation.coordination.node.CallMessages.EngineResponse;
+import burlarch.simulation.coordination.plan.FleetNames;
+import burlarch.simulation.coordination.plan.FleetTimings;
+import burlarch.simulation.link.SimulatedLoop;
+import java.util.List;
+import java.util.Optional;
+import java.util.function.Supplier;
+
+/**
+ * A process that serves instances, one incarnation after the other. An incarnation goes through these states:
+ *
+ * <pre>
+ * READY     announces itself at each heartbeat until its lifetime is over or it is told to drain
+ * DRAINING  announces that it drains, serves on for a while, then leaves; or leaves at once
+ * GONE      after a pause the next incarnation is READY, under another id
+ * </pre>
+ *
+ * <p>Timers and responses of an earlier incarnation have no effect.
+ */
+public final class InstanceNode implements SimulatedNode {
+    /** Model whose weights engines load. */
+    public static final String MODEL = "model-1";
+
+    /** The two kinds of instances. */
+    public enum Kind {
+        /** Loads weights; lives for a short time. */
+        ENGINE(4 * Simulation.SECOND),
+        /**
+         * Has no weights, so that its heartbeats change nothing; lives for longer than controllers wait before they
+         * take a silent instance for lost.
+         */
+        PLAIN(20 * Simulation.SECOND);
+
+        private final long minLifetimeNanos;
+
+        Kind(long minLifetimeNanos) {
+            this.minLifetimeNanos = minLifetimeNanos;
+        }
+    }
+
+    private static final int LIFETIME_SPREAD_MILLIS = 12_000;
+    /** One instance in so many leaves without having drained. */
+    private static final int LEAVES_PER_SUDDEN_LEAVE = 4;
+
+    private static final long SERVE_AFTER_DRAIN_NANOS = 2 * Simulation.SECOND;
+    private static final long PAUSE_AFTER_LEAVE_NANOS = 2 * Simulation.SECOND;
+    private static final long LOAD_NANOS = Simulation.SECOND;
+    private static final long DRAIN_CALL_LIMIT_NANOS = 6 * Simulation.SECOND;
+    private static final int CAPACITY = 8;
+
+    private final NodeContext context;
+    private final FleetCheckers checkers;
+    private final EventTriggers triggers;
+    private final Kind kind;
+    private final Supplier<Optional<String>> preferredController;
+    private final SimulatedLoop loop;
+    private final ControlClient client;
+    private String id;
+    private InstanceState state;
+    private long sequence;
+    private long weightsVersion;
+    private long acceptedOrders;
+    private long highestFenceToken;
+    private boolean loading;
+    private int incarnation;
+
+    /**
+     * Creates the process.
+     *
+     * @param controllers addresses of the controllers, as they are when a request is sent
+     * @param preferredController address of the controller that is called first, if there is one
+     */
+    public InstanceNode(
+            FleetEnvironment environment,
+            NodeContext context,
+            Kind kind,
+            Supplier<List<String>> controllers,
+            Supplier<Optional<String>> preferredController) {
+        this.context = context;
+        this.kind = kind;
+        this.preferredController = preferredController;
+        checkers = environment.checkers();
+        triggers = environment.triggers();
+        loop = new SimulatedLoop(context);
+        client = new ControlClient(context, loop, controllers);
+    }
+
+    @Override
+    public void start(long now) {
+        loop.beginEvent(now);
+        beginIncarnation();
+        loop.endEvent();
+    }
+
+    private void beginIncarnation() {
+        int current = ++incarnation;
+        id = context.name() + "-" + Long.toHexString(context.incarnation()) + "-" + current;
+        state = InstanceState.READY;
+        sequence = 0;
+        acceptedOrders = 0;
+        highestFenceToken = 0;
+        loading = false;
+        weightsVersion = Math.max(weightsVersion, checkers.operators().newestWeights(MODEL));
+        client.clearPreference();
+        announce(current);
+        long spread = context.random().nextInt(LIFETIME_SPREAD_MILLIS) * Simulation.MILLISECOND;
+        loop.schedule(kind.minLifetimeNanos + spread, () -> endIncarnation(current));
+    }
+
+    /** Whether the current incarnation is draining or gone. */
+    public boolean isEnding() {
+        return state != InstanceState.READY;
+    }
+
+    private boolean isReady(int ofIncarnation) {
+        return ofIncarnation == incarnation && state == InstanceState.READY;
+    }
+
+    private void endIncarnation(int ending) {
+        if (!isReady(ending)) {
+            return;
+        }
+        checkers.instances().onEnding(id);
+        if (context.random().nextInt(LEAVES_PER_SUDDEN_LEAVE) == 0) {
+            state = InstanceState.DRAINING;
+            leave();
+        } else {
+            drain();
+        }
+    }
+
+    private void announce(int announcing) {
+        if (!isReady(announcing)) {
+            return;
+        }
+        loop.schedule(FleetTimings.HEARTBEAT_INTERVAL_NANOS, () -> announce(announcing));
+        preferredController.get().ifPresent(client::preferOnce);
+        String announced = id;
+        ControlAction action = new ControlAction.Announce(instance());
+        client.call(action, FleetTimings.HEARTBEAT_INTERVAL_NANOS, response -> {
+            if (succeeded(response) && isReady(announcing)) {
+                onAnnouncementAcknowledged(announced, announcing);
+                triggers.fire(EventTriggers.Event.TAKEN);
+            }
+        });
+    }
+
+    private static boolean succeeded(Optional<ControlResponse> response) {
+        return response.filter(ControlResponse::succeeded).isPresent();
+    }
+
+    private void onAnnouncementAcknowledged(String announced, int announcing) {
+        String controller = FleetNames.controllerAt(client.lastController());
+        checkers.instances().onAnnouncementAcknowledged(announced, controller);
+        checkers.routers().onHeartbeatAcknowledged(announced, controller, () -> isReady(announcing));
+    }
+
+    private Instance instance() {
+        List<ServedModel> models = kind == Kind.PLAIN ? List.of() : List.of(new ServedModel(MODEL, weightsVersion));
+        return new Instance(id, "service-1", context.address(), "zone", "v1", CAPACITY, state, 0, models, ++sequence);
+    }
+
+    private void drain() {
+        state = InstanceState.DRAINING;
+        String draining = id;
+        preferredController.get().ifPresent(client::preferOnce);
+        client.call(new ControlAction.Announce(instance()), DRAIN_CALL_LIMIT_NANOS, response -> {
+            if (succeeded(response)) {
+                onEndAcknowledged(draining);
+            }
+            loop.schedule(SERVE_AFTER_DRAIN_NANOS, this::leave);
+        });
+    }
+
+    private void leave() {
+        String leaving = id;
+        preferredController.get().ifPresent(client::preferOnce);
+        client.call(new ControlAction.Leave(leaving), DRAIN_CALL_LIMIT_NANOS / 2, response -> {
+            if (succeeded(response)) {
+                onEndAcknowledged(leaving);
+            }
+            state = InstanceState.GONE;
+            loop.schedule(PAUSE_AFTER_LEAVE_NANOS, this::beginIncarnation);
+        });
+    }
+
+    private void onEndAcknowledged(String instance) {
+        String controller = FleetNames.controllerAt(client.lastController());
+        checkers.routers().onEndAcknowledged(instance, controller);
+        if (checkers.routers().isConnected(controller)) {
+            checkers.instances().onEndAcknowledged(instance);
+        }
+    }
+
+    @Override
+    public void onMessage(String from, Object message, long now) {
+        loop.beginEvent(now);
+        if (message instanceof ControlResponse response) {
+            client.onResponse(response);
+        } else if (message instanceof NodeSignals.Drain) {
+            endIncarnation(incarnation);
+        } else if (message instanceof EngineRequest request && state != InstanceState.GONE) {
+            context.send(from, respond(request));
+        }
+        loop.endEvent();
+    }
+
+    private EngineResponse respond(EngineRequest request) {
+        if (!request.isForReport()) {
+            return new EngineResponse(request.id(), onOrder(request.instance(), request.order()), null);
+        }
+        List<ServedModel> models = List.of(new ServedModel(MODEL, weightsVersion));
+        EngineReport report = new EngineReport(models, loading, acceptedOrders, 0, 0, 0, 1);
+        return new EngineResponse(request.id(), null, report);
+    }
+
+    /** Accepts an order unless it is for another instance, fenced off, or based on an outdated report. */
+    private OrderResult onOrder(String instance, WeightsOrder order) {
+        if (!id.equals(instance)) {
+            return OrderResult.MISDIRECTED;
+        }
+        if (order.fenceToken() < highestFenceToken) {
+            return OrderResult.FENCED;
+        }
+        highestFenceToken = order.fenceToken();
+        boolean outdated = order.ifRevision() != WeightsOrder.ANY_REVISION && order.ifRevision() != acceptedOrders;
+        if (loading || outdated) {
+            return OrderResult.CONFLICT;
+        }
+        if (weightsVersion == order.version()) {
+            return OrderResult.ALREADY_LOADED;
+        }
+        acceptedOrders++;
+        triggers.fire(EventTriggers.Event.TAKEN);
+        load(order.version());
+        return OrderResult.ACCEPTED;
+    }
+
+    private void load(long version) {
+        loading = true;
+        int current = incarnation;
+        loop.schedule(LOAD_NANOS, () -> {
+            if (current == incarnation) {
+                loading = false;
+                weightsVersion = Math.max(weightsVersion, version);
+            }
+        });
+    }
+
+    @Override
+    public void onKilled() {
+        incarnation++;
+        checkers.instances().onEnding(id);
+    }
+
+    @Override
+    public void onTimer(long now) {
+        loop.beginEvent(now);
+        loop.endEvent();
+    }
+}
--- a/simulation/src/main/java/burlarch/simulation/coordination/package-info.java
+++ b/simulation/src/main/java/burlarch/simulation/coordination/package-info.java
@@ -1,5 +1,11 @@
 /**
- * The real controllers and routers with operators and engines around them, the rules that they keep, and the
- * search.
+ * The search for faults of control: whole fleets with the real controllers under drawn faults, and the rules that
+ * they have to keep.
+ *
+ * <p>{@link burlarch.simulation.coordination.CoordinationSearch} draws and shrinks scenarios, {@link
+ * burlarch.simulation.coordination.CoordinationRun} runs one. A run owns its simulation and all state in it, and uses
+ * the caller's thread only. The packages below, each of which uses those before it: {@code plan} (sizes and times),
+ * {@code check} (rules), {@code node} (processes), {@code fleet} (all processes, and steps that act on them); and
+ * {@code fault} (draws faults, uses {@code plan} only).
  */
 package burlarch.simulation.coordination;
--- a/simulation/src/main/java/burlarch/simulation/scenario/ScenarioStep.java
+++ b/simulation/src/main/java/burlarch/simulation/scenario/ScenarioStep.java
@@ -3,16 +3,16 @@
 import java.util.List;
 
 /**
- * Something that a scenario does.
+ * An action of a scenario.
  *
- * @param line number in the scenario, from 1
- * @param timeNanos when, in nanoseconds
- * @param verb what, such as cut
- * @param arguments what follows the verb, without the time span
- * @param durationNanos how long, in nanoseconds; 0 where it lasts
+ * @param line number in the scenario's text, from 1
+ * @param timeNanos when it is performed
+ * @param verb what is done, such as {@code cut}
+ * @param arguments the words after the verb, without the duration
+ * @param durationNanos how long its effect lasts; 0 where the step names none
  */
 public record ScenarioStep(int line, long timeNanos, String verb, List<String> arguments, long durationNanos) {
-    /** A word after the verb; throws IllegalArgumentException where it is missing. */
+    /** An argument by its index, from 0. Throws IllegalArgumentException where it is missing. */
     public String argument(int index) {
         if (index >= arguments.size()) {
             throw new IllegalArgumentException("line " + line + ": something is missing after " + verb);
--- a/simulation/src/test/java/burlarch/simulation/coordination/ReplacementScenariosTest.java
+++ b/simulation/src/test/java/burlarch/simulation/coordination/ReplacementScenariosTest.java
@@ -3,6 +3,7 @@
 import static org.assertj.core.api.Assertions.assertThat;
 
 import burlarch.simulation.coordination.CoordinationRun.Result;
+import burlarch.simulation.coordination.node.ComponentOverrides;
 import java.io.IOException;
 import java.io.InputStream;
 import java.nio.charset.StandardCharsets;
--- a/simulation/src/test/java/burlarch/simulation/coordination/ScriptedCaller.java
+++ b/simulation/src/test/java/burlarch/simulation/coordination/ScriptedCaller.java
@@ -3,8 +3,9 @@
 import burlarch.simulation.NodeContext;
 import burlarch.simulation.SimulatedNode;
 import burlarch.simulation.Simulation;
-import burlarch.simulation.coordination.CallMessages.ControlRequest;
-import burlarch.simulation.coordination.CallMessages.ControlResponse;
+import burlarch.simulation.coordination.node.CallMessages.ControlRequest;
+import burlarch.simulation.coordination.node.CallMessages.ControlResponse;
+import burlarch.simulation.coordination.node.ControlAction;
 import java.util.ArrayList;
 import java.util.List;
 
--- a/simulation/src/test/java/burlarch/simulation/coordination/PassingListener.java
+++ b/simulation/src/test/java/burlarch/simulation/coordination/planted/PassingListener.java
@@ -1,4 +1,4 @@
-package burlarch.simulation.coordination;
+package burlarch.simulation.coordination.planted;
 
 import burlarch.transport.NodeMessage;
 import burlarch.transport.PeerConnection;
--- a/simulation/src/test/java/burlarch/simulation/coordination/PassingService.java
+++ b/simulation/src/test/java/burlarch/simulation/coordination/planted/PassingService.java
@@ -1,4 +1,4 @@
-package burlarch.simulation.coordination;
+package burlarch.simulation.coordination.planted;
 
 import burlarch.controller.api.ControlService;
 import burlarch.coordination.registry.Instance;
--- a/simulation/src/test/java/burlarch/simulation/coordination/PlantedDiskFaults.java
+++ b/simulation/src/test/java/burlarch/simulation/coordination/planted/PlantedDiskFaults.java
@@ -1,5 +1,6 @@
-package burlarch.simulation.coordination;
+package burlarch.simulation.coordination.planted;
 
+import burlarch.simulation.coordination.node.ComponentOverrides;
 import burlarch.storage.Disk;
 import burlarch.storage.DiskFile;
 import java.io.IOException;
