--- a/simulation/src/test/java/burlarch/simulation/coordination/PlantedStreamFaults.java
+++ b/simulation/src/test/java/burlarch/simulation/coordination/planted/PlantedStreamFaults.java
@@ -1,10 +1,11 @@
-package burlarch.simulation.coordination;
+package burlarch.simulation.coordination.planted;
 
 import burlarch.coordination.registry.Instance;
 import burlarch.coordination.registry.InstanceRegistry;
 import burlarch.coordination.registry.InstanceState;
 import burlarch.coordination.registry.MergedInstanceView;
 import burlarch.router.control.ControllerLinks;
+import burlarch.simulation.coordination.node.ComponentOverrides;
 import burlarch.transport.NodeMessage;
 import burlarch.transport.NodeMessage.InstancesUpdate;
 import burlarch.transport.PeerConnection;
