--- a/router/src/main/java/burlarch/router/RouterProgram.java
+++ b/router/src/main/java/burlarch/router/RouterProgram.java
@@ -18,7 +18,7 @@
 import burlarch.router.prefixcache.PrefixCacheEventPublisher;
 import burlarch.router.prefixcache.PrefixIndexUpdater;
 import burlarch.router.prefixcache.SourceSubscriptions;
-import burlarch.routing.FleetPlanner;
+import burlarch.routing.planner.FleetPlanner;
 import burlarch.routing.Planner;
 import burlarch.routing.PlannerSettings;
 import burlarch.transport.NodeMessage;
--- a/routing/src/main/java/burlarch/routing/PlannerSettings.java
+++ b/routing/src/main/java/burlarch/routing/PlannerSettings.java
@@ -44,13 +44,13 @@
                 1);
     }
 
-    int priorityOf(int rank) {
+    public int priorityOf(int rank) {
         int index = Math.max(0, Math.min(priorities.length - 1, rank));
         return Math.max(0, Math.min(LOWEST_PRIORITY, priorities[index]));
     }
 
     /** How often a move to or from that zone counts: 1 within the zone, 2 within the region, 10 beyond. */
-    double distance(String from, String to) {
+    public double distance(String from, String to) {
         if (from == null || from.equals(to)) {
             return 1;
         }
--- a/routing/src/main/java/burlarch/routing/FetchAdmission.java
+++ b/routing/src/main/java/burlarch/routing/admission/FetchAdmission.java
@@ -1,7 +1,9 @@
-package burlarch.routing;
+package burlarch.routing.admission;
 
 import burlarch.admission.LearnedCapacity;
 import burlarch.configuration.Configuration.Tenant;
+import burlarch.routing.RendezvousHash;
+import burlarch.routing.RouteRequest;
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
@@ -10,7 +12,7 @@
  * The throttle of fetches to one service: requests whose shared parts no engine keeps. Each is an offer of
  * its tenant, and goes out or is refused at once. The capacity is learned from what the fetches came to.
  */
-final class FetchAdmission {
+public final class FetchAdmission {
     /** W of the most urgent rank, more for each rank below, and the most. */
     private static final double WINDOW_BEST = 10;
 
@@ -31,7 +33,7 @@
     private LearnedCapacity capacity;
 
     /** Rebuilds the shares where other tenants are configured; the learned capacity stays. */
-    void configure(List<Tenant> configured, double startPerSecond, int liveRouters) {
+    public void configure(List<Tenant> configured, double startPerSecond, int liveRouters) {
         int count = configured == null ? 0 : configured.size();
         boolean same = capacity != null && count == tenants.size();
         for (int i = 0; same && i < count; i++) {
@@ -60,7 +62,7 @@
      * @param bearable fetches a second that the engines can read for this router; until strain has been seen
      *     the capacity keeps ahead of what is offered, up to a multiple of that
      */
-    boolean offer(RouteRequest request, double bearable, long nowNanos) {
+    public boolean offer(RouteRequest request, double bearable, long nowNanos) {
         if (capacity.perSecond() < HEADROOM * bearable) {
             capacity.keepAhead();
         }
@@ -68,7 +70,7 @@
     }
 
     /** A fetch that was admitted did not go out, or was not run. */
-    void withdraw(RouteRequest request, long agoNanos) {
+    public void withdraw(RouteRequest request, long agoNanos) {
         capacity.withdraw(indexOf(request.tenant()), window(rank(request)), agoNanos);
     }
 
@@ -77,7 +79,7 @@
      *
      * @param strain part of the aim that it waited for others, 1 for errors, time-outs and rejections
      */
-    void onOutcome(long sentNanos, double strain, boolean accepted, long nowNanos) {
+    public void onOutcome(long sentNanos, double strain, boolean accepted, long nowNanos) {
         capacity.onOutcome(sentNanos, strain, accepted, nowNanos);
     }
 
@@ -85,8 +87,8 @@
      * When the tenant's estimate will have come down so far that one more offer fits: its T times the part
      * that is refused, spread for those that are refused together.
      */
-    long retryAfterMillis(RouteRequest request) {
-        double unit = Rendezvous.unit(request.id());
+    public long retryAfterMillis(RouteRequest request) {
+        double unit = RendezvousHash.unit(request.id());
         double perSecond = capacity.perSecond();
         double offered = capacity.throttle.offeredTotal();
         double refused = offered > perSecond ? 1 - perSecond / offered : 0;
@@ -95,12 +97,12 @@
     }
 
     /** 0 is the most urgent. A tenant's own rank goes before its route's. */
-    static int rank(RouteRequest request) {
+    public static int rank(RouteRequest request) {
         Integer own = request.tenant() == null ? null : request.tenant().priority();
         return own == null ? request.route().priority() : own;
     }
 
-    double perSecond() {
+    public double perSecond() {
         return capacity.perSecond();
     }
 
--- a/routing/src/main/java/burlarch/routing/RetryBudget.java
+++ b/routing/src/main/java/burlarch/routing/admission/RetryBudget.java
@@ -1,4 +1,4 @@
-package burlarch.routing;
+package burlarch.routing.admission;
 
 import java.util.Arrays;
 
@@ -6,7 +6,7 @@
  * One router's share of the fleet's budget of further sends to one service: a part of its own first sends in
  * a sliding window, and its share of the slack. The shares of all live routers sum to less than the whole.
  */
-final class RetryBudget {
+public final class RetryBudget {
     private static final int BUCKETS = 20;
     /** Part of the slack in use: what is left covers routers that others don't count as live, as in a cut. */
     private static final double USED_SLACK_FRACTION = 0.5;
@@ -25,14 +25,14 @@
     private int lowerLiveRouters = 1;
     private long lowerSinceNanos;
 
-    RetryBudget(double ratio, double windowSeconds, double slack) {
+    public RetryBudget(double ratio, double windowSeconds, double slack) {
         this.ratio = ratio;
         this.slack = slack;
         this.bucketNanos = Math.max(1, (long) (windowSeconds * 1e9 / BUCKETS));
     }
 
     /** How many routers share the slack. */
-    void onLiveRouters(int count, long nowNanos) {
+    public void onLiveRouters(int count, long nowNanos) {
         int now = Math.max(1, count);
         if (now >= liveRouters) {
             liveRouters = now;
@@ -43,17 +43,17 @@
     }
 
     /** A first send of a request. */
-    void onFirstSend(long nowNanos) {
+    public void onFirstSend(long nowNanos) {
         firstSends[bucket(nowNanos)]++;
     }
 
     /** A further send. */
-    void onRetry(long nowNanos) {
+    public void onRetry(long nowNanos) {
         retries[bucket(nowNanos)]++;
     }
 
     /** Whether one more further send keeps to the budget. */
-    boolean allows(long nowNanos) {
+    public boolean allows(long nowNanos) {
         int now = bucket(nowNanos);
         if (lowerLiveRouters < liveRouters && nowNanos - lowerSinceNanos > LOWER_COUNT_DELAY_NANOS) {
             liveRouters = lowerLiveRouters;
--- a/routing/src/main/java/burlarch/routing/index/PromptIndex.java
+++ b/routing/src/main/java/burlarch/routing/index/PrefixCacheIndex.java
@@ -13,7 +13,7 @@
  * Who keeps which parts of prompts, as far as events, lists and own sends tell. A hint, never a promise:
  * events are lost and come late. A source is an engine's instance id or the name of a store's service.
  */
-public final class PromptIndex {
+public final class PrefixCacheIndex {
     /** Tokens of one block of an engine's memory: less than that missing at a part's end is not missing. */
     private static final int BLOCK_TOKENS = 16;
     /** How long a guess stands that nobody confirms. */
--- a/routing/src/main/java/burlarch/routing/EngineLoad.java
+++ b/routing/src/main/java/burlarch/routing/instance/EngineLoad.java
@@ -1,7 +1,9 @@
-package burlarch.routing;
+package burlarch.routing.instance;
+
+import burlarch.routing.ServerLoad;
 
 /** What one instance has to do: our own requests exactly, those of other routers as far as it told. */
-final class EngineLoad {
+public final class EngineLoad {
     /** How long the load that an answer told counts for; it fades evenly. */
     private static final double FADE_NANOS = 4e9;
     /** How long a told queue is taken to stand. */
@@ -36,11 +38,11 @@
         this.slots = Math.max(1, slots);
     }
 
-    int ownRequests() {
+    public int ownRequests() {
         return ownRequests;
     }
 
-    int slots() {
+    public int slots() {
         return slots;
     }
 
@@ -54,18 +56,18 @@
     }
 
     /** Requests there, ours and others'. */
-    double requests(long nowNanos) {
+    public double requests(long nowNanos) {
         return ownRequests + otherRequests(nowNanos);
     }
 
     /** Whether requests wait there, as it told or first events showed lately. */
-    boolean hasQueue(long nowNanos) {
+    public boolean hasQueue(long nowNanos) {
         return waiting > 0 && nowNanos - otherRequestsAtNanos < QUEUE_VALID_NANOS
                 || faded(STRAIN_FADE_NANOS, nowNanos) > QUEUE_WAIT_NANOS;
     }
 
     /** How long requests lately waited for others, of whatever router. */
-    double waitNanos(long nowNanos) {
+    public double waitNanos(long nowNanos) {
         return faded(WAIT_FADE_NANOS, nowNanos);
     }
 
@@ -74,20 +76,20 @@
     }
 
     /** A request has waited for others so long and does so still. */
-    void onStillWaiting(double nanos, long nowNanos) {
+    public void onStillWaiting(double nanos, long nowNanos) {
         waitNanos = Math.max(waitNanos(nowNanos), nanos);
         waitAtNanos = nowNanos;
     }
 
     /** A first event came so much later than the request alone would have needed. */
-    void onWaited(double nanos, long nowNanos) {
+    public void onWaited(double nanos, long nowNanos) {
         double before = waitNanos(nowNanos);
         waitNanos = before + (Math.max(0, nanos) - before) * WAIT_GAIN;
         waitAtNanos = nowNanos;
     }
 
     /** Memory of what runs, in tokens; requests of others count as ours do on average. */
-    double memoryTokens(double meanTokens, long nowNanos) {
+    public double memoryTokens(double meanTokens, long nowNanos) {
         return ownMemoryTokens + otherRequests(nowNanos) * meanTokens;
     }
 
@@ -95,7 +97,7 @@
      * Our prompt tokens that are still to be read. Half of them are taken to be there until the first event:
      * others' requests are read in between.
      */
-    double backlogTokens(EngineSpeed speed, long nowNanos) {
+    public double backlogTokens(EngineSpeed speed, long nowNanos) {
         double read = Math.max(0, nowNanos - backlogAtNanos) * speed.tokensPerNano();
         backlogTokens = Math.max(ownPrefillTokens * MIN_BACKLOG_FRACTION, backlogTokens - read);
         backlogAtNanos = nowNanos;
@@ -103,17 +105,17 @@
     }
 
     /** Requests of ours whose first event has not come. */
-    int ownPrefilling() {
+    public int ownPrefilling() {
         return ownPrefilling;
     }
 
     /** The first event of a request of ours came, or its end. */
-    void onPrefilled(int tokensToRead) {
+    public void onPrefilled(int tokensToRead) {
         ownPrefilling--;
         ownPrefillTokens = Math.max(0, ownPrefillTokens - tokensToRead);
     }
 
-    void onSent(int tokensToRead, double memory, EngineSpeed speed, long nowNanos) {
+    public void onSent(int tokensToRead, double memory, EngineSpeed speed, long nowNanos) {
         backlogTokens(speed, nowNanos);
         backlogTokens += tokensToRead;
         ownPrefillTokens += tokensToRead;
@@ -122,13 +124,13 @@
         ownRequests++;
     }
 
-    void onEnded(double memory) {
+    public void onEnded(double memory) {
         ownRequests--;
         ownMemoryTokens = ownRequests == 0 ? 0 : Math.max(0, ownMemoryTokens - memory);
     }
 
     /** Requests that never ran leave nothing to read. */
-    void withdraw(int tokensToRead) {
+    public void withdraw(int tokensToRead) {
         backlogTokens = Math.max(0, backlogTokens - tokensToRead);
     }
 
@@ -139,7 +141,7 @@
      * @param ownPrefillingThen those of them whose first event had not come
      * @param meanPrefillTokens of a request, for those that wait there
      */
-    void onLoadReported(
+    public void onLoadReported(
             ServerLoad reported,
             int ownThen,
             int ownPrefillingThen,
--- a/routing/src/main/java/burlarch/routing/EngineSpeed.java
+++ b/routing/src/main/java/burlarch/routing/instance/EngineSpeed.java
@@ -1,7 +1,9 @@
-package burlarch.routing;
+package burlarch.routing.instance;
+
+import burlarch.routing.planner.CostModel;
 
 /** How fast one instance has shown to be. Running estimates that no single sample moves far. */
-final class EngineSpeed {
+public final class EngineSpeed {
     private static final double MIN_RATE = 5;
     private static final double MAX_RATE = 300;
     /** Quick requests are surer to have met nobody else: an estimate improves faster than it falls. */
@@ -23,7 +25,7 @@
     private double baseNanos = CostModel.START_BASE_NANOS;
     private double serviceNanos = CostModel.START_SERVICE_NANOS;
 
-    EngineSpeed() {
+    public EngineSpeed() {
         this(null);
     }
 
@@ -32,11 +34,11 @@
         this.serviceAverage = unlessTaught;
     }
 
-    double tokensPerNano() {
+    public double tokensPerNano() {
         return hasEnoughSamples() ? tokensPerMilli * 1e-6 : serviceAverage.tokensPerNano();
     }
 
-    double baseNanos() {
+    public double baseNanos() {
         return hasEnoughSamples() ? baseNanos : serviceAverage.baseNanos();
     }
 
@@ -45,16 +47,16 @@
     }
 
     /** Mean time of whole answers. */
-    double serviceNanos() {
+    public double serviceNanos() {
         return serviceNanos;
     }
 
-    double prefillNanos(double tokens) {
+    public double prefillNanos(double tokens) {
         return tokens / tokensPerNano();
     }
 
     /** A first event came that had waited for no other request of ours. */
-    void onFirstEvent(int tokensRead, double elapsedNanos) {
+    public void onFirstEvent(int tokensRead, double elapsedNanos) {
         if (serviceAverage != null) {
             serviceAverage.onFirstEvent(tokensRead, elapsedNanos);
         }
@@ -69,7 +71,7 @@
     }
 
     /** A whole answer came. */
-    void onAnswered(double elapsedNanos) {
+    public void onAnswered(double elapsedNanos) {
         double sample = Math.min(elapsedNanos, serviceNanos * 4);
         serviceNanos += (sample - serviceNanos) * 0.1;
     }
--- a/routing/src/main/java/burlarch/routing/InstanceHealth.java
+++ b/routing/src/main/java/burlarch/routing/instance/InstanceHealth.java
@@ -1,10 +1,12 @@
-package burlarch.routing;
+package burlarch.routing.instance;
+
+import burlarch.routing.AttemptOutcome;
 
 /**
  * Whether one instance may get requests. Failures in a row put it in doubt for a pause that doubles; after it
  * a single trial at a time goes out until one is answered. A rejection lets it rest shortly.
  */
-final class InstanceHealth {
+public final class InstanceHealth {
     /** Failures are weighed by how surely they tell of the instance and not of one request. */
     private static final int EJECTION_THRESHOLD = 6;
 
@@ -26,30 +28,30 @@
     private int trialsInFlight;
 
     /** In doubt and within its pause, or with a trial out. */
-    boolean isEjected(long nowNanos) {
+    public boolean isEjected(long nowNanos) {
         return isOutlier() && (nowNanos - backoffUntilNanos < 0 || trialsInFlight > 0);
     }
 
-    boolean isOutlier() {
+    public boolean isOutlier() {
         return failureWeight >= EJECTION_THRESHOLD;
     }
 
     /** Nothing at all connects there: it stays out, whatever part of its service that is. */
-    boolean isUnreachable() {
+    public boolean isUnreachable() {
         return isOutlier() && unreachable;
     }
 
-    boolean isResting(long nowNanos) {
+    public boolean isResting(long nowNanos) {
         return rejections > 0 && nowNanos - restUntilNanos < 0;
     }
 
     /** When it may be tried again; meaningful only while {@link #isEjected} or {@link #isResting}. */
-    long unavailableUntilNanos() {
+    public long unavailableUntilNanos() {
         return isOutlier() ? backoffUntilNanos : restUntilNanos;
     }
 
     /** Returns whether this send is a trial; {@link #onEnded} takes that back. */
-    boolean onSent() {
+    public boolean onSent() {
         if (isOutlier()) {
             trialsInFlight++;
             return true;
@@ -58,14 +60,14 @@
     }
 
     /** Something of an answer came. */
-    void onResponse() {
+    public void onResponse() {
         failureWeight = 0;
         backoffDoublings = -1;
         rejections = 0;
         unreachable = false;
     }
 
-    void onEnded(AttemptOutcome outcome, boolean trial, long sentNanos, long nowNanos) {
+    public void onEnded(AttemptOutcome outcome, boolean trial, long sentNanos, long nowNanos) {
         if (trial) {
             trialsInFlight--;
         }
--- a/routing/src/main/java/burlarch/routing/KvTransferSpeed.java
+++ b/routing/src/main/java/burlarch/routing/instance/KvTransferSpeed.java
@@ -1,7 +1,7 @@
-package burlarch.routing;
+package burlarch.routing.instance;
 
 /** How much longer than its link says moves to one instance take, as the last ones did. */
-final class KvTransferSpeed {
+public final class KvTransferSpeed {
     private static final double GAIN = 0.3;
     private static final double MAX_SLOWNESS = 30;
     /** How long a link that showed slow is taken for slow without new evidence. */
@@ -15,13 +15,13 @@
     private long updatedNanos;
 
     /** The factor, 1 or more. */
-    double slowness(long nowNanos) {
+    public double slowness(long nowNanos) {
         double fade = Math.max(0, 1 - (nowNanos - updatedNanos) / FADE_NANOS);
         return 1 + (slowness - 1) * fade;
     }
 
     /** A move that was to take so long came so much later than that. */
-    void onTransferEnded(double expectedNanos, double lateNanos, long nowNanos) {
+    public void onTransferEnded(double expectedNanos, double lateNanos, long nowNanos) {
         double before = slowness(nowNanos);
         double nominal = expectedNanos / before;
         if (nominal < MIN_SAMPLE_NANOS) {
--- a/routing/src/main/java/burlarch/routing/PrefillLoadEstimate.java
+++ b/routing/src/main/java/burlarch/routing/instance/PrefillLoadEstimate.java
@@ -1,10 +1,10 @@
-package burlarch.routing;
+package burlarch.routing.instance;
 
 /**
  * How busy an instance has been with reading lately, for whatever router, by the parts that its events name.
  * What waits there is not told; the busier it was, the longer the queue that is to be expected.
  */
-final class PrefillLoadEstimate {
+public final class PrefillLoadEstimate {
     private static final double FADE_NANOS = 5e8;
     /** Expected wait at a load of one half, about. */
     private static final double WAIT_NANOS = 8e7;
@@ -15,7 +15,7 @@
     private long updatedNanos;
 
     /** Its events tell that it has read something which alone takes so long. */
-    void onPrefilled(double nanos, long nowNanos) {
+    public void onPrefilled(double nanos, long nowNanos) {
         busyNanos = busy(nowNanos) + nanos;
         updatedNanos = nowNanos;
     }
@@ -26,7 +26,7 @@
     }
 
     /** How long a new request is to be expected to wait. */
-    double waitNanos(long nowNanos) {
+    public double waitNanos(long nowNanos) {
         double load = load(nowNanos);
         return WAIT_NANOS * load / (FULL_LOAD - load);
     }
--- a/routing/src/main/java/burlarch/routing/AttemptHistory.java
+++ b/routing/src/main/java/burlarch/routing/planner/AttemptHistory.java
@@ -1,5 +1,6 @@
-package burlarch.routing;
+package burlarch.routing.planner;
 
+import burlarch.routing.AttemptOutcome;
 import java.util.ArrayList;
 import java.util.LinkedHashMap;
 import java.util.List;
--- a/routing/src/main/java/burlarch/routing/CandidateSelector.java
+++ b/routing/src/main/java/burlarch/routing/planner/CandidateSelector.java
@@ -1,5 +1,7 @@
-package burlarch.routing;
+package burlarch.routing.planner;
 
+import burlarch.routing.RouteRequest;
+import burlarch.routing.instance.Engine;
 import java.util.ArrayList;
 import java.util.List;
 
--- a/routing/src/main/java/burlarch/routing/CostModel.java
+++ b/routing/src/main/java/burlarch/routing/planner/CostModel.java
@@ -1,13 +1,15 @@
-package burlarch.routing;
+package burlarch.routing.planner;
+
+import burlarch.routing.RouteRequest;
 
 /** The figures that the schedulers weigh, in one place. Times are nanoseconds. */
-final class CostModel {
+public final class CostModel {
     /** Prompt tokens that an engine reads in a millisecond, until its own first events tell. */
-    static final double START_TOKENS_PER_MILLI = 30;
+    public static final double START_TOKENS_PER_MILLI = 30;
     /** From sending to the first event of a request with nothing to read, until first events tell. */
-    static final long START_BASE_NANOS = 70_000_000L;
+    public static final long START_BASE_NANOS = 70_000_000L;
     /** What a plain server is taken to need for a request until its answers tell. */
-    static final long START_SERVICE_NANOS = 30_000_000L;
+    public static final long START_SERVICE_NANOS = 30_000_000L;
     /** Shared tokens that nobody keeps, from which a request is a fetch. Below lie roundings to blocks. */
     static final int MIN_FETCH_TOKENS = 64;
     /** Further tokens that a source has to keep for a move. */
--- a/routing/src/main/java/burlarch/routing/FleetPlanner.java
+++ b/routing/src/main/java/burlarch/routing/planner/FleetPlanner.java
@@ -1,4 +1,4 @@
-package burlarch.routing;
+package burlarch.routing.planner;
 
 import burlarch.configuration.Configuration;
 import burlarch.configuration.Configuration.Route;
@@ -7,7 +7,19 @@
 import burlarch.configuration.WeightedSplit;
 import burlarch.coordination.registry.Instance;
 import burlarch.coordination.registry.Instance.ServedModel;
-import burlarch.routing.index.PromptIndex;
+import burlarch.routing.AttemptOutcome;
+import burlarch.routing.CacheSalt;
+import burlarch.routing.KvEvents;
+import burlarch.routing.Placement;
+import burlarch.routing.Planner;
+import burlarch.routing.PlannerSettings;
+import burlarch.routing.RendezvousHash;
+import burlarch.routing.RouteRequest;
+import burlarch.routing.ServerLoad;
+import burlarch.routing.admission.FetchAdmission;
+import burlarch.routing.admission.RetryBudget;
+import burlarch.routing.index.PrefixCacheIndex;
+import burlarch.routing.instance.Engine;
 import java.util.Collection;
 import java.util.HashMap;
 import java.util.HashSet;
@@ -34,7 +46,7 @@
     private static final double INITIAL_FETCHES_PER_ENGINE = 10;
 
     private final PlannerSettings settings;
-    private final PromptIndex index = new PromptIndex();
+    private final PrefixCacheIndex index = new PrefixCacheIndex();
     private final Map<String, ServiceState> services = new HashMap<>();
     private final Map<String, Engine> engines = new HashMap<>();
     private final AttemptHistory history = new AttemptHistory();
@@ -180,13 +192,13 @@
     }
 
     private static Placement.Refuse refuseWithoutInstance(RouteRequest request, String reason, long nowNanos) {
-        long wait = (long) (NO_INSTANCE_RETRY_MILLIS * (0.5 + Rendezvous.unit(request.id())));
+        long wait = (long) (NO_INSTANCE_RETRY_MILLIS * (0.5 + RendezvousHash.unit(request.id())));
         return new Placement.Refuse(boundedRetryAfterMillis(request, wait, nowNanos), reason);
     }
 
     /** The same for each attempt of a request. */
     private static String serviceOf(RouteRequest request) {
-        return WeightedSplit.pick(request.route(), Rendezvous.hash(request.id()));
+        return WeightedSplit.pick(request.route(), RendezvousHash.hash(request.id()));
     }
 
     /** Whether and why a further attempt is not allowed, else null. */
@@ -284,7 +296,7 @@
     }
 
     private Placement.Refuse refuseAsBusy(RouteRequest request, double predictedNanos, long nowNanos) {
-        long wait = (long) (predictedNanos * 0.5e-6 * (0.5 + Rendezvous.unit(request.id())));
+        long wait = (long) (predictedNanos * 0.5e-6 * (0.5 + RendezvousHash.unit(request.id())));
         return new Placement.Refuse(boundedRetryAfterMillis(request, wait, nowNanos), "too much waits");
     }
 
--- a/routing/src/main/java/burlarch/routing/InFlightAttempt.java
+++ b/routing/src/main/java/burlarch/routing/planner/InFlightAttempt.java
@@ -1,4 +1,7 @@
-package burlarch.routing;
+package burlarch.routing.planner;
+
+import burlarch.routing.RouteRequest;
+import burlarch.routing.instance.Engine;
 
 /** An attempt, from its placement to its end. */
 final class InFlightAttempt {
--- a/routing/src/main/java/burlarch/routing/InFlightAttempts.java
+++ b/routing/src/main/java/burlarch/routing/planner/InFlightAttempts.java
@@ -1,6 +1,11 @@
-package burlarch.routing;
+package burlarch.routing.planner;
 
-import burlarch.routing.index.PromptIndex;
+import burlarch.routing.AttemptOutcome;
+import burlarch.routing.Placement;
+import burlarch.routing.RouteRequest;
+import burlarch.routing.ServerLoad;
+import burlarch.routing.index.PrefixCacheIndex;
+import burlarch.routing.instance.Engine;
 import java.util.ArrayDeque;
 import java.util.IdentityHashMap;
 import java.util.Map;
@@ -12,7 +17,7 @@
     /** Part of the aim, beyond what a request alone needs, after which its silence tells of a queue. */
     private static final double OVERDUE_FRACTION_OF_TARGET = 0.4;
 
-    private final PromptIndex index;
+    private final PrefixCacheIndex index;
     private final KvTransferPlanner transfers;
     private final AttemptHistory history;
     private final Map<Placement.Send, InFlightAttempt> prepared = new IdentityHashMap<>();
@@ -20,7 +25,7 @@
     /** Flights whose first event is awaited, about in the order in which they get overdue. */
     private final ArrayDeque<InFlightAttempt> awaitingFirstEvent = new ArrayDeque<>();
 
-    InFlightAttempts(PromptIndex index, KvTransferPlanner moves, AttemptHistory history) {
+    InFlightAttempts(PrefixCacheIndex index, KvTransferPlanner moves, AttemptHistory history) {
         this.index = index;
         this.transfers = moves;
         this.history = history;
--- a/routing/src/main/java/burlarch/routing/KvTransferPlanner.java
+++ b/routing/src/main/java/burlarch/routing/planner/KvTransferPlanner.java
@@ -1,8 +1,13 @@
-package burlarch.routing;
+package burlarch.routing.planner;
 
 import burlarch.configuration.Configuration.Service;
+import burlarch.routing.CacheSalt;
+import burlarch.routing.PlannerSettings;
+import burlarch.routing.RouteRequest;
 import burlarch.routing.RouteRequest.PromptSegment;
-import burlarch.routing.index.PromptIndex;
+import burlarch.routing.index.PrefixCacheIndex;
+import burlarch.routing.instance.Engine;
+import burlarch.routing.instance.StoreLivenessMonitor;
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.HashSet;
@@ -23,7 +28,7 @@
     record TransferSource(String address, int gainedTokens, long nanos) {}
 
     private final PlannerSettings settings;
-    private final PromptIndex index;
+    private final PrefixCacheIndex index;
     private final List<Service> stores = new ArrayList<>();
     /** By address. */
     private final Map<String, StoreLivenessMonitor> monitors = new HashMap<>();
@@ -31,7 +36,7 @@
     private final Map<String, Integer> lateTransfers = new HashMap<>();
     private final Map<String, Long> suspectUntil = new HashMap<>();
 
-    KvTransferPlanner(PlannerSettings settings, PromptIndex index) {
+    KvTransferPlanner(PlannerSettings settings, PrefixCacheIndex index) {
         this.settings = settings;
         this.index = index;
     }
--- a/routing/src/main/java/burlarch/routing/PlainScheduler.java
+++ b/routing/src/main/java/burlarch/routing/planner/PlainScheduler.java
@@ -1,5 +1,10 @@
-package burlarch.routing;
+package burlarch.routing.planner;
 
+import burlarch.routing.PlannerSettings;
+import burlarch.routing.RendezvousHash;
+import burlarch.routing.RouteRequest;
+import burlarch.routing.instance.Engine;
+import burlarch.routing.instance.EngineLoad;
 import java.util.List;
 
 /** Spreads requests that share nothing: to the server that is expected to answer first. */
@@ -18,14 +23,14 @@
 
     /** The best of some of the candidates, of which there is at least one. */
     SchedulingChoice choose(RouteRequest request, List<Engine> candidates, long nowNanos) {
-        long hash = Rendezvous.hash(request.id());
+        long hash = RendezvousHash.hash(request.id());
         int size = candidates.size();
         int start = (int) Long.remainderUnsigned(hash, size);
         double best = Double.MAX_VALUE;
         for (int i = 0; i < Math.min(size, SAMPLED_CANDIDATES); i++) {
             Engine engine = candidates.get((start + i) % size);
             double predicted = predictedNanos(engine, nowNanos);
-            double noise = (Rendezvous.weight(hash, engine.idHash) >>> 40) * 0x1.0p-24;
+            double noise = (RendezvousHash.weight(hash, engine.idHash) >>> 40) * 0x1.0p-24;
             double cost = cost(engine, predicted, nowNanos) * (1 + NOISE * noise);
             if (cost < best) {
                 best = cost;
--- a/routing/src/main/java/burlarch/routing/PromptScheduler.java
+++ b/routing/src/main/java/burlarch/routing/planner/PromptScheduler.java
@@ -1,7 +1,13 @@
-package burlarch.routing;
+package burlarch.routing.planner;
 
+import burlarch.routing.CacheSalt;
+import burlarch.routing.PlannerSettings;
+import burlarch.routing.RendezvousHash;
+import burlarch.routing.RouteRequest;
 import burlarch.routing.RouteRequest.PromptSegment;
-import burlarch.routing.index.PromptIndex;
+import burlarch.routing.index.PrefixCacheIndex;
+import burlarch.routing.instance.Engine;
+import burlarch.routing.instance.EngineLoad;
 import java.util.Arrays;
 import java.util.List;
 
@@ -11,7 +17,7 @@
  */
 final class PromptScheduler {
     private final PlannerSettings settings;
-    private final PromptIndex index;
+    private final PrefixCacheIndex index;
     private final KvTransferPlanner transfers;
     private final SchedulingChoice choice = new SchedulingChoice();
     private int[] cachedTokens = new int[16];
@@ -24,7 +30,7 @@
     private double[] predictedNanos = new double[16];
     private double[] costs = new double[16];
 
-    PromptScheduler(PlannerSettings settings, PromptIndex index, KvTransferPlanner moves) {
+    PromptScheduler(PlannerSettings settings, PrefixCacheIndex index, KvTransferPlanner moves) {
         this.settings = settings;
         this.index = index;
         this.transfers = moves;
@@ -193,7 +199,7 @@
         int chosen = -1;
         long highest = 0;
         for (int i = 0; i < size; i++) {
-            long weight = Rendezvous.weight(key, candidates.get(i).idHash);
+            long weight = RendezvousHash.weight(key, candidates.get(i).idHash);
             if (costs[i] <= least + CostModel.RENDEZVOUS_SLACK_NANOS
                     && (chosen < 0 || Long.compareUnsigned(weight, highest) > 0)) {
                 chosen = i;
--- a/routing/src/main/java/burlarch/routing/RequestCacheSalt.java
+++ b/routing/src/main/java/burlarch/routing/planner/RequestCacheSalt.java
@@ -1,6 +1,9 @@
-package burlarch.routing;
+package burlarch.routing.planner;
 
 import burlarch.configuration.Configuration.Tenant;
+import burlarch.routing.CacheSalt;
+import burlarch.routing.RouteRequest;
+import burlarch.routing.instance.Engine;
 
 /** The salts of one request, made anew only where the weights version of the next engine differs. */
 final class RequestCacheSalt {
--- a/routing/src/main/java/burlarch/routing/SchedulingChoice.java
+++ b/routing/src/main/java/burlarch/routing/planner/SchedulingChoice.java
@@ -1,4 +1,6 @@
-package burlarch.routing;
+package burlarch.routing.planner;
+
+import burlarch.routing.instance.Engine;
 
 /** Where a scheduler would send a request. Valid until its next call. */
 final class SchedulingChoice {
--- a/routing/src/main/java/burlarch/routing/ServiceState.java
+++ b/routing/src/main/java/burlarch/routing/planner/ServiceState.java
@@ -1,6 +1,10 @@
-package burlarch.routing;
+package burlarch.routing.planner;
 
 import burlarch.configuration.Configuration.Service;
+import burlarch.routing.admission.FetchAdmission;
+import burlarch.routing.admission.RetryBudget;
+import burlarch.routing.instance.Engine;
+import burlarch.routing.instance.EngineSpeed;
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.List;
--- a/routing/src/test/java/burlarch/routing/RetryBudgetTest.java
+++ b/routing/src/test/java/burlarch/routing/admission/RetryBudgetTest.java
@@ -1,4 +1,4 @@
-package burlarch.routing;
+package burlarch.routing.admission;
 
 import static org.assertj.core.api.Assertions.assertThat;
 
--- a/routing/src/test/java/burlarch/routing/EngineTest.java
+++ b/routing/src/test/java/burlarch/routing/instance/EngineTest.java
@@ -1,9 +1,10 @@
-package burlarch.routing;
+package burlarch.routing.instance;
 
-import static burlarch.routing.Fixture.MILLI;
-import static burlarch.routing.Fixture.SECOND;
+import static burlarch.routing.planner.Fixture.MILLI;
+import static burlarch.routing.planner.Fixture.SECOND;
 import static org.assertj.core.api.Assertions.assertThat;
 
+import burlarch.routing.planner.Fixture;
 import org.junit.jupiter.api.Test;
 
 class EngineTest {
--- a/routing/src/test/java/burlarch/routing/InstanceHealthTest.java
+++ b/routing/src/test/java/burlarch/routing/instance/InstanceHealthTest.java
@@ -1,7 +1,8 @@
-package burlarch.routing;
+package burlarch.routing.instance;
 
 import static org.assertj.core.api.Assertions.assertThat;
 
+import burlarch.routing.AttemptOutcome;
 import org.junit.jupiter.api.Test;
 
 class InstanceHealthTest {
--- a/routing/src/test/java/burlarch/routing/KvTransferSpeedTest.java
+++ b/routing/src/test/java/burlarch/routing/instance/KvTransferSpeedTest.java
@@ -1,7 +1,7 @@
-package burlarch.routing;
+package burlarch.routing.instance;
 
-import static burlarch.routing.Fixture.MILLI;
-import static burlarch.routing.Fixture.SECOND;
+import static burlarch.routing.planner.Fixture.MILLI;
+import static burlarch.routing.planner.Fixture.SECOND;
 import static org.assertj.core.api.Assertions.assertThat;
 
 import org.junit.jupiter.api.Test;
--- a/routing/src/test/java/burlarch/routing/StoreLivenessMonitorTest.java
+++ b/routing/src/test/java/burlarch/routing/instance/StoreLivenessMonitorTest.java
@@ -1,6 +1,6 @@
-package burlarch.routing;
+package burlarch.routing.instance;
 
-import static burlarch.routing.Fixture.MILLI;
+import static burlarch.routing.planner.Fixture.MILLI;
 import static org.assertj.core.api.Assertions.assertThat;
 
 import org.junit.jupiter.api.Test;
--- a/routing/src/test/java/burlarch/routing/FleetPlannerTest.java
+++ b/routing/src/test/java/burlarch/routing/planner/FleetPlannerTest.java
@@ -1,8 +1,8 @@
-package burlarch.routing;
+package burlarch.routing.planner;
 
-import static burlarch.routing.Fixture.MILLI;
-import static burlarch.routing.Fixture.MODEL;
-import static burlarch.routing.Fixture.SECOND;
+import static burlarch.routing.planner.Fixture.MILLI;
+import static burlarch.routing.planner.Fixture.MODEL;
+import static burlarch.routing.planner.Fixture.SECOND;
 import static org.assertj.core.api.Assertions.assertThat;
 
 import burlarch.configuration.Configuration.RouteType;
@@ -11,7 +11,12 @@
 import burlarch.coordination.registry.Instance;
 import burlarch.coordination.registry.Instance.ServedModel;
 import burlarch.coordination.registry.InstanceState;
+import burlarch.routing.AttemptOutcome;
+import burlarch.routing.KvEvents;
 import burlarch.routing.KvEvents.KvEvent;
+import burlarch.routing.Placement;
+import burlarch.routing.RouteRequest;
+import burlarch.routing.ServerLoad;
 import java.util.ArrayList;
 import java.util.Collections;
 import java.util.HashMap;
--- a/routing/src/test/java/burlarch/routing/FleetTrafficTest.java
+++ b/routing/src/test/java/burlarch/routing/planner/FleetTrafficTest.java
@@ -1,9 +1,9 @@
-package burlarch.routing;
+package burlarch.routing.planner;
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-import burlarch.routing.VirtualFleet.Kind;
-import burlarch.routing.VirtualFleet.Tally;
+import burlarch.routing.planner.VirtualFleet.Kind;
+import burlarch.routing.planner.VirtualFleet.Tally;
 import org.junit.jupiter.api.Test;
 
 /** Whole fleets in virtual time: some routers, six engines, dossiers and letters. */
--- a/routing/src/test/java/burlarch/routing/FloodedFleet.java
+++ b/routing/src/test/java/burlarch/routing/planner/FloodedFleet.java
@@ -1,8 +1,12 @@
-package burlarch.routing;
+package burlarch.routing.planner;
 
 import burlarch.configuration.Configuration.Tenant;
 import burlarch.coordination.registry.Instance;
+import burlarch.routing.AttemptOutcome;
+import burlarch.routing.Placement;
+import burlarch.routing.RouteRequest;
 import burlarch.routing.RouteRequest.PromptSegment;
+import burlarch.routing.ServerLoad;
 import java.util.List;
 import java.util.Random;
 
--- a/routing/src/test/java/burlarch/routing/LeavingInstancesTest.java
+++ b/routing/src/test/java/burlarch/routing/planner/LeavingInstancesTest.java
@@ -1,8 +1,12 @@
-package burlarch.routing;
+package burlarch.routing.planner;
 
 import static org.assertj.core.api.Assertions.assertThat;
 
 import burlarch.coordination.registry.Instance;
+import burlarch.routing.AttemptOutcome;
+import burlarch.routing.Placement;
+import burlarch.routing.PlannerSettings;
+import burlarch.routing.RouteRequest;
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
--- a/routing/src/test/java/burlarch/routing/SharedSegmentsTest.java
+++ b/routing/src/test/java/burlarch/routing/planner/SharedSegmentsTest.java
@@ -1,11 +1,14 @@
-package burlarch.routing;
+package burlarch.routing.planner;
 
-import static burlarch.routing.Fixture.MILLI;
-import static burlarch.routing.Fixture.MODEL;
-import static burlarch.routing.Fixture.SECOND;
+import static burlarch.routing.planner.Fixture.MILLI;
+import static burlarch.routing.planner.Fixture.MODEL;
+import static burlarch.routing.planner.Fixture.SECOND;
 import static org.assertj.core.api.Assertions.assertThat;
 
+import burlarch.routing.KvEvents;
 import burlarch.routing.KvEvents.KvEvent;
+import burlarch.routing.Placement;
+import burlarch.routing.RouteRequest;
 import burlarch.routing.RouteRequest.PromptSegment;
 import java.util.ArrayList;
 import java.util.HashSet;
--- a/routing/src/test/java/burlarch/routing/TenantBoundTest.java
+++ b/routing/src/test/java/burlarch/routing/planner/TenantBoundTest.java
@@ -1,7 +1,9 @@
-package burlarch.routing;
+package burlarch.routing.planner;
 
 import static org.assertj.core.api.Assertions.assertThat;
 
+import burlarch.routing.admission.FetchAdmission;
+import burlarch.routing.admission.RetryBudget;
 import java.util.Locale;
 import org.junit.jupiter.api.Test;
 
--- a/routing/src/test/java/burlarch/routing/VirtualEngine.java
+++ b/routing/src/test/java/burlarch/routing/planner/VirtualEngine.java
@@ -1,7 +1,12 @@
-package burlarch.routing;
+package burlarch.routing.planner;
 
 import burlarch.coordination.registry.Instance;
+import burlarch.routing.CacheSalt;
+import burlarch.routing.KvEvents;
+import burlarch.routing.Placement;
+import burlarch.routing.RouteRequest;
 import burlarch.routing.RouteRequest.PromptSegment;
+import burlarch.routing.ServerLoad;
 import java.util.ArrayDeque;
 import java.util.ArrayList;
 import java.util.Deque;
