--- a/fleet/src/main/java/burlarch/fleet/Commands.java
+++ b/fleet/src/main/java/burlarch/fleet/Commands.java
@@ -1,7 +1,7 @@
 package burlarch.fleet;
 
 import burlarch.controller.ControllerProgram;
-import burlarch.fleet.rehearsal.Rehearsal;
+import burlarch.fleet.training.ArchiveTrainingRun;
 import burlarch.node.NodeSettings;
 import burlarch.operator.ConfigCommand;
 import burlarch.router.RouterProgram;
@@ -38,16 +38,16 @@
         }
     }
 
-    /** {@code rehearse}; ends the process. */
-    public static final class Rehearse implements Command {
+    /** {@code rehearse}: the training run of the class archive; exits the process. */
+    public static final class ArchiveTraining implements Command {
         private static final long LONGEST_MILLIS = 60_000;
 
         @Override
         public void run(PrintStream output) throws Exception {
-            Thread watch = new Thread(Rehearse::haltLate, "watch");
+            Thread watch = new Thread(ArchiveTraining::haltLate, "watch");
             watch.setDaemon(true);
             watch.start();
-            Rehearsal.run();
+            ArchiveTrainingRun.run();
             System.exit(Main.DONE);
         }
 
--- a/fleet/src/main/java/burlarch/fleet/Main.java
+++ b/fleet/src/main/java/burlarch/fleet/Main.java
@@ -57,7 +57,7 @@
     @SubCommands({
         @SubCommand(name = "router", impl = Commands.Router.class),
         @SubCommand(name = "controller", impl = Commands.Controller.class),
-        @SubCommand(name = "rehearse", impl = Commands.Rehearse.class),
+        @SubCommand(name = "rehearse", impl = Commands.ArchiveTraining.class),
         @SubCommand(name = "config", impl = Commands.Config.class),
         @SubCommand(name = "check-settings", impl = Commands.CheckSettings.class)
     })
--- a/fleet/src/main/java/burlarch/fleet/rehearsal/Caller.java
+++ b/fleet/src/main/java/burlarch/fleet/training/BlockingHttpClient.java
@@ -1,4 +1,4 @@
-package burlarch.fleet.rehearsal;
+package burlarch.fleet.training;
 
 import java.io.BufferedInputStream;
 import java.io.EOFException;
@@ -7,31 +7,35 @@
 import java.net.Socket;
 import java.nio.charset.StandardCharsets;
 
-/** A client or operator on one connection. */
-final class Caller implements AutoCloseable {
+/** A client or operator with one HTTP/1.1 connection. Calls block; not thread-safe. */
+final class BlockingHttpClient implements AutoCloseable {
     private static final int TIMEOUT_MILLIS = 3000;
 
     private final Socket socket = new Socket();
     private final BufferedInputStream input;
 
-    Caller(InetSocketAddress address) throws IOException {
+    BlockingHttpClient(InetSocketAddress address) throws IOException {
         socket.setTcpNoDelay(true);
         socket.setSoTimeout(TIMEOUT_MILLIS);
         socket.connect(address, TIMEOUT_MILLIS);
         input = new BufferedInputStream(socket.getInputStream());
     }
 
-    /** Sends one request and reads its answer. */
-    HttpMessage ask(String method, String target, String headers, String body) throws IOException {
+    /**
+     * Sends one request and reads its response.
+     *
+     * @throws EOFException if the connection is closed before a response
+     */
+    HttpMessage call(String method, String target, String headers, String body) throws IOException {
         send(method, target, headers, body);
-        HttpMessage answer = HttpMessage.read(input);
-        if (answer == null) {
-            throw new EOFException("closed without an answer to " + method + " " + target);
+        HttpMessage response = HttpMessage.read(input);
+        if (response == null) {
+            throw new EOFException("connection closed before the response to " + method + " " + target);
         }
-        return answer;
+        return response;
     }
 
-    /** Sends one request; {@code headers} end with a line break each. */
+    /** Sends one request without reading the response; each line of {@code headers} ends with CRLF. */
     void send(String method, String target, String headers, String body) throws IOException {
         String text = method + " " + target + " HTTP/1.1\r\nHost: a.example\r\n" + headers + "Content-Length: "
                 + body.length() + "\r\n\r\n" + body;
--- a/fleet/src/main/java/burlarch/fleet/rehearsal/HttpMessage.java
+++ b/fleet/src/main/java/burlarch/fleet/training/HttpMessage.java
@@ -1,4 +1,4 @@
-package burlarch.fleet.rehearsal;
+package burlarch.fleet.training;
 
 import java.io.ByteArrayOutputStream;
 import java.io.EOFException;
@@ -8,30 +8,31 @@
 import java.util.Locale;
 
 /**
- * One HTTP/1.1 message as a stand-in reads it.
+ * One HTTP/1.1 request or response, as far as the training run needs it.
  *
- * @param head first line and headers, without the empty line
+ * @param head start line and header lines, without the empty line
+ * @param body decoded from the chunked transfer coding where that was used
  */
 record HttpMessage(String head, String body) {
     private static final String END_OF_HEAD = "\r\n\r\n";
     private static final int HEX = 16;
 
-    /** Reads the next message; null where the peer has closed instead. */
+    /** Reads the next message; returns null if the peer closed the connection instead. */
     static HttpMessage read(InputStream input) throws IOException {
-        String head = upTo(END_OF_HEAD, input);
+        String head = readUntil(END_OF_HEAD, input);
         if (head == null) {
             return null;
         }
-        HttpMessage bare = new HttpMessage(head, "");
-        if (bare.header("transfer-encoding") != null) {
-            return new HttpMessage(head, chunks(input));
+        HttpMessage headOnly = new HttpMessage(head, "");
+        if (headOnly.header("transfer-encoding") != null) {
+            return new HttpMessage(head, readChunks(input));
         }
-        String length = bare.header("content-length");
+        String length = headOnly.header("content-length");
         byte[] body = length == null ? new byte[0] : input.readNBytes(Integer.parseInt(length));
         return new HttpMessage(head, new String(body, StandardCharsets.ISO_8859_1));
     }
 
-    /** Code of an answer. */
+    /** Status code of a response. */
     int status() {
         return Integer.parseInt(head.split(" ", 3)[1]);
     }
@@ -41,7 +42,7 @@
         return head.split(" ", 3)[1];
     }
 
-    /** The value of a header, named in lower case; null without it. */
+    /** Value of the header of that lower-case name, or null if there is none. */
     String header(String name) {
         int at = head.toLowerCase(Locale.ROOT).indexOf("\r\n" + name + ":");
         if (at < 0) {
@@ -52,23 +53,23 @@
         return head.substring(from, to < 0 ? head.length() : to).strip();
     }
 
-    private static String chunks(InputStream input) throws IOException {
+    private static String readChunks(InputStream input) throws IOException {
         StringBuilder body = new StringBuilder();
         while (true) {
-            String size = upTo("\r\n", input);
+            String size = readUntil("\r\n", input);
             if (size == null) {
-                throw new EOFException("cut off");
+                throw new EOFException("connection closed inside a chunked body");
             }
             int length = Integer.parseInt(size, HEX);
             body.append(new String(input.readNBytes(length), StandardCharsets.ISO_8859_1));
-            upTo("\r\n", input);
+            readUntil("\r\n", input);
             if (length == 0) {
                 return body.toString();
             }
         }
     }
 
-    private static String upTo(String end, InputStream input) throws IOException {
+    private static String readUntil(String end, InputStream input) throws IOException {
         ByteArrayOutputStream text = new ByteArrayOutputStream();
         int matched = 0;
         while (matched < end.length()) {
--- a/fleet/src/main/java/burlarch/fleet/rehearsal/Place.java
+++ b/fleet/src/main/java/burlarch/fleet/training/LoopbackFleetSettings.java
@@ -1,4 +1,4 @@
-package burlarch.fleet.rehearsal;
+package burlarch.fleet.training;
 
 import burlarch.node.NodeSettings;
 import burlarch.settings.SettingsException;
@@ -11,9 +11,9 @@
 import java.util.concurrent.ThreadLocalRandom;
 import java.util.stream.Stream;
 
-/** Addresses of loopback and a folder, where the rehearsal's processes are set up. */
-final class Place {
-    /** Loopback has an address for each machine, as the port of messages is alike on all. */
+/** Settings files, loopback addresses and data folders for the programs of one training run, in a temporary folder. */
+final class LoopbackFleetSettings {
+    /** Each program has a loopback address of its own because the node port is the same on all machines. */
     private static final String NETWORK = "127.0.0.";
 
     static final int CONTROLLERS = 2;
@@ -28,15 +28,15 @@
     private final int frontPort;
     private final int readinessPort;
 
-    Place() throws IOException {
-        folder = Files.createTempDirectory("burlarch-rehearsal");
+    LoopbackFleetSettings() throws IOException {
+        folder = Files.createTempDirectory("burlarch-training");
         nodePort = freePort();
         controlPort = freePort();
         frontPort = freePort();
         readinessPort = freePort();
     }
 
-    /** A port that is free at all addresses, below those that the system gives to outgoing connections. */
+    /** Returns a port that is free on all addresses, below the range that the system uses for outgoing connections. */
     private static int freePort() throws IOException {
         for (int attempt = 0; attempt < ATTEMPTS; attempt++) {
             int port = ThreadLocalRandom.current().nextInt(FIRST_PORT, LAST_PORT);
@@ -46,20 +46,20 @@
                 continue;
             }
         }
-        throw new IOException("rehearsal: no port is free");
+        throw new IOException("training run: no port is free");
     }
 
-    /** Settings of a controller, numbered from 1, with a disk. */
+    /** Writes and loads the settings of a controller, numbered from 1, with a data folder. */
     NodeSettings controller(int number) throws IOException, SettingsException {
         Path disk = Files.createDirectories(folder.resolve("disk-" + number));
         return load(
                 "controller-" + number,
                 number,
                 "serves = [\"control_plane\"]\ncounts_for_quorum = true\n" + "data_dir = \"" + disk + "\"\n",
-                "control = \"" + control(number) + "\"\n");
+                "control = \"" + controlAddress(number) + "\"\n");
     }
 
-    /** Settings of the router. */
+    /** Writes and loads the settings of the router. */
     NodeSettings router() throws IOException, SettingsException {
         return load(
                 "router",
@@ -99,16 +99,24 @@
                 fencing = true
                 lease_ms = 3000
                 """
-                        .formatted(name, NETWORK + number, nodePort, nodePort, control(1), control(2), more, listen));
+                        .formatted(
+                                name,
+                                NETWORK + number,
+                                nodePort,
+                                nodePort,
+                                controlAddress(1),
+                                controlAddress(2),
+                                more,
+                                listen));
         return NodeSettings.load(file);
     }
 
-    private String control(int number) {
+    private String controlAddress(int number) {
         return NETWORK + number + ":" + controlPort;
     }
 
-    /** Removes the folder with what the processes wrote. */
-    void remove() throws IOException {
+    /** Deletes the temporary folder with all that the programs wrote. */
+    void deleteFolder() throws IOException {
         try (Stream<Path> files = Files.walk(folder)) {
             for (Path file : files.sorted(Comparator.reverseOrder()).toList()) {
                 Files.deleteIfExists(file);
--- a/fleet/src/main/java/burlarch/fleet/rehearsal/StandInEngine.java
+++ b/fleet/src/main/java/burlarch/fleet/training/StandInEngine.java
@@ -1,4 +1,4 @@
-package burlarch.fleet.rehearsal;
+package burlarch.fleet.training;
 
 import java.io.BufferedInputStream;
 import java.io.IOException;
@@ -10,15 +10,16 @@
 import java.util.concurrent.atomic.AtomicInteger;
 
 /**
- * What the rehearsal sends requests to: says yes to all, in the forms that engines and plain services use.
+ * A minimal engine and plain service for the training run. It accepts every request, speaks the forms of both, and
+ * rejects some plain requests so that the router's retry path runs. One daemon thread per connection.
  */
 final class StandInEngine implements AutoCloseable {
     private static final int BACKLOG = 50;
-    private static final long HOLD_MILLIS = 200;
+    private static final long EVENTS_WAIT_MILLIS = 200;
     private static final long EVENT_PAUSE_MILLIS = 5;
     private static final int EVENTS = 4;
-    /** Every so many plain requests one is turned away. */
-    private static final int TURNED_AWAY = 5;
+    /** One of so many plain requests is rejected as not run. */
+    private static final int REJECT_EVERY = 5;
 
     private final ServerSocket listener;
     private final AtomicInteger plainRequests = new AtomicInteger();
@@ -27,7 +28,7 @@
 
     StandInEngine(InetAddress address) throws IOException {
         listener = new ServerSocket(0, BACKLOG, address);
-        daemon(this::accept);
+        startDaemon(this::accept);
     }
 
     /** IP:PORT. */
@@ -35,12 +36,12 @@
         return listener.getInetAddress().getHostAddress() + ":" + listener.getLocalPort();
     }
 
-    /** Version of the weights that it was last ordered to hold. */
+    /** Weights version of the last order, or 1. */
     long version() {
         return version;
     }
 
-    private static void daemon(Runnable work) {
+    private static void startDaemon(Runnable work) {
         Thread thread = new Thread(work, "stand-in-engine");
         thread.setDaemon(true);
         thread.start();
@@ -50,10 +51,10 @@
         try {
             while (true) {
                 Socket peer = listener.accept();
-                daemon(() -> serve(peer));
+                startDaemon(() -> serve(peer));
             }
         } catch (IOException closed) {
-            // The rehearsal is over.
+            // close() was called: the run is over.
         }
     }
 
@@ -61,21 +62,21 @@
         try (peer) {
             BufferedInputStream input = new BufferedInputStream(peer.getInputStream());
             for (HttpMessage next = HttpMessage.read(input); next != null; next = HttpMessage.read(input)) {
-                answer(next, peer.getOutputStream());
+                respond(next, peer.getOutputStream());
             }
         } catch (IOException closed) {
-            // The router has closed it.
+            // The router closed the connection.
         }
     }
 
-    private void answer(HttpMessage request, OutputStream output) throws IOException {
+    private void respond(HttpMessage request, OutputStream output) throws IOException {
         String target = request.target();
         if (target.startsWith("/burlarch/kv-events")) {
-            pause(HOLD_MILLIS);
+            pause(EVENTS_WAIT_MILLIS);
             int number = kvEvents.incrementAndGet();
             write(
                     output,
-                    whole(
+                    completeResponse(
                             request,
                             200,
                             "",
@@ -84,7 +85,7 @@
         } else if (target.startsWith("/burlarch/report")) {
             write(
                     output,
-                    whole(
+                    completeResponse(
                             request,
                             200,
                             "",
@@ -92,18 +93,18 @@
                                     + ",\"busy\":false,\"sequence\":0,\"queued\":0,\"running\":0,\"kv_used\":0,"
                                     + "\"kv_total\":90000,\"handles\":0}"));
         } else if (target.startsWith("/burlarch/order")) {
-            version = Rehearsal.NAMED_VERSION;
-            write(output, whole(request, 202, "", "{}"));
+            version = ArchiveTrainingRun.NAMED_VERSION;
+            write(output, completeResponse(request, 202, "", "{}"));
         } else if (target.startsWith("/stream/")) {
             stream(request, output);
-        } else if (plainRequests.incrementAndGet() % TURNED_AWAY == 0) {
-            write(output, whole(request, 503, "X-Not-Executed: full\r\n", ""));
+        } else if (plainRequests.incrementAndGet() % REJECT_EVERY == 0) {
+            write(output, completeResponse(request, 503, "X-Not-Executed: full\r\n", ""));
         } else {
-            write(output, whole(request, 200, "X-Server-Load: 1,0,8\r\n", "done"));
+            write(output, completeResponse(request, 200, "X-Server-Load: 1,0,8\r\n", "done"));
         }
     }
 
-    /** What it says of its models, as in announcements and reports. */
+    /** JSON list of its models, as in heartbeats and reports. */
     String models() {
         return "[{\"name\":\"m\",\"config_version\":" + version + ",\"adapters\":[]}]";
     }
@@ -111,7 +112,7 @@
     private void stream(HttpMessage request, OutputStream output) throws IOException {
         write(
                 output,
-                head(
+                responseHead(
                         request,
                         200,
                         "Content-Type: text/event-stream\r\nVersions: " + version
@@ -124,14 +125,14 @@
         write(output, "0\r\n\r\n");
     }
 
-    private static String whole(HttpMessage request, int status, String more, String body) {
-        return head(request, status, more + "Content-Length: " + body.length() + "\r\n") + body;
+    private static String completeResponse(HttpMessage request, int status, String moreHeaders, String body) {
+        return responseHead(request, status, moreHeaders + "Content-Length: " + body.length() + "\r\n") + body;
     }
 
-    private static String head(HttpMessage request, int status, String more) {
+    private static String responseHead(HttpMessage request, int status, String moreHeaders) {
         String id = request.header("x-request-id");
         return "HTTP/1.1 " + status + " Said\r\n" + (id == null ? "" : "X-Request-Id: " + id + "\r\n")
-                + "X-Response-Signature: stamp\r\nKeep-Alive: timeout=10\r\n" + more + "\r\n";
+                + "X-Response-Signature: stamp\r\nKeep-Alive: timeout=10\r\n" + moreHeaders + "\r\n";
     }
 
     private static void write(OutputStream output, String text) throws IOException {
