--- a/controller/src/main/java/burlarch/controller/rollout/RolloutCoordinator.java
+++ b/controller/src/main/java/burlarch/controller/rollout/RolloutCoordinator.java
@@ -84,7 +84,9 @@
             if (action instanceof RolloutAction.SendOrder order) {
                 sendOrder(order);
             } else if (action instanceof RolloutAction.MarkLoading mark) {
-                mark(mark);
+                registry.beginLoading(mark.instanceId(), loop.nanoTime());
+            } else if (action instanceof RolloutAction.ClearLoading clear) {
+                registry.endLoading(clear.instanceId());
             } else if (action instanceof RolloutAction.RequestReport ask) {
                 requestReport(ask.instanceId());
             } else if (action instanceof RolloutAction.Timer next) {
@@ -96,14 +98,6 @@
         publisher.sendInstances();
     }
 
-    private void mark(RolloutAction.MarkLoading mark) {
-        if (mark.loading()) {
-            registry.beginLoading(mark.instanceId(), loop.nanoTime());
-        } else {
-            registry.endLoading(mark.instanceId());
-        }
-    }
-
     private void sendOrder(RolloutAction.SendOrder order) {
         Optional<Instance> instance = registry.find(order.instanceId());
         if (instance.isEmpty() || !ownership.mayAct()) {
@@ -128,12 +122,11 @@
     private void requestReport(String id) {
         Optional<Instance> instance = registry.find(id);
         if (instance.isEmpty()) {
-            loop.execute(() -> perform(rollout.onReport(id, null, loop.nanoTime())));
+            loop.execute(() -> perform(rollout.onReport(id, Optional.empty(), loop.nanoTime())));
             return;
         }
         engines.report(address(instance.get()))
-                .thenAccept(report ->
-                        loop.execute(() -> perform(rollout.onReport(id, report.orElse(null), loop.nanoTime()))));
+                .thenAccept(report -> loop.execute(() -> perform(rollout.onReport(id, report, loop.nanoTime()))));
     }
 
     private static EngineAddress address(Instance instance) {
--- a/coordination/src/main/java/burlarch/coordination/rollout/EngineReport.java
+++ b/coordination/src/main/java/burlarch/coordination/rollout/EngineReport.java
@@ -4,20 +4,26 @@
 import java.util.List;
 
 /**
- * What an engine tells of itself; it stands as of some hundred milliseconds before the answer.
+ * What an engine reports of itself. It describes the engine as it was some hundred milliseconds before the response.
  *
- * @param models with the versions of weights that it has
- * @param busy whether an order is under way
- * @param sequence orders taken since its start
- * @param queued requests that wait
- * @param running requests that run
- * @param kvUsed tokens of memory that can't give way
- * @param kvTotal tokens of memory
+ * @param models the models with the loaded versions of weights
+ * @param busy whether an order is being executed
+ * @param orderSequence how many orders it has accepted since its start
+ * @param queuedRequests requests that wait
+ * @param runningRequests requests in progress
+ * @param kvUsedTokens tokens of KV memory in use that can't be evicted
+ * @param kvTotalTokens tokens of KV memory
  */
 public record EngineReport(
-        List<ServedModel> models, boolean busy, long sequence, int queued, int running, long kvUsed, long kvTotal) {
+        List<ServedModel> models,
+        boolean busy,
+        long orderSequence,
+        int queuedRequests,
+        int runningRequests,
+        long kvUsedTokens,
+        long kvTotalTokens) {
 
-    /** The version of the model's weights, 0 where the engine doesn't have that model. */
+    /** The version of the model's weights, 0 if the engine doesn't have that model. */
     public long version(String model) {
         for (int i = 0; i < models.size(); i++) {
             if (models.get(i).name().equals(model)) {
--- a/coordination/src/main/java/burlarch/coordination/rollout/EngineRollout.java
+++ b/coordination/src/main/java/burlarch/coordination/rollout/EngineRollout.java
@@ -1,277 +1,380 @@
 package burlarch.coordination.rollout;
 
 import burlarch.coordination.registry.Instance;
+import burlarch.coordination.rollout.RolloutAction.ClearLoading;
 import burlarch.coordination.rollout.RolloutAction.MarkLoading;
 import burlarch.coordination.rollout.RolloutAction.RequestReport;
 import burlarch.coordination.rollout.RolloutAction.SendOrder;
 import java.util.List;
+import java.util.Optional;
+import java.util.OptionalLong;
 import java.util.concurrent.TimeUnit;
 
-/** One incarnation of an engine and the steps of its order. */
-final class EngineRollout extends EngineStatus {
-    /** Where the order stands. */
+/**
+ * The order to one incarnation of an engine. {@link #moveTo} makes every transition:
+ *
+ * <pre>
+ * from              event                                                            to                action
+ * IDLE              begin: chosen to load                                            WITHDRAWN         MarkLoading
+ * IDLE              adopt: a former owner marked it, and it is behind                UNCONFIRMED
+ * IDLE              adopt: a former owner marked it, and it is not behind            IDLE              ClearLoading
+ * WITHDRAWN         the withdrawal lead is over                                      ORDERED           SendOrder
+ * WITHDRAWN         it needs no order any more, drains or is gone; ownership lost    IDLE              ClearLoading
+ * ORDERED           result ACCEPTED, CONFLICT or NO_RESPONSE; response time-out;
+ *                   ownership lost                                                   UNCONFIRMED
+ * ORDERED           result FENCED, INVALID or MISDIRECTED                            IDLE              ClearLoading
+ * UNCONFIRMED       the next report is due                                           REPORT_REQUESTED  RequestReport
+ * REPORT_REQUESTED  response time-out                                                REPORT_REQUESTED  RequestReport
+ * REPORT_REQUESTED  a report that decides nothing, or none; ownership acquired       UNCONFIRMED
+ * REPORT_REQUESTED  a report that shows that the order was not accepted              WITHDRAWN
+ * ORDERED, UNCONFIRMED, REPORT_REQUESTED
+ *                   the ordered version is loaded                                    IDLE              ClearLoading
+ *                   the ordered version is loaded, but a newer one is named          WITHDRAWN
+ * </pre>
+ *
+ * <p>Invariants:
+ *
+ * <ul>
+ *   <li><em>Withdrawn while ordered</em>: routers were told by this process, or a former owner, that the engine loads,
+ *       exactly while the phase isn't IDLE. This process ends its own mark also after it lost the ownership, as no other
+ *       can.
+ *   <li><em>No second order on doubt</em>: the same weights are ordered again only after a report that shows that the
+ *       order before was not accepted. The report must be younger than the result of that order by the staleness of
+ *       reports, and the new order expects the report's sequence, so that a late first order can't make it two.
+ * </ul>
+ */
+final class EngineRollout {
+    /** How far the order is. */
     enum Phase {
-        /** None is out. */
+        /** No order; routers send requests. */
         IDLE,
-        /** Routers are being told; the order follows. */
-        MARKED,
-        /** Sent, without a result yet. */
+        /** Routers are told to send nothing; the order follows. */
+        WITHDRAWN,
+        /** The order was sent and has no result yet. */
         ORDERED,
-        /** Taken, or perhaps taken: a report or a registration tells. */
-        WAITING
-    }
+        /** The order was accepted, or may have been; registrations and reports tell. */
+        UNCONFIRMED,
+        /** As UNCONFIRMED, and a report was requested. */
+        REPORT_REQUESTED;
 
-    private static final long ANSWER_BOUND = TimeUnit.SECONDS.toNanos(3);
-    private static final long REFUSED_PAUSE = TimeUnit.SECONDS.toNanos(1);
-    private static final long LONGEST_REPORT_PAUSE = TimeUnit.SECONDS.toNanos(2);
-    /** For how long registrations may show a mark that is no more. */
-    private static final long SNAPSHOT_LAG = TimeUnit.SECONDS.toNanos(2);
+        boolean canMoveTo(Phase next) {
+            return switch (this) {
+                case IDLE -> next == WITHDRAWN || next == UNCONFIRMED;
+                case WITHDRAWN -> next == ORDERED || next == IDLE;
+                case ORDERED -> next == UNCONFIRMED || next == WITHDRAWN || next == IDLE;
+                case UNCONFIRMED -> next == REPORT_REQUESTED || next == WITHDRAWN || next == IDLE;
+                case REPORT_REQUESTED -> next == UNCONFIRMED || next == WITHDRAWN || next == IDLE;
+            };
+        }
+    }
 
+    private static final long RESPONSE_TIMEOUT_NANOS = TimeUnit.SECONDS.toNanos(3);
+    private static final long REJECTED_PAUSE_NANOS = TimeUnit.SECONDS.toNanos(1);
+    private static final long MAX_REPORT_INTERVAL_NANOS = TimeUnit.SECONDS.toNanos(2);
+    /** For how long registrations may show a mark that was cleared. */
+    private static final long SNAPSHOT_LAG_NANOS = TimeUnit.SECONDS.toNanos(2);
+    /** Between two reports passes the order's age divided by this, within bounds. */
     private static final int REPORTS_PER_AGE = 8;
-    private static final double EARLY_REPORT = 0.9;
+    /** The first report after an accepted order comes at this part of the time that loads have taken. */
+    private static final double EARLY_REPORT_FRACTION = 0.9;
 
     private final RolloutSettings settings;
+    private final RolloutOwnership ownership;
     private final List<RolloutAction> actions;
+    private final EngineStatus status;
     private Phase phase = Phase.IDLE;
-    /** Whether this process has told routers to send nothing. */
-    private boolean marked;
-
-    private long unmarkedAt;
-    private long notBefore;
+    private long clearedAtNanos;
+    private long notBeforeNanos;
     private RolloutTarget target;
     private long version;
-    private long fenceToken;
-    private long revision = SendOrder.ANY_SEQUENCE;
+    private long fencingToken;
+    private long expectedSequence = SendOrder.ANY_SEQUENCE;
+    /** Orders sent since the engine was withdrawn; 0 for an adopted one. */
     private int attempts;
-    private long orderAt;
-    private long sentAt;
-    private long resultAt;
-    private long reportAt;
-    private long reportAskedAt;
-    private boolean reportPending;
-
-    /** @param actions gets what is to be done */
-    EngineRollout(RolloutSettings settings, List<RolloutAction> actions, Instance instance, long now) {
-        super(instance);
+
+    private long orderAtNanos;
+    private long sentAtNanos;
+    /** Reports made earlier than this plus their staleness can't tell whether the order was accepted. */
+    private long resultAtNanos;
+
+    private long reportAtNanos;
+    private long reportRequestedAtNanos;
+
+    /** @param actions receives what is to be done */
+    EngineRollout(
+            RolloutSettings settings,
+            RolloutOwnership ownership,
+            List<RolloutAction> actions,
+            Instance instance,
+            long nowNanos) {
         this.settings = settings;
+        this.ownership = ownership;
         this.actions = actions;
-        this.notBefore = now;
-        this.unmarkedAt = now - SNAPSHOT_LAG;
+        this.status = new EngineStatus(instance);
+        this.notBeforeNanos = nowNanos;
+        this.clearedAtNanos = nowNanos - SNAPSHOT_LAG_NANOS;
     }
 
-    boolean idle() {
-        return phase == Phase.IDLE;
+    EngineStatus status() {
+        return status;
     }
 
-    boolean startable(long now) {
-        return phase == Phase.IDLE && now - notBefore >= 0;
+    boolean isIdle() {
+        return phase == Phase.IDLE;
     }
 
-    /** Whether an order for that target holds the engine out of service, or is about to. */
-    boolean underway(RolloutTarget wanted) {
-        return present() && phase != Phase.IDLE && target == wanted;
+    boolean isStartable(long nowNanos) {
+        return phase == Phase.IDLE && nowNanos - notBeforeNanos >= 0;
     }
 
-    /** Since when the order is out, 0 where it isn't yet. */
-    long age(long now) {
-        return phase == Phase.MARKED ? 0 : now - sentAt;
+    /** Whether an order for that target keeps the engine out of service, or is about to. */
+    boolean isLoading(RolloutTarget wanted) {
+        return status.isPresent() && phase != Phase.IDLE && target == wanted;
     }
 
-    private boolean holdsOrdered() {
-        return holds(target.model, version);
+    /** How long the order has been out, 0 before it is sent. */
+    long ageNanos(long nowNanos) {
+        return phase == Phase.WITHDRAWN ? 0 : nowNanos - sentAtNanos;
     }
 
-    /** Tells routers; the order follows once they have had the time to hear. */
-    void begin(RolloutTarget wanted, long now) {
+    /** Withdraws the engine from routers; the order follows once they have had the time to learn of it. */
+    void begin(RolloutTarget wanted, long nowNanos) {
+        moveTo(Phase.WITHDRAWN);
         target = wanted;
-        phase = Phase.MARKED;
-        orderAt = marked ? now : now + settings.withdrawalLeadNanos();
-        if (!marked) {
-            marked = true;
-            actions.add(new MarkLoading(id(), true));
-        }
+        orderAtNanos = nowNanos + settings.withdrawalLeadNanos();
+        actions.add(new MarkLoading(status.id()));
     }
 
-    /** Whether an owner before this one has told routers to send nothing. */
-    boolean adoptable(long now) {
-        return phase == Phase.IDLE && announcedLoading() && now - unmarkedAt >= SNAPSHOT_LAG;
+    /** Whether a former owner has withdrawn the engine from routers. */
+    boolean isAdoptable(long nowNanos) {
+        return phase == Phase.IDLE && status.isAnnouncedLoading() && nowNanos - clearedAtNanos >= SNAPSHOT_LAG_NANOS;
     }
 
-    /** An owner before this one has told routers: the engine may have an order for that target, or null. */
-    void adopt(RolloutTarget wanted, long now) {
-        marked = true;
-        if (wanted == null) {
-            unmark(now);
+    /**
+     * Takes over an engine that a former owner has withdrawn.
+     *
+     * @param behind the target for which it may have an order; empty if it needs none
+     */
+    void adopt(Optional<RolloutTarget> behind, long nowNanos) {
+        if (behind.isEmpty()) {
+            clearMark(nowNanos);
             return;
         }
-        target = wanted;
-        version = wanted.version;
-        sentAt = now;
-        await(now - settings.reportStalenessNanos(), now);
+        target = behind.get();
+        version = target.version;
+        sentAtNanos = nowNanos;
+        awaitConfirmation(nowNanos - settings.reportStalenessNanos(), nowNanos);
     }
 
-    /** What a registration shows. */
-    void observe(boolean owner, long now) {
-        if ((phase == Phase.ORDERED || phase == Phase.WAITING) && holdsOrdered()) {
-            finish(owner, now);
-        } else if (phase == Phase.MARKED && !serves(target)) {
-            giveUp(now, 0);
+    /** The registrations have changed. */
+    void onStatusChanged(long nowNanos) {
+        if (isOrderOut() && isOrderedVersionLoaded()) {
+            finish(nowNanos);
+        } else if (phase == Phase.WITHDRAWN && !status.serves(target)) {
+            giveUp(nowNanos, 0);
         }
     }
 
-    /** The ownership has ended: what was ordered is uncertain from now on. */
-    void onOwnershipLost(long now) {
-        if (phase == Phase.MARKED) {
-            giveUp(now, 0);
+    /** The ownership has ended: whether what was ordered was accepted is uncertain from now on. */
+    void onOwnershipLost(long nowNanos) {
+        if (phase == Phase.WITHDRAWN) {
+            giveUp(nowNanos, 0);
         } else if (phase == Phase.ORDERED) {
-            await(now, now + settings.reportStalenessNanos());
+            awaitConfirmation(nowNanos, nowNanos + settings.reportStalenessNanos());
         }
     }
 
-    void onOwnership(long now) {
-        if (phase == Phase.WAITING) {
-            reportAt = now;
-            reportPending = false;
+    /** The ownership is held anew. */
+    void onOwnershipAcquired(long nowNanos) {
+        if (isUnconfirmed()) {
+            onReportAnswered();
+            reportAtNanos = nowNanos;
         }
     }
 
-    /** Whether the result tells that the fencing token of now is too low. */
-    boolean onResult(OrderResult result, long currentToken, boolean owner, long now) {
+    /** @return whether the engine has seen a higher fencing token than the present one */
+    boolean onResult(OrderResult result, long nowNanos) {
         if (phase != Phase.ORDERED) {
             return false;
         }
         switch (result) {
-            case ACCEPTED -> await(
-                    now,
-                    Math.max(
-                            now + settings.reportIntervalNanos(),
-                            sentAt + (long) (EARLY_REPORT * target.concurrency.estimateNanos())));
+            case ACCEPTED -> awaitConfirmation(nowNanos, firstReportAtNanos(nowNanos));
             case ALREADY_LOADED -> {
-                onVersion(target.model, version);
-                finish(owner, now);
+                status.onVersion(target.model, version);
+                finish(nowNanos);
             }
-            case FENCED -> {
-                giveUp(now, 0);
-                return fenceToken == currentToken;
-            }
-            case INVALID, MISDIRECTED -> giveUp(now, REFUSED_PAUSE);
-            case CONFLICT, NO_RESPONSE -> await(now, now + settings.reportStalenessNanos());
-        }
-        return false;
-    }
-
-    /** @param report null where none came */
-    void onReport(EngineReport report, boolean owner, long now) {
-        boolean asked = reportPending;
-        reportPending = false;
-        reportAt = now
-                + Math.min(
-                        LONGEST_REPORT_PAUSE,
-                        Math.max(settings.reportIntervalNanos(), (now - sentAt) / REPORTS_PER_AGE));
-        if (report == null) {
-            return;
-        }
-        onModels(report.models());
-        onRunning(report.running());
-        if (phase == Phase.WAITING && !report.busy()) {
-            onAtRest(report.sequence(), asked, owner, now);
+            case FENCED -> giveUp(nowNanos, 0);
+            case INVALID, MISDIRECTED -> giveUp(nowNanos, REJECTED_PAUSE_NANOS);
+            case CONFLICT, NO_RESPONSE -> awaitConfirmation(nowNanos, nowNanos + settings.reportStalenessNanos());
         }
+        return result == OrderResult.FENCED && fencingToken == ownership.fencingToken();
     }
 
-    /** It does nothing: the order is done, or it was not taken if the report is young enough to tell. */
-    private void onAtRest(long sequence, boolean asked, boolean owner, long now) {
-        if (holdsOrdered()) {
-            finish(owner, now);
-        } else if (owner && asked && reportAskedAt - resultAt >= settings.reportStalenessNanos()) {
-            phase = Phase.MARKED;
-            orderAt = now;
-            revision = sequence;
+    /** @param report empty if none came */
+    void onReport(Optional<EngineReport> report, long nowNanos) {
+        boolean requested = phase == Phase.REPORT_REQUESTED;
+        onReportAnswered();
+        reportAtNanos = nowNanos + reportIntervalNanos(nowNanos);
+        if (report.isEmpty()) {
+            return;
+        }
+        status.onModels(report.get().models());
+        status.onRunningRequests(report.get().runningRequests());
+        if (phase == Phase.UNCONFIRMED && !report.get().busy()) {
+            onNotBusy(report.get().orderSequence(), requested, nowNanos);
         }
     }
 
     /** Does what is due. */
-    void proceed(long token, boolean owner, long now) {
-        if (phase == Phase.ORDERED && now - sentAt >= ANSWER_BOUND) {
-            await(now, now);
+    void proceed(long nowNanos) {
+        if (phase == Phase.ORDERED && nowNanos - sentAtNanos >= RESPONSE_TIMEOUT_NANOS) {
+            awaitConfirmation(nowNanos, nowNanos);
         }
-        if (!owner || !present()) {
+        if (!mayAct()) {
             return;
         }
-        if (phase == Phase.MARKED && now - orderAt >= 0) {
-            send(token, now);
-        } else if (phase == Phase.WAITING && now - nextReport() >= 0) {
-            reportPending = true;
-            reportAskedAt = now;
-            actions.add(new RequestReport(id()));
+        if (phase == Phase.WITHDRAWN && nowNanos - orderAtNanos >= 0) {
+            sendOrder(nowNanos);
+        } else if (isUnconfirmed() && nowNanos - nextReportAtNanos() >= 0) {
+            requestReport(nowNanos);
         }
     }
 
-    /** When something is due next; {@code otherwise} where nothing is. */
-    long nextDue(boolean owner, long otherwise) {
+    /** When {@link #proceed} has something to do, empty if it has nothing. */
+    OptionalLong nextDueAtNanos() {
         return switch (phase) {
-            case IDLE -> otherwise;
-            case MARKED -> owner && present() ? orderAt : otherwise;
-            case ORDERED -> sentAt + ANSWER_BOUND;
-            case WAITING -> owner && present() ? nextReport() : otherwise;
+            case IDLE -> OptionalLong.empty();
+            case WITHDRAWN -> mayAct() ? OptionalLong.of(orderAtNanos) : OptionalLong.empty();
+            case ORDERED -> OptionalLong.of(sentAtNanos + RESPONSE_TIMEOUT_NANOS);
+            case UNCONFIRMED, REPORT_REQUESTED -> mayAct()
+                    ? OptionalLong.of(nextReportAtNanos())
+                    : OptionalLong.empty();
         };
     }
 
-    private long nextReport() {
-        return reportPending ? reportAskedAt + ANSWER_BOUND : reportAt;
+    /** The engine is forgotten: routers are told that it loads no longer, if they were told that it does. */
+    void onForgotten(long nowNanos) {
+        if (phase != Phase.IDLE) {
+            release(nowNanos);
+        }
+    }
+
+    private boolean mayAct() {
+        return ownership.isHeld() && status.isPresent();
+    }
+
+    private boolean isUnconfirmed() {
+        return phase == Phase.UNCONFIRMED || phase == Phase.REPORT_REQUESTED;
     }
 
-    private void send(long token, long now) {
-        if (!behind(target)) {
-            giveUp(now, 0);
+    private boolean isOrderOut() {
+        return phase == Phase.ORDERED || isUnconfirmed();
+    }
+
+    private boolean isOrderedVersionLoaded() {
+        return status.hasLoaded(target.model, version);
+    }
+
+    private long firstReportAtNanos(long nowNanos) {
+        long early = sentAtNanos + (long) (EARLY_REPORT_FRACTION * target.concurrency.estimateNanos());
+        return Math.max(nowNanos + settings.reportIntervalNanos(), early);
+    }
+
+    private long reportIntervalNanos(long nowNanos) {
+        long byAge = (nowNanos - sentAtNanos) / REPORTS_PER_AGE;
+        return Math.min(MAX_REPORT_INTERVAL_NANOS, Math.max(settings.reportIntervalNanos(), byAge));
+    }
+
+    private long nextReportAtNanos() {
+        return phase == Phase.REPORT_REQUESTED ? reportRequestedAtNanos + RESPONSE_TIMEOUT_NANOS : reportAtNanos;
+    }
+
+    private void requestReport(long nowNanos) {
+        if (phase == Phase.UNCONFIRMED) {
+            moveTo(Phase.REPORT_REQUESTED);
+        }
+        reportRequestedAtNanos = nowNanos;
+        actions.add(new RequestReport(status.id()));
+    }
+
+    private void onReportAnswered() {
+        if (phase == Phase.REPORT_REQUESTED) {
+            moveTo(Phase.UNCONFIRMED);
+        }
+    }
+
+    /** No order is being executed: the order was done, or, if the report is young enough to tell, not accepted. */
+    private void onNotBusy(long orderSequence, boolean requested, long nowNanos) {
+        boolean youngEnough = reportRequestedAtNanos - resultAtNanos >= settings.reportStalenessNanos();
+        if (isOrderedVersionLoaded()) {
+            finish(nowNanos);
+        } else if (ownership.isHeld() && requested && youngEnough) {
+            moveTo(Phase.WITHDRAWN);
+            orderAtNanos = nowNanos;
+            expectedSequence = orderSequence;
+        }
+    }
+
+    private void sendOrder(long nowNanos) {
+        if (!status.isBehind(target)) {
+            giveUp(nowNanos, 0);
             return;
         }
-        phase = Phase.ORDERED;
+        moveTo(Phase.ORDERED);
         version = target.version;
-        fenceToken = token;
-        sentAt = now;
+        fencingToken = ownership.fencingToken();
+        sentAtNanos = nowNanos;
         attempts++;
-        actions.add(new SendOrder(id(), target.model, version, settings.orderMode(), token, revision));
+        actions.add(new SendOrder(
+                status.id(), target.model, version, settings.orderMode(), fencingToken, expectedSequence));
     }
 
-    private void await(long result, long report) {
-        phase = Phase.WAITING;
-        resultAt = result;
-        reportAt = report;
-        reportPending = false;
+    private void awaitConfirmation(long resultNanos, long reportNanos) {
+        moveTo(Phase.UNCONFIRMED);
+        resultAtNanos = resultNanos;
+        reportAtNanos = reportNanos;
     }
 
-    /** A mark is this process's own: it ends it without the ownership too, as no other can. */
-    private void finish(boolean owner, long now) {
-        if (phase == Phase.WAITING && attempts == 1) {
-            target.concurrency.onLoaded(now - sentAt);
+    /** The ordered version is loaded. */
+    private void finish(long nowNanos) {
+        if (isUnconfirmed() && attempts == 1) {
+            target.concurrency.onLoaded(nowNanos - sentAtNanos);
         }
-        clear(now);
-        if (owner && behind(target)) {
-            begin(target, now);
+        resetOrder(nowNanos);
+        if (ownership.isHeld() && status.isBehind(target)) {
+            moveTo(Phase.WITHDRAWN);
+            orderAtNanos = nowNanos;
         } else {
-            unmark(now);
+            release(nowNanos);
         }
     }
 
-    private void giveUp(long now, long pause) {
-        clear(now + pause);
-        unmark(now);
+    /** Ends the order without a load; the next one begins after the pause at the earliest. */
+    private void giveUp(long nowNanos, long pauseNanos) {
+        resetOrder(nowNanos + pauseNanos);
+        release(nowNanos);
     }
 
-    private void clear(long from) {
-        phase = Phase.IDLE;
-        notBefore = from;
-        revision = SendOrder.ANY_SEQUENCE;
+    private void resetOrder(long nextNotBeforeNanos) {
+        notBeforeNanos = nextNotBeforeNanos;
+        expectedSequence = SendOrder.ANY_SEQUENCE;
         attempts = 0;
-        reportPending = false;
     }
 
-    /** Lets routers send again. */
-    void unmark(long now) {
-        if (marked) {
-            marked = false;
-            unmarkedAt = now;
-            actions.add(new MarkLoading(id(), false));
+    private void release(long nowNanos) {
+        moveTo(Phase.IDLE);
+        clearMark(nowNanos);
+    }
+
+    private void clearMark(long nowNanos) {
+        clearedAtNanos = nowNanos;
+        actions.add(new ClearLoading(status.id()));
+    }
+
+    private void moveTo(Phase next) {
+        if (!phase.canMoveTo(next)) {
+            throw new IllegalStateException(status.id() + " from " + phase + " to " + next);
         }
+        phase = next;
     }
 }
--- a/coordination/src/main/java/burlarch/coordination/rollout/EngineStatus.java
+++ b/coordination/src/main/java/burlarch/coordination/rollout/EngineStatus.java
@@ -7,80 +7,89 @@
 import java.util.List;
 import java.util.Map;
 
-/** What registrations and reports have told of one incarnation of an engine. */
-class EngineStatus {
+/**
+ * What registrations and reports tell of one incarnation of an engine.
+ *
+ * <p>Invariant <em>versions only rise</em>: weights only get newer while an engine runs, so an observation that comes late
+ * changes nothing.
+ */
+final class EngineStatus {
     private final Map<String, Long> versions = new HashMap<>();
     private Instance instance;
     private boolean present;
-    private long missingSince;
-    private int running;
+    private long missingSinceNanos;
+    private int runningRequests;
 
     EngineStatus(Instance instance) {
         onInstance(instance);
     }
 
-    final String id() {
+    String id() {
         return instance.id();
     }
 
-    final String zone() {
+    String zone() {
         return instance.zone();
     }
 
-    final int running() {
-        return running;
+    int runningRequests() {
+        return runningRequests;
     }
 
-    final boolean present() {
-        return present;
-    }
-
-    final void onRunning(int count) {
-        running = count;
+    void onRunningRequests(int count) {
+        runningRequests = count;
     }
 
-    final void onInstance(Instance told) {
-        instance = told;
-        present = told.state() != InstanceState.GONE;
-        onModels(told.models());
+    /** The registry lists the engine. */
+    void onInstance(Instance announced) {
+        instance = announced;
+        present = announced.state() != InstanceState.GONE;
+        onModels(announced.models());
     }
 
-    final void onMissing(long now) {
+    /** The registry doesn't list the engine. */
+    void onMissing(long nowNanos) {
         if (present) {
-            missingSince = now;
+            missingSinceNanos = nowNanos;
         }
         present = false;
     }
 
-    final boolean missingFor(long duration, long now) {
-        return !present && now - missingSince > duration;
+    boolean isPresent() {
+        return present;
+    }
+
+    boolean isMissingFor(long durationNanos, long nowNanos) {
+        return !present && nowNanos - missingSinceNanos > durationNanos;
     }
 
-    /** Whether routers were told, by whomever, to send nothing. */
-    final boolean announcedLoading() {
+    /** Whether routers were told, by whichever controller, that it loads. */
+    boolean isAnnouncedLoading() {
         return present && instance.state() == InstanceState.LOADING;
     }
 
-    /** Weights only get newer while an engine runs, so news that comes late changes nothing. */
-    final void onModels(List<ServedModel> models) {
+    void onModels(List<ServedModel> models) {
         for (ServedModel served : models) {
             onVersion(served.name(), served.version());
         }
     }
 
-    final void onVersion(String model, long version) {
+    void onVersion(String model, long version) {
         versions.merge(model, version, Math::max);
     }
 
-    final boolean holds(String model, long version) {
+    /** Whether that version or a newer one is loaded. */
+    boolean hasLoaded(String model, long version) {
         return versions.getOrDefault(model, 0L) >= version;
     }
 
-    final boolean serves(RolloutTarget wanted) {
-        return present && instance.state() != InstanceState.DRAINING && versions.containsKey(wanted.model);
+    /** Whether it takes requests for the target's model, or will once it has loaded weights. */
+    boolean serves(RolloutTarget target) {
+        return present && instance.state() != InstanceState.DRAINING && versions.containsKey(target.model);
     }
 
-    final boolean behind(RolloutTarget wanted) {
-        return serves(wanted) && versions.get(wanted.model) < wanted.version;
+    /** Whether it serves the target's model with older weights. */
+    boolean isBehind(RolloutTarget target) {
+        return serves(target) && versions.get(target.model) < target.version;
     }
 }
--- a/coordination/src/main/java/burlarch/coordination/rollout/LoadConcurrency.java
+++ b/coordination/src/main/java/burlarch/coordination/rollout/LoadConcurrency.java
@@ -1,55 +1,68 @@
 package burlarch.coordination.rollout;
 
-/** How many engines of a model may load at once: the fewest that are done in time. Times in nanoseconds. */
+/**
+ * How many engines of one model may load at once: the fewest with which the rollout is done in time.
+ *
+ * <p>Invariant <em>half keeps serving</em>: before the deadline at most half of the engines load, rounded up. After it
+ * those that are behind can't serve anyway, so all may load.
+ */
 final class LoadConcurrency {
+    /** While no load was timed, at least this part of the engines loads. */
     private static final double FIRST_FRACTION = 0.29;
+
     private static final int FIRST_MINIMUM = 2;
+    /** Weight of the newest load in the estimate. */
     private static final double SMOOTHING = 0.3;
 
     private double estimateNanos;
 
-    /** A load took that long, from the order to the news that it was done. */
+    /** A load took that long, from the order until it was known to be done. */
     void onLoaded(long nanos) {
         estimateNanos = estimateNanos == 0 ? nanos : estimateNanos + SMOOTHING * (nanos - estimateNanos);
     }
 
-    /** How long a load takes as far as is known, 0 where nothing is known. */
+    /** How long a load takes, 0 before the first one. */
     long estimateNanos() {
         return (long) estimateNanos;
     }
 
     /**
-     * At most half of the engines, so that the others can serve, until the time is over: from then on those
-     * that are behind can't serve anyway.
+     * How many engines may load now, those that do included.
      *
-     * @param engines that have the model
+     * @param serving engines that have the model
      * @param behind engines that are still to be ordered
-     * @param loading for how long those that load have been at it, 0 and more
-     * @param leftToAim until all should be done
-     * @param leftToEnd until no request may begin on older weights
+     * @param agesNanos how long each of those that load has been at it, 0 and more
+     * @param untilTargetNanos until all should be done; may be negative
+     * @param untilDeadlineNanos until no request may begin on older weights; may be negative
      */
-    int maxConcurrentLoads(int engines, int behind, long[] loading, long leftToAim, long leftToEnd) {
-        int all = behind + loading.length;
-        if (leftToEnd <= 0) {
+    int maxConcurrentLoads(int serving, int behind, long[] agesNanos, long untilTargetNanos, long untilDeadlineNanos) {
+        int all = behind + agesNanos.length;
+        if (untilDeadlineNanos <= 0) {
             return all;
         }
-        int most = Math.max(1, (engines + 1) / 2);
-        return Math.min(most, Math.min(all, neededLoads(engines, behind, loading, leftToAim)));
+        int half = Math.max(1, (serving + 1) / 2);
+        return Math.min(half, Math.min(all, neededLoads(serving, behind, agesNanos, untilTargetNanos)));
     }
 
-    private int neededLoads(int engines, int behind, long[] loading, long left) {
-        long load = estimateNanos();
-        for (long age : loading) {
-            load = Math.max(load, age);
+    private int neededLoads(int serving, int behind, long[] agesNanos, long leftNanos) {
+        long loadNanos = longestLoadNanos(agesNanos);
+        if (leftNanos < loadNanos || leftNanos <= 0) {
+            return behind + agesNanos.length;
         }
-        if (left < load || left <= 0) {
-            return behind + loading.length;
+        double workNanos = (double) behind * loadNanos;
+        for (long ageNanos : agesNanos) {
+            workNanos += loadNanos - ageNanos;
         }
-        double work = (double) behind * load;
-        for (long age : loading) {
-            work += load - age;
+        int minimum = estimateNanos == 0 ? Math.max(FIRST_MINIMUM, (int) Math.ceil(FIRST_FRACTION * serving)) : 1;
+        return Math.max(minimum, (int) Math.ceil(workNanos / leftNanos));
+    }
+
+    /** The estimate, or the age of a load that has taken longer. */
+    private long longestLoadNanos(long[] agesNanos) {
+        long longest = estimateNanos();
+        for (long ageNanos : agesNanos) {
+            longest = Math.max(longest, ageNanos);
         }
-        int least = estimateNanos == 0 ? Math.max(FIRST_MINIMUM, (int) Math.ceil(FIRST_FRACTION * engines)) : 1;
-        return Math.max(least, (int) Math.ceil(work / left));
+        return longest;
     }
 }
--- a/coordination/src/main/java/burlarch/coordination/rollout/OrderMode.java
+++ b/coordination/src/main/java/burlarch/coordination/rollout/OrderMode.java
@@ -1,12 +1,12 @@
 package burlarch.coordination.rollout;
 
-/** What an engine does with the requests that run when it is to load other weights. */
+/** What an engine does with its running requests when it is to load other weights. */
 public enum OrderMode {
-    /** They end first. */
+    /** They finish first. */
     QUEUE("queue"),
     /** Their streams are reset. */
     TRUNCATE("truncate"),
-    /** They go on under the new weights. */
+    /** They go on with the new weights. */
     RETAIN("retain");
 
     private final String wireName;
--- a/coordination/src/main/java/burlarch/coordination/rollout/OrderResult.java
+++ b/coordination/src/main/java/burlarch/coordination/rollout/OrderResult.java
@@ -1,19 +1,19 @@
 package burlarch.coordination.rollout;
 
-/** How an engine answered an order. */
+/** The result of an order to an engine, by the status of its response. */
 public enum OrderResult {
-    /** 202: it is being done. */
+    /** 202: the engine executes it. */
     ACCEPTED,
-    /** 200: it holds already. */
+    /** 200: that version is loaded already. */
     ALREADY_LOADED,
-    /** 409: another order is under way, or the sequence is another than expected. */
+    /** 409: another order is being executed, or the engine's sequence is not the expected one. */
     CONFLICT,
-    /** 412: a higher fencing token was seen. */
+    /** 412: the engine has seen a higher fencing token. */
     FENCED,
-    /** 400: no such order, or a version that has not been named. */
+    /** 400: the order is malformed, or its version has not been named. */
     INVALID,
     /** 421: another instance has that address. */
     MISDIRECTED,
-    /** No clear answer: it may have been taken. */
+    /** No clear response: the order may have been accepted. */
     NO_RESPONSE
 }
--- /dev/null
+++ b/coordination/src/main/java/burlarch/coordination/rollout/RolloutOwnership.java
@@ -0,0 +1,64 @@
+package burlarch.coordination.rollout;
+
+/**
+ * Whether this process holds the ownership of the rollout, and under which fencing token.
+ *
+ * <pre>
+ * from                 event                                        to
+ * NEVER_HELD           acquired                                     HELD
+ * HELD, ENDED, FENCED  acquired under a higher token                HELD
+ * ENDED                acquired under the same token, after a pause HELD
+ * HELD                 ended                                        ENDED
+ * HELD                 an engine has seen a higher token            FENCED
+ * </pre>
+ *
+ * Every other event changes nothing. Invariant <em>tokens rise</em>: the token never gets lower.
+ */
+final class RolloutOwnership {
+    private enum Phase {
+        /** No token was acquired yet. */
+        NEVER_HELD,
+        /** This process holds the ownership and may order. */
+        HELD,
+        /** The ownership ended; the same token may be acquired again. */
+        ENDED,
+        /** A higher token is out: this one never counts again. */
+        FENCED
+    }
+
+    private Phase phase = Phase.NEVER_HELD;
+    private long fencingToken;
+
+    /** @return whether the ownership is held anew */
+    boolean onAcquired(long token) {
+        boolean isNew = phase == Phase.NEVER_HELD || token > fencingToken;
+        boolean isResumed = phase == Phase.ENDED && token == fencingToken;
+        if (!isNew && !isResumed) {
+            return false;
+        }
+        phase = Phase.HELD;
+        fencingToken = token;
+        return true;
+    }
+
+    void onEnded() {
+        if (phase == Phase.HELD) {
+            phase = Phase.ENDED;
+        }
+    }
+
+    void onFenced() {
+        if (phase == Phase.HELD) {
+            phase = Phase.FENCED;
+        }
+    }
+
+    boolean isHeld() {
+        return phase == Phase.HELD;
+    }
+
+    /** The newest token, 0 before the first. */
+    long fencingToken() {
+        return fencingToken;
+    }
+}
--- a/coordination/src/main/java/burlarch/coordination/rollout/RolloutSettings.java
+++ b/coordination/src/main/java/burlarch/coordination/rollout/RolloutSettings.java
@@ -3,12 +3,13 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * The times of a rollout, in nanoseconds.
+ * Times of a rollout.
  *
- * @param versionDeadlineNanos until when no request may begin on older weights; a rollout aims at half of it
- * @param withdrawalLeadNanos how long routers are told before the order goes out
- * @param reportStalenessNanos how old what a report tells may be
- * @param reportIntervalNanos between reports while an engine loads
+ * @param versionDeadlineNanos from the naming of a version until no request may begin on older weights; a rollout should
+ *     be done in half of it
+ * @param withdrawalLeadNanos how long before an order routers are told that the engine loads
+ * @param reportStalenessNanos how old the state is that a report describes, at most
+ * @param reportIntervalNanos least time between reports while an engine loads
  * @param orderMode what becomes of running requests
  */
 public record RolloutSettings(
@@ -22,9 +23,8 @@
     private static final long REPORT_INTERVAL_MILLIS = 500;
 
     /**
-     * The usual times beside the deployment's {@code version_ms}. Running requests go on: an engine that lets
-     * them end first stands idle for up to the longest stream, which costs far more worth than the load
-     * itself.
+     * The usual times beside the deployment's {@code version_ms}. Running requests go on: an engine that lets them finish
+     * first stands idle for up to the longest stream, which costs far more value than the load itself.
      */
     public static RolloutSettings of(long versionMillis) {
         return new RolloutSettings(
--- a/coordination/src/main/java/burlarch/coordination/rollout/RolloutWave.java
+++ b/coordination/src/main/java/burlarch/coordination/rollout/RolloutWave.java
@@ -6,97 +6,115 @@
 import java.util.List;
 import java.util.Map;
 
-/** Which engines of one model begin to load now. */
+/** One decision which engines of one model start to load now. Used once. */
 final class RolloutWave {
+    /** Engines of one zone that serve the model. */
+    private static final class ZoneCount {
+        private int loading;
+        private int serving;
+    }
+
     private final Collection<EngineRollout> engines;
     private final RolloutTarget target;
     private final RolloutSettings settings;
-    private final long now;
+    private final long nowNanos;
     private final List<EngineRollout> startable = new ArrayList<>();
+    /** The engines that load, without those that take longer than a rollout should. */
     private final List<EngineRollout> loading = new ArrayList<>();
-    /** Engines of a zone: those that load, and all. */
-    private final Map<String, int[]> zones = new HashMap<>();
 
+    private final Map<String, ZoneCount> zones = new HashMap<>();
+    /** Engines without an order that are still to get one. */
     private int behind;
+
     private int serving;
 
-    RolloutWave(Collection<EngineRollout> engines, RolloutTarget target, RolloutSettings settings, long now) {
+    RolloutWave(Collection<EngineRollout> engines, RolloutTarget target, RolloutSettings settings, long nowNanos) {
         this.engines = engines;
         this.target = target;
         this.settings = settings;
-        this.now = now;
+        this.nowNanos = nowNanos;
     }
 
-    /** Begins as many as are to load at once, and tells whether more are to follow. */
+    /**
+     * Starts as many engines as may load at once.
+     *
+     * @return whether more are to follow
+     */
     boolean startLoads() {
         for (EngineRollout engine : engines) {
-            count(engine);
+            if (engine.status().serves(target)) {
+                count(engine);
+            }
         }
         if (behind == 0) {
             return false;
         }
-        int places = maxConcurrentLoads() - loading.size();
-        while (places > 0 && !startable.isEmpty()) {
-            EngineRollout next = nextToStart();
-            startable.remove(next);
-            zones.get(next.zone())[0]++;
-            next.begin(target, now);
-            places--;
-            behind--;
+        int slots = maxConcurrentLoads() - loading.size();
+        while (slots > 0 && !startable.isEmpty()) {
+            start(nextToStart());
+            slots--;
         }
         return behind > 0;
     }
 
     private void count(EngineRollout engine) {
-        if (!engine.serves(target)) {
-            return;
-        }
         serving++;
-        int[] zone = zones.computeIfAbsent(engine.zone(), name -> new int[2]);
-        zone[1]++;
-        if (engine.underway(target)) {
-            zone[0]++;
-            if (engine.age(now) < targetDurationNanos()) {
+        ZoneCount zone = zones.computeIfAbsent(engine.status().zone(), name -> new ZoneCount());
+        zone.serving++;
+        if (engine.isLoading(target)) {
+            zone.loading++;
+            if (engine.ageNanos(nowNanos) < targetDurationNanos()) {
                 loading.add(engine);
             }
-        } else if (engine.idle() && engine.behind(target)) {
+        } else if (engine.isIdle() && engine.status().isBehind(target)) {
             behind++;
-            if (engine.startable(now)) {
+            if (engine.isStartable(nowNanos)) {
                 startable.add(engine);
             }
         }
     }
 
-    /** Half of the time that there is; an engine that takes longer for one load keeps no place. */
+    private void start(EngineRollout engine) {
+        startable.remove(engine);
+        zones.get(engine.status().zone()).loading++;
+        engine.begin(target, nowNanos);
+        behind--;
+    }
+
+    /** Half of the deadline. An engine that takes longer for one load no longer takes a slot. */
     private long targetDurationNanos() {
         return settings.versionDeadlineNanos() / 2;
     }
 
     private int maxConcurrentLoads() {
-        long[] ages = new long[loading.size()];
-        for (int i = 0; i < ages.length; i++) {
-            ages[i] = loading.get(i).age(now);
+        long[] agesNanos = new long[loading.size()];
+        for (int i = 0; i < agesNanos.length; i++) {
+            agesNanos[i] = loading.get(i).ageNanos(nowNanos);
         }
-        long passed = now - target.raisedAtNanos;
+        long passedNanos = nowNanos - target.raisedAtNanos;
         return target.concurrency.maxConcurrentLoads(
-                serving, behind, ages, targetDurationNanos() - passed, settings.versionDeadlineNanos() - passed);
+                serving,
+                behind,
+                agesNanos,
+                targetDurationNanos() - passedNanos,
+                settings.versionDeadlineNanos() - passedNanos);
     }
 
     private EngineRollout nextToStart() {
-        EngineRollout best = startable.get(0);
+        EngineRollout next = startable.get(0);
         for (EngineRollout engine : startable) {
-            if (startsBefore(engine, best)) {
-                best = engine;
+            if (startsBefore(engine.status(), next.status())) {
+                next = engine;
             }
         }
-        return best;
+        return next;
     }
 
-    /** Zones of which less is loading first, then those with less at work. */
-    private boolean startsBefore(EngineRollout one, EngineRollout other) {
-        int[] zone = zones.get(one.zone());
-        int[] otherZone = zones.get(other.zone());
-        int byZone = Integer.compare(zone[0] * otherZone[1], otherZone[0] * zone[1]);
-        return byZone < 0 || byZone == 0 && one.running() < other.running();
+    /** First the zone of which the smaller part is loading, then the engine with fewer running requests. */
+    private boolean startsBefore(EngineStatus one, EngineStatus other) {
+        ZoneCount zone = zones.get(one.zone());
+        ZoneCount otherZone = zones.get(other.zone());
+        int byZone = Integer.compare(zone.loading * otherZone.serving, otherZone.loading * zone.serving);
+        return byZone < 0 || byZone == 0 && one.runningRequests() < other.runningRequests();
     }
 }
--- a/coordination/src/main/java/burlarch/coordination/rollout/WeightsRollout.java
+++ b/coordination/src/main/java/burlarch/coordination/rollout/WeightsRollout.java
@@ -8,180 +8,193 @@
 import java.util.Iterator;
 import java.util.List;
 import java.util.Map;
+import java.util.Optional;
+import java.util.OptionalLong;
 import java.util.TreeMap;
 import java.util.concurrent.TimeUnit;
 
 /**
- * Brings engines to the newest named weights, a few at a time, while this process holds the ownership. No
- * I/O, no clock, not thread-safe: times are nanoseconds of one monotonic clock, and each call returns what is
- * to be done. An engine gets an order for the same weights again only after a report that shows that the one
- * before was not taken, and then with the report's sequence, so that a late first order can't make it two.
+ * Brings engines to the newest named weights, a few at a time, while this process holds the ownership. Each call returns
+ * what is to be done, in order.
+ *
+ * <p>Invariants: <em>orders by the owner only</em> ({@link RolloutOwnership}); <em>withdrawn while ordered</em> and
+ * <em>no second order on doubt</em> ({@link EngineRollout}); <em>half keeps serving</em> ({@link LoadConcurrency}).
+ *
+ * <p>No I/O and no clock: times are nanoseconds of one monotonic clock. Not thread-safe.
  */
 public final class WeightsRollout {
     private static final long MISSING_RETENTION_NANOS = TimeUnit.SECONDS.toNanos(30);
 
     private final RolloutSettings settings;
+    private final RolloutOwnership ownership = new RolloutOwnership();
     private final Map<String, EngineRollout> engines = new TreeMap<>();
     private final Map<String, RolloutTarget> targets = new TreeMap<>();
     private final List<RolloutAction> actions = new ArrayList<>();
-    private boolean owner;
-    private boolean tokenSeen;
-    private boolean fenced;
-    private long fencingToken;
 
+    /** A rollout that knows of no engines and no weights, and holds no ownership. */
     public WeightsRollout(RolloutSettings settings) {
         this.settings = settings;
     }
 
-    /** The newest version of each model, as the register has it; lower ones than before change nothing. */
-    public List<RolloutAction> onTargets(Map<String, Long> versions, long now) {
+    /** The newest version of each model, as the register has it; one lower than before changes nothing. */
+    public List<RolloutAction> onTargets(Map<String, Long> versions, long nowNanos) {
         versions.forEach((model, version) ->
-                targets.computeIfAbsent(model, RolloutTarget::new).raise(version, now));
-        return proceed(now);
+                targets.computeIfAbsent(model, RolloutTarget::new).raise(version, nowNanos));
+        return proceed(nowNanos);
     }
 
-    /** All instances that are known, whole; those without models are passed over. */
-    public List<RolloutAction> onInstances(Collection<Instance> instances, long now) {
+    /** The complete list of known instances; those without models are ignored. */
+    public List<RolloutAction> onInstances(Collection<Instance> instances, long nowNanos) {
         for (EngineRollout engine : engines.values()) {
-            engine.onMissing(now);
+            engine.status().onMissing(nowNanos);
         }
         for (Instance instance : instances) {
             if (!instance.models().isEmpty()) {
-                engines.computeIfAbsent(instance.id(), id -> new EngineRollout(settings, actions, instance, now))
-                        .onInstance(instance);
+                engineOf(instance, nowNanos).status().onInstance(instance);
             }
         }
-        forgetMissing(now);
-        observe(now);
-        return proceed(now);
+        forgetMissing(nowNanos);
+        applyStatus(nowNanos);
+        return proceed(nowNanos);
     }
 
-    /** How many requests run at an engine, where it is known without a report. */
-    public void onRunning(String instance, int running) {
-        EngineRollout engine = engines.get(instance);
+    /** How many requests run at an engine, where that is known without a report. */
+    public void onRunningRequests(String instanceId, int count) {
+        EngineRollout engine = engines.get(instanceId);
         if (engine != null) {
-            engine.onRunning(running);
+            engine.status().onRunningRequests(count);
         }
     }
 
     /**
-     * This process holds the ownership under that token. Tokens rise; the same one may be taken up again
-     * after a pause, unless an engine has shown that a higher one is out.
+     * This process holds the ownership under that token. Tokens rise; the same one may be acquired again after a pause,
+     * unless an engine has shown that a higher one is out.
      */
-    public List<RolloutAction> onOwnership(long token, long now) {
-        boolean resumed = tokenSeen && token == fencingToken && !owner && !fenced;
-        if (!tokenSeen || token > fencingToken || resumed) {
-            owner = true;
-            tokenSeen = true;
-            fenced = false;
-            fencingToken = token;
+    public List<RolloutAction> onOwnership(long token, long nowNanos) {
+        if (ownership.onAcquired(token)) {
             for (EngineRollout engine : engines.values()) {
-                engine.onOwnership(now);
+                engine.onOwnershipAcquired(nowNanos);
             }
-            observe(now);
+            applyStatus(nowNanos);
         }
-        return proceed(now);
+        return proceed(nowNanos);
     }
 
-    /** The ownership has ended. What was ordered stays remembered as uncertain. */
-    public List<RolloutAction> onOwnershipLost(long now) {
-        loseOwnership(now);
-        return proceed(now);
+    /** The ownership has ended. Whether the orders so far were accepted is uncertain from now on. */
+    public List<RolloutAction> onOwnershipLost(long nowNanos) {
+        ownership.onEnded();
+        notifyOwnershipLost(nowNanos);
+        return proceed(nowNanos);
     }
 
-    /** How the order to that engine ended. */
-    public List<RolloutAction> onOrderResult(String instance, OrderResult result, long now) {
-        EngineRollout engine = engines.get(instance);
-        if (engine != null && engine.onResult(result, fencingToken, owner, now) && owner) {
-            fenced = true;
-            actions.add(new OwnershipLost(fencingToken));
-            loseOwnership(now);
+    /** The result of the order to that engine. */
+    public List<RolloutAction> onOrderResult(String instanceId, OrderResult result, long nowNanos) {
+        EngineRollout engine = engines.get(instanceId);
+        if (engine != null && engine.onResult(result, nowNanos) && ownership.isHeld()) {
+            actions.add(new OwnershipLost(ownership.fencingToken()));
+            ownership.onFenced();
+            notifyOwnershipLost(nowNanos);
         }
-        return proceed(now);
+        return proceed(nowNanos);
     }
 
-    /** The report that was asked for, null where none came. */
-    public List<RolloutAction> onReport(String instance, EngineReport report, long now) {
-        EngineRollout engine = engines.get(instance);
+    /** The report that was requested, empty if none came. */
+    public List<RolloutAction> onReport(String instanceId, Optional<EngineReport> report, long nowNanos) {
+        EngineRollout engine = engines.get(instanceId);
         if (engine != null) {
-            engine.onReport(report, owner, now);
+            engine.onReport(report, nowNanos);
         }
-        return proceed(now);
+        return proceed(nowNanos);
     }
 
-    /** The time that a {@link Timer} named has come. */
-    public List<RolloutAction> onTimer(long now) {
-        return proceed(now);
+    /** The time of a {@link Timer} has come. */
+    public List<RolloutAction> onTimer(long nowNanos) {
+        return proceed(nowNanos);
     }
 
-    /** Whether all engines that are known have the newest weights that are named. */
+    /** Whether all known engines have the newest weights that are named. */
     public boolean isComplete() {
         for (EngineRollout engine : engines.values()) {
-            if (firstTargetBehind(engine) != null) {
+            if (firstTargetBehind(engine).isPresent()) {
                 return false;
             }
         }
         return true;
     }
 
-    private void loseOwnership(long now) {
-        owner = false;
+    private EngineRollout engineOf(Instance instance, long nowNanos) {
+        return engines.computeIfAbsent(
+                instance.id(), id -> new EngineRollout(settings, ownership, actions, instance, nowNanos));
+    }
+
+    private void notifyOwnershipLost(long nowNanos) {
         for (EngineRollout engine : engines.values()) {
-            engine.onOwnershipLost(now);
+            engine.onOwnershipLost(nowNanos);
         }
     }
 
-    private void forgetMissing(long now) {
-        for (Iterator<EngineRollout> all = engines.values().iterator(); all.hasNext(); ) {
+    private void forgetMissing(long nowNanos) {
+        Iterator<EngineRollout> all = engines.values().iterator();
+        while (all.hasNext()) {
             EngineRollout engine = all.next();
-            if (engine.missingFor(MISSING_RETENTION_NANOS, now)) {
-                engine.unmark(now);
+            if (engine.status().isMissingFor(MISSING_RETENTION_NANOS, nowNanos)) {
+                engine.onForgotten(nowNanos);
                 all.remove();
             }
         }
     }
 
-    private void observe(long now) {
+    private void applyStatus(long nowNanos) {
         for (EngineRollout engine : engines.values()) {
-            engine.observe(owner, now);
-            if (owner && engine.adoptable(now)) {
-                engine.adopt(firstTargetBehind(engine), now);
+            engine.onStatusChanged(nowNanos);
+            if (ownership.isHeld() && engine.isAdoptable(nowNanos)) {
+                engine.adopt(firstTargetBehind(engine), nowNanos);
             }
         }
     }
 
-    /** A target that the engine has yet to reach, or null. */
-    private RolloutTarget firstTargetBehind(EngineRollout engine) {
+    /** A target that the engine has yet to reach. */
+    private Optional<RolloutTarget> firstTargetBehind(EngineRollout engine) {
         for (RolloutTarget target : targets.values()) {
-            if (engine.behind(target)) {
-                return target;
+            if (engine.status().isBehind(target)) {
+                return Optional.of(target);
             }
         }
-        return null;
+        return Optional.empty();
     }
 
-    private List<RolloutAction> proceed(long now) {
-        boolean more = false;
-        if (owner) {
-            for (RolloutTarget target : targets.values()) {
-                more |= new RolloutWave(engines.values(), target, settings, now).startLoads();
-            }
-        }
-        long next = more ? now + settings.reportIntervalNanos() : Long.MAX_VALUE;
-        boolean due = more;
+    private List<RolloutAction> proceed(long nowNanos) {
+        boolean moreToStart = ownership.isHeld() && startLoads(nowNanos);
         for (EngineRollout engine : engines.values()) {
-            engine.proceed(fencingToken, owner, now);
-            long at = engine.nextDue(owner, Long.MAX_VALUE);
-            if (at != Long.MAX_VALUE && (!due || at - next < 0)) {
-                next = at;
-                due = true;
-            }
+            engine.proceed(nowNanos);
         }
-        if (due) {
-            actions.add(new Timer(next));
+        OptionalLong next = nextTimerNanos(moreToStart, nowNanos);
+        if (next.isPresent()) {
+            actions.add(new Timer(next.getAsLong()));
         }
         List<RolloutAction> result = List.copyOf(actions);
         actions.clear();
         return result;
     }
+
+    /** @return whether more engines are to start later */
+    private boolean startLoads(long nowNanos) {
+        boolean more = false;
+        for (RolloutTarget target : targets.values()) {
+            more |= new RolloutWave(engines.values(), target, settings, nowNanos).startLoads();
+        }
+        return more;
+    }
+
+    private OptionalLong nextTimerNanos(boolean moreToStart, long nowNanos) {
+        OptionalLong next =
+                moreToStart ? OptionalLong.of(nowNanos + settings.reportIntervalNanos()) : OptionalLong.empty();
+        for (EngineRollout engine : engines.values()) {
+            OptionalLong due = engine.nextDueAtNanos();
+            if (due.isPresent() && (next.isEmpty() || due.getAsLong() - next.getAsLong() < 0)) {
+                next = due;
+            }
+        }
+        return next;
+    }
 }
