--- a/controller/src/main/java/burlarch/controller/ControllerProgram.java
+++ b/controller/src/main/java/burlarch/controller/ControllerProgram.java
@@ -33,19 +33,25 @@
 import org.tinylog.Logger;
 
 /**
- * A controller: the operator's API, announcements of instances, a replica of the register, streams to
- * routers.
+ * The controller program: starts the event loop, the disk thread, the node transport, membership and the control API,
+ * and hands them to a {@link ControllerRuntime}.
  */
 public final class ControllerProgram {
-    private static final long CALL_MILLIS = 930;
+    /** Less than the second after which callers of the control API give up. */
+    private static final long CALL_TIMEOUT_MILLIS = 930;
+
     private static final int IDENTITY_BYTES = 12;
     private static final int ENGINE_THREADS = 4;
-    /** Messages that wait for the disk; further ones are dropped, as proposers send again. */
-    private static final int MOST_WAITING = 64;
+    /** The most requests that wait for the disk; further ones are dropped, because proposers send them again. */
+    private static final int MAX_DISK_QUEUE = 64;
 
     private ControllerProgram() {}
 
-    /** Starts the controller; it lives on by its own threads. */
+    /**
+     * Starts the controller, which keeps running on its own threads.
+     *
+     * @throws Exception if the disk can't be opened or a port can't be bound
+     */
     public static void run(NodeSettings settings) throws Exception {
         String address = NodeAddresses.own(settings);
         List<String> seeds = NodeAddresses.seeds(settings);
@@ -55,10 +61,10 @@
                 seeds,
                 settings.bootstrap(),
                 ControllerProgram::randomHex);
-        long process = ProcessIncarnations.generate();
-        String incarnation = ProcessIncarnations.toText(process);
+        long processId = ProcessIncarnations.generate();
+        String incarnation = ProcessIncarnations.toText(processId);
         SelectorEventLoop loop = new SelectorEventLoop("node");
-        ControllerRuntime core = new ControllerRuntime(loop);
+        ControllerRuntime runtime = new ControllerRuntime(loop);
         NodeMessage.Hello hello = new NodeMessage.Hello(
                 settings.nodeName(),
                 NodeRoles.CONTROLLER,
@@ -66,30 +72,30 @@
                 settings.zone(),
                 storage.store().identity(),
                 incarnation);
-        NodeTransport transport = new NodeTransport(loop, hello, NodeAddresses.socket(address), core.listener());
+        NodeTransport transport = new NodeTransport(loop, hello, NodeAddresses.socket(address), runtime.listener());
         MembershipService membership = new MembershipService(
                 loop,
-                new MembershipService.Self(settings.nodeName(), NodeRoles.CONTROLLER, settings.zone(), process),
+                new MembershipService.Self(settings.nodeName(), NodeRoles.CONTROLLER, settings.zone(), processId),
                 NodeAddresses.socket(address),
                 seeds,
                 SwimSettings.defaults());
-        ControllerSettings decisions = decisions(settings, address, seeds, incarnation);
+        ControllerSettings controllerSettings = controllerSettings(settings, address, seeds, incarnation);
         loop.execute(() -> {
-            ControlService calls = core.start(
-                    decisions,
+            ControlService service = runtime.start(
+                    controllerSettings,
                     storage,
                     new ControllerRuntime.Environment(
                             transport, diskThread(), new EngineClient(engineHttp()), new SplittableRandom()));
-            membership.addListener(core::onMembers);
+            membership.addListener(runtime::onMembers);
             SettingsFileWatcher.start(
-                    newer -> loop.execute(() -> core.addControllerAddresses(NodeAddresses.seeds(newer))));
+                    changed -> loop.execute(() -> runtime.addControllerAddresses(NodeAddresses.seeds(changed))));
             membership.start();
-            serve(settings, calls, membership);
+            serve(settings, service, membership);
         });
         ConfigurationDocument.prepareChecks();
     }
 
-    private static ControllerSettings decisions(
+    private static ControllerSettings controllerSettings(
             NodeSettings settings, String address, List<String> seeds, String incarnation) {
         return new ControllerSettings(
                 address,
@@ -102,10 +108,10 @@
                 settings.faultTolerance().machines());
     }
 
-    /** The one thread that touches the disk. */
+    /** The disk thread: the only one that uses the disk after the start. */
     private static Executor diskThread() {
         return new ThreadPoolExecutor(
-                1, 1, 0, TimeUnit.SECONDS, new LinkedBlockingQueue<>(MOST_WAITING), ControllerProgram::newDiskThread);
+                1, 1, 0, TimeUnit.SECONDS, new LinkedBlockingQueue<>(MAX_DISK_QUEUE), ControllerProgram::newDiskThread);
     }
 
     private static Thread newDiskThread(Runnable task) {
@@ -124,23 +130,29 @@
             scheduler.start();
             return EngineHttpClientFactory.start(threads, scheduler, new ArrayByteBufferPool());
         } catch (Exception e) {
-            throw new IllegalStateException("no client for engines", e);
+            throw new IllegalStateException("the HTTP client for engines did not start", e);
         }
     }
 
-    private static void serve(NodeSettings settings, ControlService calls, MembershipService membership) {
-        ControlServer server = new ControlServer(settings.listen().control(), calls, CALL_MILLIS);
+    private static void serve(NodeSettings settings, ControlService service, MembershipService membership) {
+        ControlServer server = new ControlServer(settings.listen().control(), service, CALL_TIMEOUT_MILLIS);
         try {
             server.start();
         } catch (Exception e) {
-            Logger.error(e, "cannot serve {}", settings.listen().control());
+            Logger.error(
+                    e,
+                    "control API cannot listen: address={}",
+                    settings.listen().control());
             Runtime.getRuntime().halt(1);
         }
         ShutdownHook.onSignal(() -> {
             server.stopAccepting();
             membership.leaveWithinTimeout();
         });
-        Logger.info("{} serves {}", settings.nodeName(), settings.listen().control());
+        Logger.info(
+                "controller listening: node={} control={}",
+                settings.nodeName(),
+                settings.listen().control());
     }
 
     private static String randomHex() {
--- a/controller/src/main/java/burlarch/controller/ControllerRuntime.java
+++ b/controller/src/main/java/burlarch/controller/ControllerRuntime.java
@@ -6,24 +6,17 @@
 import burlarch.controller.distribution.QuorumReadGate;
 import burlarch.controller.distribution.RouterPublisher;
 import burlarch.controller.instances.InstanceReplicator;
-import burlarch.controller.ownership.LeaseHolderMonitor;
 import burlarch.controller.ownership.LeaseManager;
 import burlarch.controller.peers.ControllerMembershipView;
 import burlarch.controller.peers.ControllerPeers;
-import burlarch.controller.register.AcceptorSetReconciler;
-import burlarch.controller.register.CommittedState;
-import burlarch.controller.register.LocalAcceptor;
-import burlarch.controller.register.ProposalExecutor;
 import burlarch.controller.register.Proposer;
-import burlarch.controller.register.QuorumContactMonitor;
-import burlarch.controller.register.RegisterClient;
+import burlarch.controller.register.RegisterReplica;
 import burlarch.controller.register.RegisterStorage;
 import burlarch.controller.rollout.RolloutCoordinator;
 import burlarch.controller.state.SystemState;
 import burlarch.coordination.membership.MemberChange;
 import burlarch.coordination.register.ProposalNumber;
 import burlarch.coordination.register.acceptorset.AcceptorMember;
-import burlarch.coordination.register.acceptorset.AcceptorSet;
 import burlarch.coordination.registry.InstanceRegistry;
 import burlarch.coordination.registry.RegistrySettings;
 import burlarch.coordination.rollout.RolloutSettings;
@@ -40,100 +33,104 @@
 import java.util.random.RandomGenerator;
 
 /**
- * All of a controller but its sockets, threads, disk and clock, which come from outside. Lives on the loop.
+ * The components of one controller, wired together. Sockets, disk, clock and random numbers are passed in, so that the
+ * simulation runs the same class. Every method but the constructor is called on the event loop.
+ *
+ * <p>It owns no state beyond the components; {@code package-info} of each package says who owns what.
  */
 public class ControllerRuntime {
-    /** Key of the duty to bring engines to the named weights. */
+    /** Key, in the register, of the role that rolls out weights. */
     private static final String WEIGHTS_ROLE = "weights";
 
     private final EventLoop loop;
-    private final NodeMessageDispatcher messages;
+    private final NodeMessageDispatcher dispatcher;
     private final ControllerMembershipView membershipView = new ControllerMembershipView();
-    private CommittedState committed;
+    /** Null before {@link #start}, as {@link #register}. */
     private ControllerPeers peers;
 
+    private RegisterReplica register;
+
     /**
      * What a controller acts on.
      *
+     * @param connections to other nodes
      * @param disk runs what touches the disk, one task after the other; may reject a task
+     * @param engines calls to engines
+     * @param random spreads the retries of proposals
      */
     public record Environment(
-            PeerConnections links, Executor disk, EngineControlClient engines, RandomGenerator random) {}
+            PeerConnections connections, Executor disk, EngineControlClient engines, RandomGenerator random) {}
 
+    /** A runtime that does nothing before {@link #start}. */
     public ControllerRuntime(EventLoop loop) {
         this.loop = loop;
-        messages = new NodeMessageDispatcher(loop);
+        dispatcher = new NodeMessageDispatcher(loop);
     }
 
-    /** To be told of all connections. */
+    /** The listener of all connections of this process. */
     public PeerConnectionListener listener() {
-        return messages;
+        return dispatcher;
     }
 
-    /** Wires and starts all parts; to be called once, on the loop, before any connection is up. */
-    public ControlService start(ControllerSettings settings, RegisterStorage storage, Environment world) {
-        AcceptorMember own = new AcceptorMember(storage.store().identity(), settings.ownAddress());
-        committed = new CommittedState(storage.initialView());
-        peers = new ControllerPeers(loop, world.links(), own.address());
-        LocalAcceptor acceptor = new LocalAcceptor(storage.store(), world.disk());
-        ProposalExecutor driver = new ProposalExecutor(
-                loop, peers, acceptor, own.address(), settings.processName(), world.random(), committed::registerView);
-        RegisterClient register = new RegisterClient(proposer(driver), committed, peers);
+    /**
+     * Wires and starts all components; to be called once, before the first connection is established. Listeners of the
+     * committed state run in the order in which they are added here.
+     */
+    public ControlService start(ControllerSettings settings, RegisterStorage storage, Environment environment) {
+        peers = new ControllerPeers(loop, environment.connections(), settings.ownAddress());
+        register = new RegisterReplica(
+                loop,
+                peers,
+                storage,
+                environment.disk(),
+                settings.ownAddress(),
+                settings.processName(),
+                environment.random(),
+                this::proposer);
         InstanceRegistry registry =
                 new InstanceRegistry(RegistrySettings.forHeartbeat(settings.heartbeatNanos()), loop.nanoTime());
-        RouterPublisher publisher = new RouterPublisher(loop, world.links().codec(), registry);
-        QuorumContactMonitor quorum = new QuorumContactMonitor(loop, committed, own.storageId());
-        InstanceReplicator instances = new InstanceReplicator(loop, registry, peers, publisher, quorum);
-        QuorumReadGate reads = new QuorumReadGate(loop, register, publisher);
-        committed.addListener(publisher::onCommitted);
-        committed.addListener((state, ownProposal) -> peers.retainAcceptors(addresses(committed.members())));
-        committed.addListener((state, ownProposal) -> acceptor.storeAcceptorSet(committed.registerView()));
-        new AcceptorSetReconciler(loop, committed, register, peers, own, settings.toleratedLosses());
-        startRollout(settings, register, quorum, registry, publisher, world.engines());
-        messages.start(new MessageHandlers(
+        RouterPublisher publisher =
+                new RouterPublisher(loop, environment.connections().codec(), registry);
+        InstanceReplicator instances =
+                new InstanceReplicator(loop, registry, peers, publisher, register.quorumContact());
+        register.committed().addListener(publisher::onCommitted);
+        register.start(settings.toleratedLosses());
+        startRollout(settings, registry, publisher, environment.engines());
+        dispatcher.start(new MessageHandlers(
                 peers,
-                committed,
-                driver,
+                register,
                 publisher,
-                reads,
+                new QuorumReadGate(loop, register.client(), publisher),
                 instances,
-                new PrefixCacheEventForwarder(loop, world.links().codec(), settings.ownAddress(), settings.zone()),
-                quorum));
-        peers.retainAcceptors(addresses(AcceptorSet.of(committed.members()).votingMembers()));
+                new PrefixCacheEventForwarder(
+                        loop, environment.connections().codec(), settings.ownAddress(), settings.zone())));
+        peers.retainAcceptors(register.acceptorAddresses());
         peers.addAddresses(settings.seeds());
-        return new OperatorService(loop, register, publisher, instances, quorum, settings.toleratedLosses());
-    }
-
-    private static List<String> addresses(List<AcceptorMember> members) {
-        return members.stream().map(AcceptorMember::address).toList();
+        return new OperatorService(
+                loop, register.client(), publisher, instances, register.quorumContact(), settings.toleratedLosses());
     }
 
     private void startRollout(
             ControllerSettings settings,
-            RegisterClient register,
-            QuorumContactMonitor quorum,
             InstanceRegistry registry,
             RouterPublisher publisher,
             EngineControlClient engines) {
         WeightsRollout rollout = new WeightsRollout(RolloutSettings.of(settings.rolloutDeadlineMillis()));
-        RolloutCoordinator duty = new RolloutCoordinator(loop, registry, publisher, engines, rollout);
-        LeaseHolderMonitor owners = new LeaseHolderMonitor(peers, membershipView, settings.ownAddress());
-        LeaseManager ownership = new LeaseManager(
+        RolloutCoordinator coordinator = new RolloutCoordinator(loop, registry, publisher, engines, rollout);
+        LeaseManager lease = new LeaseManager(
                 loop,
-                register,
-                owners,
-                quorum,
-                WEIGHTS_ROLE,
-                settings.ownAddress(),
-                LeaseHolderMonitor.holderName(settings.processName(), settings.ownAddress()),
-                settings.leaseNanos(),
-                duty::hasWork,
-                duty);
-        duty.start(ownership);
-        committed.addListener((state, ownProposal) -> duty.onCommitted(state));
+                register.client(),
+                peers,
+                membershipView,
+                register.quorumContact(),
+                new LeaseManager.Settings(
+                        WEIGHTS_ROLE, settings.ownAddress(), settings.processName(), settings.leaseNanos()),
+                coordinator);
+        coordinator.start(lease);
+        register.committed().addListener((state, origin) -> coordinator.onCommitted(state));
     }
 
-    /** What membership tells, from now on. */
+    /** Changes of the membership. */
     public void onMembers(List<MemberChange> changes) {
         membershipView.onChanges(changes);
         addControllerAddresses(MembershipService.appearedAddresses(changes, NodeRoles.CONTROLLER));
@@ -144,23 +141,27 @@
         peers.addAddresses(addresses);
     }
 
-    /** The register that all parts use. */
-    protected Proposer proposer(Proposer driver) {
-        return driver;
+    /**
+     * The proposer that all components use; the given one, unless a subclass changes how proposals are made.
+     *
+     * @param real executes the proposals
+     */
+    protected Proposer proposer(Proposer real) {
+        return real;
     }
 
-    /** Ballot of {@link #committedState()}. */
+    /** The proposal number of {@link #committedState}. */
     public ProposalNumber committedProposalNumber() {
-        return committed.proposalNumber();
+        return register.committed().proposalNumber();
     }
 
-    /** The newest state that is known here to be chosen. */
+    /** The newest state that this process knows to be committed. */
     public SystemState committedState() {
-        return committed.state();
+        return register.committed().state();
     }
 
-    /** The acceptors, as far as is known here. */
+    /** The acceptors that this process knows. */
     public List<AcceptorMember> acceptors() {
-        return committed.members();
+        return register.committed().members();
     }
 }
--- a/controller/src/main/java/burlarch/controller/ControllerSettings.java
+++ b/controller/src/main/java/burlarch/controller/ControllerSettings.java
@@ -3,16 +3,16 @@
 import java.util.List;
 
 /**
- * What the decisions of a controller hang on.
+ * The settings that a controller's decisions depend on.
  *
- * @param ownAddress where it takes connections of other nodes, IP:PORT
- * @param zone where it runs
+ * @param ownAddress IP:PORT at which other nodes connect to this one
+ * @param zone where this process runs
  * @param seeds such addresses of other controllers
  * @param processName unique for this start of this process
- * @param heartbeatNanos between the announcements of an instance
- * @param rolloutDeadlineMillis until when engines have to be at newly named weights
- * @param leaseNanos how long a duty's owner may act after its last sign
- * @param toleratedLosses how many acceptors may be lost at once
+ * @param heartbeatNanos time between the announcements of an instance
+ * @param rolloutDeadlineMillis how long after a version of weights is named all engines have to serve it
+ * @param leaseNanos how long the lease of a singleton role lasts after its last confirmation
+ * @param toleratedLosses the number of acceptors that may be lost at the same time
  */
 public record ControllerSettings(
         String ownAddress,
--- a/controller/src/main/java/burlarch/controller/MessageHandlers.java
+++ b/controller/src/main/java/burlarch/controller/MessageHandlers.java
@@ -5,17 +5,13 @@
 import burlarch.controller.distribution.RouterPublisher;
 import burlarch.controller.instances.InstanceReplicator;
 import burlarch.controller.peers.ControllerPeers;
-import burlarch.controller.register.CommittedState;
-import burlarch.controller.register.ProposalExecutor;
-import burlarch.controller.register.QuorumContactMonitor;
+import burlarch.controller.register.RegisterReplica;
 
-/** The parts of a controller that messages of other nodes reach. */
+/** The components of a controller that connections and messages of other nodes are dispatched to. */
 record MessageHandlers(
         ControllerPeers peers,
-        CommittedState committed,
-        ProposalExecutor proposals,
+        RegisterReplica register,
         RouterPublisher publisher,
         QuorumReadGate reads,
         InstanceReplicator instances,
-        PrefixCacheEventForwarder prefixCacheEvents,
-        QuorumContactMonitor quorum) {}
+        PrefixCacheEventForwarder prefixCacheEvents) {}
--- a/controller/src/main/java/burlarch/controller/NodeMessageDispatcher.java
+++ b/controller/src/main/java/burlarch/controller/NodeMessageDispatcher.java
@@ -1,82 +1,86 @@
 package burlarch.controller;
 
-import burlarch.coordination.register.ProposalNumber;
-import burlarch.coordination.register.RegisterValue;
 import burlarch.node.NodeRoles;
 import burlarch.transport.EventLoop;
 import burlarch.transport.NodeMessage;
-import burlarch.transport.NodeMessage.Committed;
 import burlarch.transport.NodeMessage.ControllerStatus;
 import burlarch.transport.PeerConnection;
 import burlarch.transport.PeerConnectionListener;
+import java.util.List;
 
 /**
- * Hands messages of other nodes to the parts of a controller, and tells peers regularly what is known. On the
- * loop.
+ * Dispatches connections and messages of other nodes to the components that handle them, and sends the other
+ * controllers this one's status periodically. Runs on the event loop; has no state of its own.
  */
 final class NodeMessageDispatcher implements PeerConnectionListener {
     private static final long STATUS_PERIOD_NANOS = 300_000_000;
-    /** The own acceptor may be writing the value that others have chosen: asked for only after this. */
-    private static final long LOCAL_ACCEPT_DELAY_NANOS = 50_000_000;
 
     private final EventLoop loop;
+    /** Null before {@link #start}. */
     private MessageHandlers handlers;
 
     NodeMessageDispatcher(EventLoop loop) {
         this.loop = loop;
     }
 
-    /** To be called once, before any connection is up. */
-    void start(MessageHandlers controllerParts) {
-        handlers = controllerParts;
+    /** Sends the first status; to be called once, before the first connection. */
+    void start(MessageHandlers messageHandlers) {
+        handlers = messageHandlers;
         sendStatus();
     }
 
     @Override
     public void onConnected(PeerConnection connection) {
-        handlers.prefixCacheEvents().onUp(connection);
-        if (connection.peerHello().role().equals(NodeRoles.ROUTER)) {
-            handlers.instances().expireSilent();
-            handlers.publisher().onRouterUp(connection, handlers.peers().advertisedAddresses());
-            handlers.reads().onRouterUp(connection);
-        } else if (connection.peerHello().role().equals(NodeRoles.CONTROLLER)) {
-            handlers.peers().onUp(connection);
-            handlers.quorum().onHeard(connection);
-            connection.send(status());
-            handlers.proposals().onPeerUp();
-            handlers.instances().sendSnapshot(connection);
+        handlers.prefixCacheEvents().onConnected(connection);
+        String role = connection.peerHello().role();
+        if (role.equals(NodeRoles.ROUTER)) {
+            onRouterConnected(connection);
+        } else if (role.equals(NodeRoles.CONTROLLER)) {
+            onControllerConnected(connection);
         }
     }
 
+    private void onRouterConnected(PeerConnection router) {
+        handlers.instances().expireOverdue();
+        handlers.publisher().onRouterConnected(router, advertisedAddresses());
+        handlers.reads().onRouterConnected(router);
+    }
+
+    private void onControllerConnected(PeerConnection controller) {
+        handlers.peers().onConnected(controller);
+        handlers.register().quorumContact().onHeard(controller);
+        controller.send(status());
+        handlers.register().onPeerConnected();
+        handlers.instances().sendSnapshot(controller);
+    }
+
     @Override
     public void onDisconnected(PeerConnection connection) {
-        handlers.prefixCacheEvents().onDown(connection);
+        handlers.prefixCacheEvents().onDisconnected(connection);
         if (connection.peerHello().role().equals(NodeRoles.ROUTER)) {
-            handlers.publisher().onRouterDown(connection, handlers.peers().advertisedAddresses());
-            handlers.reads().onRouterDown(connection);
+            handlers.publisher().onRouterDisconnected(connection, advertisedAddresses());
+            handlers.reads().onRouterDisconnected(connection);
         } else {
-            handlers.peers().onDown(connection);
-            handlers.quorum().onDown(connection);
+            handlers.peers().onDisconnected(connection);
+            handlers.register().quorumContact().onDisconnected(connection);
             handlers.instances().onPeerLost();
         }
     }
 
     @Override
     public void onMessage(PeerConnection connection, NodeMessage message) {
-        if (message instanceof NodeMessage.PrefixCacheEvents kept) {
-            handlers.prefixCacheEvents().onPrefixCacheEvents(connection, kept);
-        } else if (message instanceof NodeMessage.RegisterProtocol register) {
-            handlers.proposals().onMessage(connection, register.message());
-        } else if (message instanceof Committed decided) {
-            onDecided(connection, decided);
+        if (message instanceof NodeMessage.PrefixCacheEvents events) {
+            handlers.prefixCacheEvents().onPrefixCacheEvents(connection, events);
+        } else if (message instanceof NodeMessage.RegisterProtocol protocol) {
+            handlers.register().onMessage(connection, protocol.message());
+        } else if (message instanceof NodeMessage.Committed committed) {
+            handlers.register().onCommitted(connection, committed);
         } else if (message instanceof ControllerStatus status) {
             onStatus(connection, status);
-        } else if (message instanceof NodeMessage.FetchCommitted
-                && handlers.committed().value() != null) {
-            connection.send(new Committed(
-                    handlers.committed().proposalNumber(), handlers.committed().value()));
-        } else if (message instanceof NodeMessage.InstanceAnnouncements announced) {
-            handlers.instances().onPeerAnnounced(announced.instances());
+        } else if (message instanceof NodeMessage.FetchCommitted) {
+            handlers.register().onFetchCommitted(connection);
+        } else if (message instanceof NodeMessage.InstanceAnnouncements announcements) {
+            handlers.instances().onPeerAnnounced(announcements.instances());
         } else if (message instanceof NodeMessage.ConfigurationAck ack) {
             handlers.publisher().onConfigurationAck(connection, ack.version());
         } else if (message instanceof NodeMessage.FetchConfiguration) {
@@ -86,37 +90,14 @@
         }
     }
 
-    private void onDecided(PeerConnection connection, Committed decided) {
-        if (decided.value() != null) {
-            handlers.committed().advance(decided.proposalNumber(), decided.value(), false);
-        } else if (!adoptAccepted(decided.proposalNumber())) {
-            loop.schedule(LOCAL_ACCEPT_DELAY_NANOS, () -> adoptOrFetch(connection, decided.proposalNumber()));
-        }
-    }
-
-    private void adoptOrFetch(PeerConnection connection, ProposalNumber chosen) {
-        if (!adoptAccepted(chosen)) {
-            connection.send(new NodeMessage.FetchCommitted());
-        }
-    }
-
-    /** Takes the chosen value from the own acceptor; false where it isn't there and still needed. */
-    private boolean adoptAccepted(ProposalNumber chosen) {
-        RegisterValue accepted = handlers.proposals().acceptedAt(chosen);
-        handlers.committed().advance(chosen, accepted, false);
-        return chosen.compareTo(handlers.committed().proposalNumber()) <= 0;
-    }
-
     private void onStatus(PeerConnection connection, ControllerStatus status) {
-        handlers.quorum().onHeard(connection);
-        int known = handlers.peers().advertisedAddresses().size();
+        handlers.register().quorumContact().onHeard(connection);
+        int knownBefore = advertisedAddresses().size();
         handlers.peers().addAddresses(status.controllers());
-        if (handlers.peers().advertisedAddresses().size() != known) {
-            handlers.publisher().scheduleFleetUpdate(handlers.peers().advertisedAddresses());
-        }
-        if (status.committed().compareTo(handlers.committed().proposalNumber()) > 0) {
-            connection.send(new NodeMessage.FetchCommitted());
+        if (advertisedAddresses().size() != knownBefore) {
+            handlers.publisher().scheduleFleetUpdate(advertisedAddresses());
         }
+        handlers.register().onPeerStatus(connection, status.committed());
     }
 
     private void sendStatus() {
@@ -125,7 +106,10 @@
     }
 
     private ControllerStatus status() {
-        return new ControllerStatus(
-                handlers.committed().proposalNumber(), handlers.peers().advertisedAddresses());
+        return new ControllerStatus(handlers.register().committed().proposalNumber(), advertisedAddresses());
+    }
+
+    private List<String> advertisedAddresses() {
+        return handlers.peers().advertisedAddresses();
     }
 }
--- a/controller/src/main/java/burlarch/controller/distribution/ConfigurationDeltaSender.java
+++ b/controller/src/main/java/burlarch/controller/distribution/ConfigurationDeltaSender.java
@@ -8,9 +8,9 @@
 import java.util.OptionalLong;
 
 /**
- * Brings routers to the newest configuration: by a change from the version that a router holds, or was sent
- * last on this connection, where that one is still known here; else by the whole document. Lives on the
- * loop; bounded by the routers that are connected and by {@link ConfigurationHistory}.
+ * Sends routers the newest configuration: as a delta from the version that a router holds or was sent last on its
+ * connection, if that version is still in the {@link ConfigurationHistory}, and otherwise as the complete document. Runs on
+ * the event loop; bounded by the connected routers.
  */
 final class ConfigurationDeltaSender {
     private final FrameCodec codec;
@@ -22,12 +22,12 @@
         history = new ConfigurationHistory(codec);
     }
 
-    /** A newer version is in force. */
+    /** A newer version is committed. */
     void add(long version, byte[] document) {
         history.add(version, document);
     }
 
-    /** The router is gone. */
+    /** The router is disconnected. */
     void forget(PeerConnection router) {
         sentVersions.remove(router);
     }
@@ -35,7 +35,7 @@
     /**
      * Sends the newest version unless the router holds it or was sent it on this connection.
      *
-     * @param held what the router said that it holds; absent where it has not said anything
+     * @param held the version that the router has acknowledged; empty if it has not acknowledged any
      */
     void send(PeerConnection router, OptionalLong held) {
         long base = Math.max(sentVersions.getOrDefault(router, 0L), held.orElse(0));
@@ -46,15 +46,15 @@
         sentVersions.put(router, history.newest());
     }
 
-    /** Sends the whole newest version: the router could not use what it was sent. */
+    /** Sends the complete newest version, because the router could not apply a delta. */
     void sendComplete(PeerConnection router) {
         if (history.newest() > 0) {
-            router.sendFrame(history.frameFrom(ConfigurationHistory.NONE));
+            router.sendFrame(history.frameFrom(ConfigurationHistory.NO_VERSION));
             sentVersions.put(router, history.newest());
         }
     }
 
-    /** For a router that may know no other form. */
+    /** The message for a router that may not understand deltas. */
     private byte[] completeFrame() {
         return codec.encode(new ConfigurationUpdate(history.newest(), history.newestDocument()));
     }
--- a/controller/src/main/java/burlarch/controller/distribution/PrefixCacheEventForwarder.java
+++ b/controller/src/main/java/burlarch/controller/distribution/PrefixCacheEventForwarder.java
@@ -15,21 +15,23 @@
 import java.util.Set;
 
 /**
- * Passes on, unread, what one router read of kept parts to all others. A batch crosses to each other zone
- * once, to a controller there, which passes it on to the routers of its own zone; a zone without such a
- * controller is served from here. What comes within a short time leaves together, so that each router is
- * written to, and wakes, once for many. What is lost on the way shows in the numbering of its source. Lives
- * on the loop.
+ * Forwards prefix-cache events that one router has read from an engine to all other routers, without decoding them.
+ * Runs on the event loop.
+ *
+ * <p>A frame crosses to each other zone once: to a controller there, which forwards it to the routers of its own zone.
+ * Routers of a zone without such a controller are sent it from here. Frames that arrive within a short time are sent
+ * together, so that each router wakes once for many. Losses are allowed: the receiver finds them by the sequence numbers
+ * of the source.
  */
 public final class PrefixCacheEventForwarder {
-    /** How long the oldest batch waits, nanoseconds. */
+    /** How long the oldest frame of a batch waits. */
     static final long BATCH_DELAY_NANOS = 50_000_000;
     /**
-     * A controller passes on for others once it has been connected for so long: routers try again once a
-     * second at the least, so they are connected with it by then.
+     * A controller is a relay for its zone once it has been connected for so long: routers retry connections at least
+     * once a second, so those of its zone are connected to it by then.
      */
     static final long RELAY_ELIGIBLE_AFTER_NANOS = 2_000_000_000;
-    /** What may wait; with more it leaves at once. */
+    /** The most frames of a batch; a full batch is sent at once. */
     private static final int MAX_PENDING_FRAMES = 256;
 
     private final EventLoop loop;
@@ -37,13 +39,13 @@
     private final String ownAddress;
     private final String ownZone;
     private final Map<String, Set<PeerConnection>> routersByZone = new HashMap<>();
-    /** Connections that this side asked for, one to each controller of another zone, with their begin. */
+    /** Outbound connections to the controllers of other zones, with the time of their start in nanoseconds. */
     private final Map<PeerConnection, Long> relayCandidates = new LinkedHashMap<>();
 
     private List<PendingFrame> pending = new ArrayList<>();
 
     private record PendingFrame(PeerConnection from, byte[] frame) {
-        /** Whether the sender has passed it to the other zones already. */
+        /** Whether its sender, a controller, has forwarded it to the other zones already. */
         boolean isRelayed() {
             return from.peerHello().role().equals(NodeRoles.CONTROLLER);
         }
@@ -56,7 +58,8 @@
         this.ownZone = ownZone;
     }
 
-    public void onUp(PeerConnection connection) {
+    /** A router or a controller is connected. */
+    public void onConnected(PeerConnection connection) {
         if (connection.peerHello().role().equals(NodeRoles.ROUTER)) {
             routersByZone
                     .computeIfAbsent(connection.peerHello().zone(), zone -> new LinkedHashSet<>())
@@ -66,7 +69,8 @@
         }
     }
 
-    public void onDown(PeerConnection connection) {
+    /** A router or a controller is disconnected. */
+    public void onDisconnected(PeerConnection connection) {
         relayCandidates.remove(connection);
         Set<PeerConnection> routers = routersByZone.get(connection.peerHello().zone());
         if (routers != null && routers.remove(connection) && routers.isEmpty()) {
@@ -74,8 +78,9 @@
         }
     }
 
-    public void onPrefixCacheEvents(PeerConnection from, PrefixCacheEvents parts) {
-        pending.add(new PendingFrame(from, codec.encode(parts)));
+    /** Events of a router, or of a controller that forwards them for its zone. */
+    public void onPrefixCacheEvents(PeerConnection from, PrefixCacheEvents events) {
+        pending.add(new PendingFrame(from, codec.encode(events)));
         if (pending.size() >= MAX_PENDING_FRAMES) {
             forward();
         } else if (pending.size() == 1) {
@@ -84,19 +89,19 @@
     }
 
     private void forward() {
-        List<PendingFrame> leaving = pending;
+        List<PendingFrame> batch = pending;
         pending = new ArrayList<>();
-        if (leaving.isEmpty()) {
+        if (batch.isEmpty()) {
             return;
         }
-        List<PendingFrame> first = new ArrayList<>(leaving);
-        first.removeIf(PendingFrame::isRelayed);
+        List<PendingFrame> notRelayed = new ArrayList<>(batch);
+        notRelayed.removeIf(PendingFrame::isRelayed);
         routersByZone.forEach((zone, routers) -> {
             PeerConnection relay = zone.equals(ownZone) ? null : relayFor(zone);
             if (relay != null) {
-                send(first, relay);
+                send(notRelayed, relay);
             } else {
-                List<PendingFrame> due = zone.equals(ownZone) ? leaving : first;
+                List<PendingFrame> due = zone.equals(ownZone) ? batch : notRelayed;
                 routers.forEach(router -> send(due, router));
             }
         });
@@ -111,18 +116,20 @@
         }
     }
 
-    /** The controller of that zone that passes on what comes from here, or null where there is none. */
+    /** The controller that relays frames of this process in that zone; null if there is none. */
     private PeerConnection relayFor(String zone) {
         long now = loop.nanoTime();
         PeerConnection best = null;
-        double most = -1;
+        double bestScore = -1;
         for (Map.Entry<PeerConnection, Long> one : relayCandidates.entrySet()) {
-            PeerConnection link = one.getKey();
-            boolean fits = link.peerHello().zone().equals(zone) && now - one.getValue() >= RELAY_ELIGIBLE_AFTER_NANOS;
-            double score = fits ? RendezvousAssignment.score(link.peerHello().nodeName(), ownAddress) : -1;
-            if (score > most) {
-                most = score;
-                best = link;
+            PeerConnection candidate = one.getKey();
+            boolean eligible =
+                    candidate.peerHello().zone().equals(zone) && now - one.getValue() >= RELAY_ELIGIBLE_AFTER_NANOS;
+            double score =
+                    eligible ? RendezvousAssignment.score(candidate.peerHello().nodeName(), ownAddress) : -1;
+            if (score > bestScore) {
+                bestScore = score;
+                best = candidate;
             }
         }
         return best;
--- a/controller/src/main/java/burlarch/controller/distribution/RouterPublisher.java
+++ b/controller/src/main/java/burlarch/controller/distribution/RouterPublisher.java
@@ -1,5 +1,6 @@
 package burlarch.controller.distribution;
 
+import burlarch.controller.register.CommittedState.Origin;
 import burlarch.controller.state.SystemState;
 import burlarch.coordination.distribution.AcknowledgementTracker;
 import burlarch.coordination.distribution.AcknowledgementTracker.Wait;
@@ -10,119 +11,125 @@
 import burlarch.transport.NodeMessage;
 import burlarch.transport.NodeMessage.InstancesUpdate;
 import burlarch.transport.PeerConnection;
-import java.util.HashSet;
+import java.util.HashMap;
 import java.util.IdentityHashMap;
 import java.util.List;
 import java.util.Map;
-import java.util.Set;
 import java.util.concurrent.CompletableFuture;
 
 /**
- * Streams configurations and instances to the routers that are connected, and tells when all of them hold a
- * revision. Lives on the loop.
+ * Publishes configurations, instances and the fleet's size to the connected routers, and tells when all of them have
+ * acknowledged a revision. Runs on the event loop.
+ *
+ * <table>
+ * <caption>A router's access to the configuration</caption>
+ * <tr><th>from</th><th>event</th><th>to</th></tr>
+ * <tr><td></td><td>{@link #onRouterConnected}: it is sent the instances</td><td>AWAITING_QUORUM_READ</td></tr>
+ * <tr><td>AWAITING_QUORUM_READ</td><td>{@link #onQuorumRead}: it is sent the configuration, now or once it has said what
+ * it holds</td><td>ALLOWED</td></tr>
+ * <tr><td>ALLOWED</td><td>a newer configuration is committed: it is sent that one</td><td>ALLOWED</td></tr>
+ * <tr><td>any</td><td>{@link #onRouterDisconnected}</td><td>forgotten, waited for no longer</td></tr>
+ * </table>
  */
 public final class RouterPublisher {
     /**
-     * A configuration that another controller chose is sent by that one: here only to those that lack it by
-     * then.
+     * The controller whose proposal committed a configuration sends it. The others send it this much later, and only
+     * to routers that have not acknowledged it by then.
      */
     private static final long PEER_COMMIT_DELAY_NANOS = 150_000_000;
-
-    /** Routers that come and go, and controllers that are new, within this time are told of together. */
+    /** Changes of the routers and controllers within this time are published together. */
     static final long FLEET_UPDATE_DELAY_NANOS = 50_000_000;
-    /** A router that says nothing of what it holds for so long is sent the whole configuration. */
+    /** A router that has not said for so long which version it holds is sent the complete configuration. */
     private static final long FIRST_ACK_TIMEOUT_NANOS = 100_000_000;
 
+    private enum ConfigurationAccess {
+        AWAITING_QUORUM_READ,
+        ALLOWED
+    }
+
+    private enum FleetUpdateState {
+        NOT_SCHEDULED,
+        SCHEDULED
+    }
+
     private final EventLoop loop;
     private final FrameCodec codec;
     private final InstanceRegistry registry;
-    private final AcknowledgementTracker<PeerConnection> configurations = new AcknowledgementTracker<>();
-    private final AcknowledgementTracker<PeerConnection> instances = new AcknowledgementTracker<>();
-    private final Map<Wait, CompletableFuture<Void>> waiting = new IdentityHashMap<>();
-    private final Set<PeerConnection> routers = new HashSet<>();
-    /** Routers that may be sent a configuration: after their connection a quorum confirmed the newest one. */
-    private final Set<PeerConnection> confirmed = new HashSet<>();
-
+    private final ConfigurationDeltaSender configurationSender;
+    private final AcknowledgementTracker<PeerConnection> configurationAcks = new AcknowledgementTracker<>();
+    private final AcknowledgementTracker<PeerConnection> instanceAcks = new AcknowledgementTracker<>();
+    private final Map<Wait, CompletableFuture<Void>> pendingWaits = new IdentityHashMap<>();
+    private final Map<PeerConnection, ConfigurationAccess> routers = new HashMap<>();
     private SystemState state = SystemState.EMPTY;
-    private final ConfigurationDeltaSender configurationStream;
-    private long sentRevision;
+    private long sentInstancesRevision;
     private List<String> knownControllers = List.of();
-    private boolean fleetUpdateScheduled;
+    private FleetUpdateState fleetUpdate = FleetUpdateState.NOT_SCHEDULED;
 
+    /** A publisher without routers. */
     public RouterPublisher(EventLoop loop, FrameCodec codec, InstanceRegistry registry) {
         this.loop = loop;
         this.codec = codec;
         this.registry = registry;
-        configurationStream = new ConfigurationDeltaSender(codec);
+        configurationSender = new ConfigurationDeltaSender(codec);
     }
 
-    /**
-     * A router is connected. It gets instances at once, the configuration once {@link #onQuorumRead} allows.
-     */
-    public void onRouterUp(PeerConnection router, List<String> controllers) {
-        routers.add(router);
-        configurations.subscribe(router);
-        instances.subscribe(router);
+    /** A router is connected. It is sent the instances at once, the configuration after {@link #onQuorumRead}. */
+    public void onRouterConnected(PeerConnection router, List<String> controllers) {
+        routers.putIfAbsent(router, ConfigurationAccess.AWAITING_QUORUM_READ);
+        configurationAcks.subscribe(router);
+        instanceAcks.subscribe(router);
         router.sendFrame(frame(registry.snapshot()));
         scheduleFleetUpdate(controllers);
     }
 
-    public void onRouterDown(PeerConnection router, List<String> controllers) {
-        if (!routers.remove(router)) {
+    /** A router is disconnected. */
+    public void onRouterDisconnected(PeerConnection router, List<String> controllers) {
+        if (routers.remove(router) == null) {
             return;
         }
-        confirmed.remove(router);
-        configurationStream.forget(router);
-        configurations.unsubscribe(router);
-        instances.unsubscribe(router);
+        configurationSender.forget(router);
+        configurationAcks.unsubscribe(router);
+        instanceAcks.unsubscribe(router);
         finishWaits();
         scheduleFleetUpdate(controllers);
     }
 
-    /** How many routers are connected. */
-    public int routerCount() {
-        return routers.size();
-    }
-
     /** Tells the routers soon which controllers there are and how many routers. */
     public void scheduleFleetUpdate(List<String> controllers) {
         knownControllers = controllers;
-        if (!fleetUpdateScheduled) {
-            fleetUpdateScheduled = true;
+        if (fleetUpdate == FleetUpdateState.NOT_SCHEDULED) {
+            fleetUpdate = FleetUpdateState.SCHEDULED;
             loop.schedule(FLEET_UPDATE_DELAY_NANOS, this::sendFleetUpdate);
         }
     }
 
     private void sendFleetUpdate() {
-        fleetUpdateScheduled = false;
-        byte[] frame = codec.encode(new NodeMessage.FleetUpdate(knownControllers, routers.size()));
-        routers.forEach(router -> router.sendFrame(frame));
+        fleetUpdate = FleetUpdateState.NOT_SCHEDULED;
+        sendToAll(codec.encode(new NodeMessage.FleetUpdate(knownControllers, routers.size())));
     }
 
-    /**
-     * The router was connected before a read that a quorum confirmed began: it may be sent the newest
-     * configuration.
-     */
+    /** A read that a quorum confirmed has started after the router was connected. */
     public void onQuorumRead(PeerConnection router) {
-        if (!routers.contains(router) || !confirmed.add(router)) {
+        if (routers.get(router) != ConfigurationAccess.AWAITING_QUORUM_READ) {
             return;
         }
-        if (configurations.acknowledgedBy(router).isPresent()) {
+        routers.put(router, ConfigurationAccess.ALLOWED);
+        if (configurationAcks.acknowledgedBy(router).isPresent()) {
             sendConfiguration(router);
         } else {
             loop.schedule(FIRST_ACK_TIMEOUT_NANOS, () -> sendConfiguration(router));
         }
     }
 
-    /** A value was chosen. */
-    public void onCommitted(SystemState decided, boolean ownProposal) {
-        boolean newer = decided.configurationVersion() > state.configurationVersion();
-        state = decided;
+    /** A newer state is committed. */
+    public void onCommitted(SystemState committed, Origin origin) {
+        boolean newer = committed.configurationVersion() > state.configurationVersion();
+        state = committed;
         if (!newer) {
             return;
         }
-        configurationStream.add(decided.configurationVersion(), decided.configuration());
-        if (ownProposal) {
+        configurationSender.add(committed.configurationVersion(), committed.configuration());
+        if (origin == Origin.OWN_PROPOSAL) {
             sendConfiguration();
         } else {
             loop.schedule(PEER_COMMIT_DELAY_NANOS, this::sendConfiguration);
@@ -130,68 +137,78 @@
     }
 
     private void sendConfiguration() {
-        configurations.laggingBehind(state.configurationVersion()).forEach(this::sendConfiguration);
+        configurationAcks.laggingBehind(state.configurationVersion()).forEach(this::sendConfiguration);
     }
 
     private void sendConfiguration(PeerConnection router) {
-        if (confirmed.contains(router)) {
-            configurationStream.send(router, configurations.acknowledgedBy(router));
+        if (isAllowed(router)) {
+            configurationSender.send(router, configurationAcks.acknowledgedBy(router));
         }
     }
 
-    /** What was sent fits no document that the router holds. */
+    private boolean isAllowed(PeerConnection router) {
+        return routers.get(router) == ConfigurationAccess.ALLOWED;
+    }
+
+    /** A router could not apply the delta that it was sent. */
     public void onFetchConfiguration(PeerConnection router) {
-        if (confirmed.contains(router)) {
-            configurationStream.sendComplete(router);
+        if (isAllowed(router)) {
+            configurationSender.sendComplete(router);
         }
     }
 
-    /** Sends the routers what changed in the registry since the last call. */
+    /** Sends the routers what has changed in the registry since the last call. */
     public void sendInstances() {
-        if (registry.revision() == sentRevision) {
+        if (registry.revision() == sentInstancesRevision) {
             return;
         }
-        byte[] frame = frame(registry.changesSince(sentRevision));
-        sentRevision = registry.revision();
-        routers.forEach(router -> router.sendFrame(frame));
+        byte[] frame = frame(registry.changesSince(sentInstancesRevision));
+        sentInstancesRevision = registry.revision();
+        sendToAll(frame);
     }
 
     private byte[] frame(InstanceChanges changes) {
         return codec.encode(new InstancesUpdate(changes.revision(), changes.complete(), changes.instances()));
     }
 
+    private void sendToAll(byte[] frame) {
+        routers.keySet().forEach(router -> router.sendFrame(frame));
+    }
+
+    /** A router holds that version of the configuration. */
     public void onConfigurationAck(PeerConnection router, long version) {
-        boolean first = configurations.acknowledgedBy(router).isEmpty();
-        configurations.onAcknowledged(router, version);
+        boolean first = configurationAcks.acknowledgedBy(router).isEmpty();
+        configurationAcks.onAcknowledged(router, version);
         finishWaits();
         if (first) {
             sendConfiguration(router);
         }
     }
 
+    /** A router holds that revision of the instances. */
     public void onInstancesAck(PeerConnection router, long revision) {
-        instances.onAcknowledged(router, revision);
+        instanceAcks.onAcknowledged(router, revision);
         finishWaits();
     }
 
-    /** Done when all routers that are connected hold the version, or the time is over. */
-    public CompletableFuture<Void> awaitConfiguration(long version, long limitNanos) {
-        return await(configurations, version, limitNanos);
+    /** Done when all connected routers hold the version of the configuration, or after the timeout; never fails. */
+    public CompletableFuture<Void> awaitConfiguration(long version, long timeoutNanos) {
+        return await(configurationAcks, version, timeoutNanos);
     }
 
-    /** Done when all routers that are connected hold the revision of the registry, or the time is over. */
-    public CompletableFuture<Void> awaitInstances(long revision, long limitNanos) {
-        return await(instances, revision, limitNanos);
+    /** Done when all connected routers hold the revision of the instances, or after the timeout; never fails. */
+    public CompletableFuture<Void> awaitInstances(long revision, long timeoutNanos) {
+        return await(instanceAcks, revision, timeoutNanos);
     }
 
     private CompletableFuture<Void> await(
-            AcknowledgementTracker<PeerConnection> table, long revision, long limitNanos) {
+            AcknowledgementTracker<PeerConnection> acks, long revision, long timeoutNanos) {
         CompletableFuture<Void> done = new CompletableFuture<>();
-        table.await(revision, loop.nanoTime() + limitNanos)
+        acks.await(revision, loop.nanoTime() + timeoutNanos)
                 .ifPresentOrElse(
                         wait -> {
-                            waiting.put(wait, done);
-                            loop.schedule(limitNanos, this::finishWaits);
+                            pendingWaits.put(wait, done);
+                            loop.schedule(timeoutNanos, this::finishWaits);
                         },
                         () -> done.complete(null));
         return done;
@@ -199,8 +216,11 @@
 
     private void finishWaits() {
         long now = loop.nanoTime();
-        configurations.takeFinishedWaits(now).forEach(wait -> waiting.remove(wait)
-                .complete(null));
-        instances.takeFinishedWaits(now).forEach(wait -> waiting.remove(wait).complete(null));
+        finish(configurationAcks.takeFinishedWaits(now));
+        finish(instanceAcks.takeFinishedWaits(now));
+    }
+
+    private void finish(List<Wait> finished) {
+        finished.forEach(wait -> pendingWaits.remove(wait).complete(null));
     }
 }
--- a/controller/src/main/java/burlarch/controller/instances/InstanceReplicator.java
+++ b/controller/src/main/java/burlarch/controller/instances/InstanceReplicator.java
@@ -13,15 +13,15 @@
 import java.util.List;
 
 /**
- * What instances announce here and at the other controllers: changes go on at once, mere heartbeats in
- * batches, so that each controller knows who was heard of. Without contact to a quorum this goes on, to
- * whoever is reached, but nothing is lost to silence: what isn't heard here may be heard elsewhere. Lives on
- * the loop.
+ * Replicates the announcements of instances between controllers and to routers. Runs on the event loop.
+ *
+ * <p>Changes are sent at once. Heartbeats without a change are sent in batches, so that each controller knows which
+ * instances were heard from. Without contact to a quorum replication goes on, to whoever is reachable, but no instance
+ * is expired: what isn't heard here may be heard elsewhere.
  */
 public final class InstanceReplicator {
     private static final long BATCH_DELAY_NANOS = 250_000_000;
     private static final long EXPIRY_CHECK_PERIOD_NANOS = 500_000_000;
-    /** Instances in one message to a peer. */
     private static final int MAX_INSTANCES_PER_MESSAGE = 500;
 
     private final EventLoop loop;
@@ -29,9 +29,10 @@
     private final ControllerPeers peers;
     private final RouterPublisher publisher;
     private final QuorumContactMonitor quorum;
+    /** Heartbeats for the next batch. A batch is scheduled exactly while there are any. */
     private List<Instance> heartbeats = new ArrayList<>();
-    private boolean batchScheduled;
 
+    /** Schedules the first expiry check. */
     public InstanceReplicator(
             EventLoop loop,
             InstanceRegistry registry,
@@ -47,13 +48,13 @@
     }
 
     /**
-     * An instance announces itself here.
+     * An instance announces itself at this controller.
      *
-     * @return whether it is known now, be it by an older or a newer announcement; else there was no room
+     * @return whether the registry knows the instance now, by this announcement or by a newer one; false if it is full
      */
     public boolean announce(Instance instance) {
-        InstanceRegistry.AnnouncementResult outcome = registry.announce(instance, loop.nanoTime());
-        switch (outcome) {
+        InstanceRegistry.AnnouncementResult result = registry.announce(instance, loop.nanoTime());
+        switch (result) {
             case CHANGED -> {
                 peers.sendAll(new NodeMessage.InstanceAnnouncements(List.of(instance)));
                 publisher.sendInstances();
@@ -64,44 +65,42 @@
             }
             default -> {}
         }
-        return outcome != InstanceRegistry.AnnouncementResult.TABLE_FULL;
+        return result != InstanceRegistry.AnnouncementResult.TABLE_FULL;
     }
 
     private void addHeartbeat(Instance instance) {
-        heartbeats.add(instance);
-        if (!batchScheduled) {
-            batchScheduled = true;
+        if (heartbeats.isEmpty()) {
             loop.schedule(BATCH_DELAY_NANOS, this::sendBatch);
         }
+        heartbeats.add(instance);
     }
 
     private void sendBatch() {
-        batchScheduled = false;
         peers.sendAll(new NodeMessage.InstanceAnnouncements(heartbeats));
         heartbeats = new ArrayList<>();
     }
 
-    /** An instance ends and says so. */
+    /** An instance announces its end at this controller. */
     public void onLeft(String id) {
         Instance left = registry.leave(id, loop.nanoTime());
         peers.sendAll(new NodeMessage.InstanceAnnouncements(List.of(left)));
         publisher.sendInstances();
     }
 
-    /** What another controller took. */
+    /** Another controller has heard from these instances. */
     public void onPeerAnnounced(Collection<Instance> instances) {
         registry.merge(instances, loop.nanoTime());
         publisher.sendInstances();
     }
 
-    /** A controller is out of touch: its instances need time to turn to another. */
+    /** Another controller is disconnected: its instances need time to turn to another one before they expire. */
     public void onPeerLost() {
         registry.restartGrace(loop.nanoTime());
     }
 
     /**
-     * A connection to or from a controller is up: it gets what it may have missed. Either of the two that
-     * lead between controllers may be the first.
+     * Sends a newly connected controller what it may have missed. Called for each of the two connections between two
+     * controllers, because either may be established first.
      */
     public void sendSnapshot(PeerConnection controller) {
         List<Instance> known = registry.selfReported();
@@ -112,12 +111,12 @@
     }
 
     private void onExpiryTimer() {
-        expireSilent();
+        expireOverdue();
         loop.schedule(EXPIRY_CHECK_PERIOD_NANOS, this::onExpiryTimer);
     }
 
-    /** Takes note of who was silent for too long, also of this process's own standstill. */
-    public void expireSilent() {
+    /** Expires the instances whose heartbeats are overdue; notices too if this process itself stood still. */
+    public void expireOverdue() {
         long now = loop.nanoTime();
         if (!quorum.hasContact()) {
             registry.restartGrace(now);
@@ -126,7 +125,7 @@
         publisher.sendInstances();
     }
 
-    /** The registry's revision. */
+    /** The revision of the registry. */
     public long revision() {
         return registry.revision();
     }
--- a/controller/src/main/java/burlarch/controller/ownership/LeaseHolderMonitor.java
+++ b/controller/src/main/java/burlarch/controller/ownership/LeaseHolderMonitor.java
@@ -6,16 +6,22 @@
 import burlarch.coordination.membership.MemberState;
 import java.util.ArrayList;
 import java.util.List;
+import java.util.Optional;
 
 /**
- * Whether the owner of a duty still lives. What left is gone, and what membership holds dead once this
- * process can't reach it either. That routers still vouch for an owner counts for nothing: cut off from the
- * other controllers it has no quorum and can't act. Lives on the loop.
+ * Says whether the holder of a lease is alive, and which controllers could hold it. Runs on the event loop and has no
+ * state of its own.
+ *
+ * <p>A holder is lost if it has announced its shutdown, or if membership says that it is dead and this process can't
+ * reach it either. That routers can still reach it doesn't count: without the other controllers it has no quorum and
+ * can't act.
  */
-public final class LeaseHolderMonitor {
+final class LeaseHolderMonitor {
+    private static final char ADDRESS_SEPARATOR = '@';
     /**
-     * A controller that is out of reach for less may only be slow: its duties stay with it. One that was
-     * restarted loses them this long after it is back, when those that start together have all met.
+     * A controller that is out of reach for a shorter time may only be slow and keeps its roles. A restarted controller
+     * loses the roles of its former process this long after it is connected again, when controllers that start
+     * together have all connected.
      */
     private static final long UNREACHABLE_GRACE_NANOS = 1_000_000_000;
 
@@ -23,46 +29,46 @@
     private final ControllerMembershipView membershipView;
     private final String ownAddress;
 
-    public LeaseHolderMonitor(ControllerPeers peers, ControllerMembershipView controllers, String ownAddress) {
+    LeaseHolderMonitor(ControllerPeers peers, ControllerMembershipView membershipView, String ownAddress) {
         this.peers = peers;
-        this.membershipView = controllers;
+        this.membershipView = membershipView;
         this.ownAddress = ownAddress;
     }
 
-    /** Name of the process as the holder of a duty. */
-    public static String holderName(String processName, String address) {
-        return processName + "@" + address;
+    /** The name of a process as the holder of a lease: unique for each start, and ending in its address. */
+    static String holderName(String processName, String address) {
+        return processName + ADDRESS_SEPARATOR + address;
     }
 
-    /** Whether the other process that is known by this holder's name lives. */
-    public boolean isAlive(String holder, long now) {
-        int at = holder.lastIndexOf('@');
-        String address = holder.substring(at + 1);
+    /** Whether the holder, which is another process than this one, is alive. */
+    boolean isAlive(String holder, long nowNanos) {
+        int separator = holder.lastIndexOf(ADDRESS_SEPARATOR);
+        String address = holder.substring(separator + 1);
         if (address.equals(ownAddress)) {
             return false;
         }
-        String incarnation = ProcessIncarnations.ofProcessName(holder.substring(0, at));
-        MemberState state = membershipView.stateOf(address, incarnation);
-        if (state == MemberState.LEFT) {
+        String incarnation = ProcessIncarnations.ofProcessName(holder.substring(0, separator));
+        Optional<MemberState> state = membershipView.stateOf(address, incarnation);
+        if (state.equals(Optional.of(MemberState.LEFT))) {
             return false;
         }
-        boolean lately = now - peers.connectivityChangedAtNanos(address) < UNREACHABLE_GRACE_NANOS;
+        boolean recentlyChanged = nowNanos - peers.connectivityChangedAtNanos(address) < UNREACHABLE_GRACE_NANOS;
         if (peers.isConnected(address)) {
-            return lately || incarnation.equals(peers.incarnationAt(address));
+            return recentlyChanged || incarnation.equals(peers.incarnationAt(address));
         }
-        return lately && state != MemberState.DEAD;
+        return recentlyChanged && !state.equals(Optional.of(MemberState.DEAD));
     }
 
-    /** Whether all controllers that are known can be reached. */
-    public boolean allControllersConnected() {
+    /** Whether all known controllers are connected. */
+    boolean allControllersConnected() {
         return peers.allConnected();
     }
 
-    /** Addresses of those that can take a duty, this process included. */
-    public List<String> candidates() {
-        List<String> live = new ArrayList<>(peers.connectedAddresses());
-        live.removeIf(membershipView::hasLeft);
-        live.add(ownAddress);
-        return live;
+    /** The addresses of the controllers that could hold a lease, including this one. */
+    List<String> candidates() {
+        List<String> candidates = new ArrayList<>(peers.connectedAddresses());
+        candidates.removeIf(membershipView::hasLeft);
+        candidates.add(ownAddress);
+        return candidates;
     }
 }
--- a/controller/src/main/java/burlarch/controller/peers/ControllerMembershipView.java
+++ b/controller/src/main/java/burlarch/controller/peers/ControllerMembershipView.java
@@ -7,16 +7,24 @@
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
+import java.util.Optional;
 
-/** What membership believes of the other controllers, by their addresses. Lives on the loop. */
+/**
+ * What membership says of the other controllers, by address. Runs on the controller's event loop; in memory only.
+ *
+ * <p>An address passes from one process to its successor, so each entry names the process it speaks of. Invariant
+ * <em>successor unharmed</em>: the end of a process never changes the entry of another process at the same address.
+ */
 public final class ControllerMembershipView {
-    /** One that is gone gives way to a further one, else the one whose news is oldest. */
+    /** When full, the oldest entry of an ended process is evicted, or else the oldest entry. */
     private static final int MAX_CONTROLLERS = 64;
 
     private record KnownProcess(long processId, MemberState state) {}
 
+    /** The least recently updated first. */
     private final Map<String, KnownProcess> byAddress = new LinkedHashMap<>();
 
+    /** Takes the changes of controllers and ignores those of other roles. */
     public void onChanges(List<MemberChange> changes) {
         for (MemberChange change : changes) {
             if (change.member().role().equals(NodeRoles.CONTROLLER)) {
@@ -25,18 +33,17 @@
         }
     }
 
-    /** The end of a process says nothing of the one that has its address now. */
     private void update(MemberInfo member, MemberState state) {
-        long process = member.processId();
+        long processId = member.processId();
         KnownProcess before = byAddress.get(member.address());
-        if (!state.isLive() && before != null && before.processId != process) {
+        if (!state.isLive() && before != null && before.processId != processId) {
             return;
         }
         byAddress.remove(member.address());
         if (byAddress.size() == MAX_CONTROLLERS) {
             byAddress.remove(evictionCandidate());
         }
-        byAddress.put(member.address(), new KnownProcess(process, state));
+        byAddress.put(member.address(), new KnownProcess(processId, state));
     }
 
     private String evictionCandidate() {
@@ -47,17 +54,17 @@
                 .orElse(byAddress.keySet().iterator().next());
     }
 
-    /**
-     * What is believed of the process at the address, or null where nothing or another one is known there.
-     */
-    public MemberState stateOf(String address, String incarnation) {
-        KnownProcess belief = byAddress.get(address);
-        return belief != null && ProcessIncarnations.toText(belief.processId).equals(incarnation) ? belief.state : null;
+    /** The state of the process with that incarnation at the address; empty if no such process is known there. */
+    public Optional<MemberState> stateOf(String address, String incarnation) {
+        KnownProcess known = byAddress.get(address);
+        boolean same =
+                known != null && ProcessIncarnations.toText(known.processId).equals(incarnation);
+        return same ? Optional.of(known.state) : Optional.empty();
     }
 
-    /** Whether the last process that was heard of at the address said that it goes. */
+    /** Whether the newest known process at the address has announced its shutdown. */
     public boolean hasLeft(String address) {
-        KnownProcess belief = byAddress.get(address);
-        return belief != null && belief.state == MemberState.LEFT;
+        KnownProcess known = byAddress.get(address);
+        return known != null && known.state == MemberState.LEFT;
     }
 }
--- a/controller/src/main/java/burlarch/controller/peers/ControllerPeers.java
+++ b/controller/src/main/java/burlarch/controller/peers/ControllerPeers.java
@@ -15,64 +15,101 @@
 import java.util.TreeMap;
 
 /**
- * The other controllers: known by the seeds and by what controllers tell of one another, each with the
- * connection that this process asked for. Lives on the loop.
+ * The other controllers: their addresses, from the seeds and from what controllers tell one another, each with the
+ * connection that this process opened. Runs on the controller's event loop; in memory only.
+ *
+ * <table>
+ * <caption>Connectivity of a peer</caption>
+ * <tr><th>from</th><th>event</th><th>to</th></tr>
+ * <tr><td></td><td>its address is learned</td><td>NEVER_CONNECTED</td></tr>
+ * <tr><td>any</td><td>{@link #onConnected} with an outbound connection</td><td>CONNECTED</td></tr>
+ * <tr><td>CONNECTED</td><td>{@link #onDisconnected} with that connection</td><td>DISCONNECTED</td></tr>
+ * <tr><td>NEVER_CONNECTED, DISCONNECTED</td><td>another address needs its place, and it is no acceptor</td><td>forgotten
+ * </td></tr>
+ * </table>
+ *
+ * <p>Invariant <em>acceptors are never forgotten</em>: the addresses of {@link #retainAcceptors} stay, whatever else is
+ * learned, because without them no quorum can be reached.
  */
 public final class ControllerPeers {
-    /** Most controllers that are known; the one that is longest out of reach gives way to a further one. */
+    /** The most known peers; when full, the one that has been out of reach for longest is forgotten. */
     static final int MAX_PEERS = 32;
-    /** Others are told of a controller that is out of reach for so long. */
+    /** How long after its connection was lost a peer's address is still told to others. */
     private static final long ADVERTISED_AFTER_LOSS_NANOS = 60_000_000_000L;
 
+    private enum Connectivity {
+        NEVER_CONNECTED,
+        CONNECTED,
+        DISCONNECTED
+    }
+
     private static final class Peer {
+        private Connectivity connectivity = Connectivity.NEVER_CONNECTED;
+        private long changedAtNanos;
+        /** Of the process that was connected last; empty before the first connection. */
         private String storageId = "";
+
         private String incarnation = "";
+        /** Not null exactly while CONNECTED. */
         private PeerConnection connection;
-        private long changedAtNanos;
-        /** Whether there ever was a connection. */
-        private boolean met;
+
+        Peer(long nowNanos) {
+            changedAtNanos = nowNanos;
+        }
+
+        private boolean isConnected() {
+            return connectivity == Connectivity.CONNECTED;
+        }
+
+        /** The one place where the connectivity changes. */
+        private void become(Connectivity next, PeerConnection newConnection, long nowNanos) {
+            connectivity = next;
+            connection = newConnection;
+            changedAtNanos = nowNanos;
+        }
     }
 
     private final EventLoop loop;
-    private final PeerConnections transport;
+    private final PeerConnections connections;
     private final String ownAddress;
+    /** In the order of addresses, which is the order in which peers are sent to. */
     private final Map<String, Peer> peers = new TreeMap<>();
-    /** The acceptors: never forgotten. */
+
     private Set<String> acceptorAddresses = Set.of();
 
-    public ControllerPeers(EventLoop loop, PeerConnections transport, String ownAddress) {
+    /** @param ownAddress IP:PORT of this process, which is never one of the peers */
+    public ControllerPeers(EventLoop loop, PeerConnections connections, String ownAddress) {
         this.loop = loop;
-        this.transport = transport;
+        this.connections = connections;
         this.ownAddress = ownAddress;
     }
 
-    /** Connects to those that were not known. */
+    /** Connects to the addresses that were not known. */
     public void addAddresses(Collection<String> addresses) {
         for (String address : addresses) {
             if (!address.equals(ownAddress) && !peers.containsKey(address) && makeRoom()) {
-                Peer peer = new Peer();
-                peer.changedAtNanos = loop.nanoTime();
-                peers.put(address, peer);
-                transport.connect(Addresses.parse(address));
+                peers.put(address, new Peer(loop.nanoTime()));
+                connections.connect(Addresses.parse(address));
             }
         }
     }
 
-    /** Learns where the acceptors are, and forgets none of them until it is told of others. */
+    /** Learns the addresses of the acceptors; none of them is forgotten before the next call. */
     public void retainAcceptors(Collection<String> acceptors) {
         acceptorAddresses = Set.copyOf(acceptors);
         addAddresses(acceptors);
     }
 
-    /** Forgets the one that is longest out of reach where there are too many. */
+    /** Forgets the peer that has been out of reach for longest if there are too many; false if none may be forgotten. */
     private boolean makeRoom() {
         if (peers.size() < MAX_PEERS) {
             return true;
         }
         String longest = null;
         for (Map.Entry<String, Peer> entry : peers.entrySet()) {
-            boolean away = entry.getValue().connection == null && !acceptorAddresses.contains(entry.getKey());
-            if (away && (longest == null || entry.getValue().changedAtNanos - peers.get(longest).changedAtNanos < 0)) {
+            Peer peer = entry.getValue();
+            boolean forgettable = !peer.isConnected() && !acceptorAddresses.contains(entry.getKey());
+            if (forgettable && (longest == null || peer.changedAtNanos - peers.get(longest).changedAtNanos < 0)) {
                 longest = entry.getKey();
             }
         }
@@ -80,109 +117,111 @@
             return false;
         }
         peers.remove(longest);
-        transport.disconnect(Addresses.parse(longest));
+        connections.disconnect(Addresses.parse(longest));
         return true;
     }
 
-    /** A connection to or from a controller is up. */
-    public void onUp(PeerConnection connection) {
+    /** A connection to or from a controller is established. */
+    public void onConnected(PeerConnection connection) {
         NodeMessage.Hello hello = connection.peerHello();
         addAddresses(List.of(hello.address()));
         Peer peer = peers.get(hello.address());
         if (peer != null && connection.isOutbound()) {
             peer.storageId = hello.storage();
             peer.incarnation = hello.incarnation();
-            peer.connection = connection;
-            peer.met = true;
-            peer.changedAtNanos = loop.nanoTime();
+            peer.become(Connectivity.CONNECTED, connection, loop.nanoTime());
         }
     }
 
-    /** A connection to or from a controller is gone. */
-    public void onDown(PeerConnection connection) {
+    /** A connection to or from a controller is lost. */
+    public void onDisconnected(PeerConnection connection) {
         Peer peer = peers.get(connection.peerHello().address());
         if (peer != null && peer.connection == connection) {
-            peer.connection = null;
-            peer.changedAtNanos = loop.nanoTime();
+            peer.become(Connectivity.DISCONNECTED, null, loop.nanoTime());
         }
     }
 
-    /** Sends to one controller; dropped where it can't be reached. */
+    /** Sends to one controller; the message is dropped if it is not connected. */
     public void send(String address, NodeMessage message) {
         Peer peer = peers.get(address);
-        if (peer != null && peer.connection != null) {
+        if (peer != null && peer.isConnected()) {
             peer.connection.send(message);
         }
     }
 
-    /** Sends to all controllers that can be reached. */
+    /** Sends to all connected controllers. */
     public void sendAll(NodeMessage message) {
-        byte[] frame = transport.codec().encode(message);
+        byte[] frame = connections.codec().encode(message);
         for (Peer peer : peers.values()) {
-            if (peer.connection != null) {
+            if (peer.isConnected()) {
                 peer.connection.sendFrame(frame);
             }
         }
     }
 
-    /** Whether that controller can be reached. */
+    /** Whether the controller at the address is connected; true for the own address. */
     public boolean isConnected(String address) {
         Peer peer = peers.get(address);
-        return address.equals(ownAddress) || peer != null && peer.connection != null;
+        return address.equals(ownAddress) || peer != null && peer.isConnected();
     }
 
-    /** Of the process that was last connected with there; empty where there was none. */
+    /** The incarnation of the process that was connected last at the address; empty if there was none. */
     public String incarnationAt(String address) {
         Peer peer = peers.get(address);
         return peer == null ? "" : peer.incarnation;
     }
 
-    /** Whether all controllers that are known can be reached. */
+    /** Whether all known controllers are connected. */
     public boolean allConnected() {
         return connectedAddresses().size() == peers.size();
     }
 
-    /** Since when that controller is up or down; 0 where it was never heard of. */
+    /** When the controller was connected or lost, in nanoseconds of the loop's clock; 0 if its address is unknown. */
     public long connectivityChangedAtNanos(String address) {
         Peer peer = peers.get(address);
         return peer == null ? 0 : peer.changedAtNanos;
     }
 
-    /** Addresses of the controllers that can be reached, in order; without this one. */
+    /** The addresses of the connected controllers in order, without the own one. */
     public List<String> connectedAddresses() {
-        List<String> up = new ArrayList<>();
+        List<String> connected = new ArrayList<>();
         peers.forEach((address, peer) -> {
-            if (peer.connection != null) {
-                up.add(address);
+            if (peer.isConnected()) {
+                connected.add(address);
             }
         });
-        return up;
+        return connected;
     }
 
     /**
-     * Addresses that others are told of: this one, the acceptors, and those that were connected lately. Not
-     * what was only heard: else an address that is gone would be passed around for ever.
+     * The addresses that others are told: the own one, the acceptors, and peers that are or recently were connected.
+     * Addresses that were only heard of are left out, because controllers would otherwise keep a dead address alive by
+     * telling it to one another.
      */
     public List<String> advertisedAddresses() {
-        List<String> told = new ArrayList<>();
+        List<String> advertised = new ArrayList<>();
         long now = loop.nanoTime();
         peers.forEach((address, peer) -> {
-            boolean lately = peer.met && now - peer.changedAtNanos < ADVERTISED_AFTER_LOSS_NANOS;
-            if (peer.connection != null || lately || acceptorAddresses.contains(address)) {
-                told.add(address);
+            if (peer.isConnected() || isRecentlyLost(peer, now) || acceptorAddresses.contains(address)) {
+                advertised.add(address);
             }
         });
-        told.add(ownAddress);
-        return told;
+        advertised.add(ownAddress);
+        return advertised;
+    }
+
+    private static boolean isRecentlyLost(Peer peer, long nowNanos) {
+        return peer.connectivity == Connectivity.DISCONNECTED
+                && nowNanos - peer.changedAtNanos < ADVERTISED_AFTER_LOSS_NANOS;
     }
 
-    /** The acceptors of all controllers that were heard of, for the plan of the acceptor set. */
+    /** The acceptors of all known controllers, from which the acceptor set is planned. */
     public List<Candidate> candidates() {
         List<Candidate> candidates = new ArrayList<>();
         peers.forEach((address, peer) -> {
-            if (!peer.storageId.isEmpty() || peer.connection == null) {
+            if (!peer.storageId.isEmpty() || !peer.isConnected()) {
                 candidates.add(new Candidate(
-                        new AcceptorMember(peer.storageId, address), peer.connection != null, peer.changedAtNanos));
+                        new AcceptorMember(peer.storageId, address), peer.isConnected(), peer.changedAtNanos));
             }
         });
         return candidates;
--- a/controller/src/main/java/burlarch/controller/peers/ProcessIncarnations.java
+++ b/controller/src/main/java/burlarch/controller/peers/ProcessIncarnations.java
@@ -2,27 +2,30 @@
 
 import java.security.SecureRandom;
 
-/** Numbers that tell the starts of processes apart, and names that hold them. */
+/** Numbers that distinguish the starts of one process, and process names that contain them. Pure functions. */
 public final class ProcessIncarnations {
+    private static final char SEPARATOR = '-';
+
     private ProcessIncarnations() {}
 
-    /** A new one; never 0. */
+    /** A new random incarnation; never 0. */
     public static long generate() {
         long drawn = new SecureRandom().nextLong();
         return drawn == 0 ? 1 : drawn;
     }
 
+    /** The incarnation as it stands in messages and names: hexadecimal. */
     public static String toText(long incarnation) {
         return Long.toHexString(incarnation);
     }
 
-    /** Name of one start of a process, unique in the fleet. */
+    /** The name of one start of a process, unique in the fleet. */
     public static String processName(String nodeName, String incarnation) {
-        return nodeName + "-" + incarnation;
+        return nodeName + SEPARATOR + incarnation;
     }
 
     /** The incarnation in a name that {@link #processName} made. */
     public static String ofProcessName(String name) {
-        return name.substring(name.lastIndexOf('-') + 1);
+        return name.substring(name.lastIndexOf(SEPARATOR) + 1);
     }
 }
--- a/controller/src/main/java/burlarch/controller/register/AcceptorSetReconciler.java
+++ b/controller/src/main/java/burlarch/controller/register/AcceptorSetReconciler.java
@@ -1,6 +1,7 @@
 package burlarch.controller.register;
 
 import burlarch.controller.peers.ControllerPeers;
+import burlarch.controller.state.SystemState;
 import burlarch.coordination.register.ProposalNumber;
 import burlarch.coordination.register.acceptorset.AcceptorMember;
 import burlarch.coordination.register.acceptorset.AcceptorReachability;
@@ -11,50 +12,96 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Optional;
+import java.util.concurrent.CompletableFuture;
 import org.tinylog.Logger;
 
 /**
- * Keeps the register's acceptors in step with the controllers that live. The first live one by address acts;
- * the others wait longer the later they stand, so that they rarely get into each other's way. Lives on the
- * loop.
+ * Keeps the register's acceptor set in line with the controllers that are alive. Runs on the event loop.
+ *
+ * <p>Every controller checks periodically; the first connected one by address acts. The others wait longer the later
+ * their address stands, so that they rarely compete. Competition is safe: each change applies only to the set that its
+ * proposer has seen.
+ *
+ * <p>Invariant <em>no unfinished write stays behind</em>. A set change that its proposer left unfinished at some
+ * acceptors would need the quorums of both sets when it is found, maybe at a time when the joining acceptors are lost.
+ * Therefore, whenever such a write is possible, some value is chosen anew: what is chosen after a write was left either
+ * excludes that write or completes it.
+ *
+ * <table>
+ * <caption>Whether an older write may still become chosen ({@code WriteHistory})</caption>
+ * <tr><th>event</th><th>to</th></tr>
+ * <tr><td>the first committed value after the start is known</td><td>POSSIBLY_UNFINISHED: writes before the start are
+ * unknown</td></tr>
+ * <tr><td>a newer committed value is known</td><td>SETTLED</td></tr>
+ * <tr><td>a connection to another controller is lost</td><td>POSSIBLY_UNFINISHED: it may have been a proposer</td></tr>
+ * <tr><td>an own change of the set failed</td><td>POSSIBLY_UNFINISHED</td></tr>
+ * </table>
  */
-public final class AcceptorSetReconciler {
+final class AcceptorSetReconciler {
     private static final long CHECK_PERIOD_NANOS = 250_000_000;
+    /** How long an acceptor is out of reach before it is replaced. */
     private static final long REMOVE_AFTER_NANOS = 2_000_000_000;
+    /** How many checks longer a controller waits than the one before it in the order of addresses. */
     private static final int CHECKS_PER_RANK = 2;
 
+    private enum Activity {
+        IDLE,
+        PROPOSING
+    }
+
+    private enum WriteHistory {
+        SETTLED,
+        POSSIBLY_UNFINISHED
+    }
+
+    /** What the register needs. */
+    private sealed interface Repair {
+        /** The first value: the empty state, so that the set can grow before the first configuration. */
+        record WriteInitialState() implements Repair {}
+
+        record ChangeMembers(List<AcceptorMember> from, List<AcceptorMember> to) implements Repair {}
+
+        /** Choose the current value anew, see the invariant of the class. */
+        record Seal() implements Repair {}
+    }
+
     private final EventLoop loop;
     private final CommittedState committed;
     private final RegisterClient register;
     private final ControllerPeers peers;
     private final AcceptorMember own;
-    private final long startedNanos;
+    private final long startedAtNanos;
     private final AcceptorSetPlanner planner;
     private final QuorumReachabilityReporter reachability;
-    /** The newest ballot known at the last check; {@link ProposalNumber#ZERO} until one was known. */
-    private ProposalNumber lastSeenProposalNumber = ProposalNumber.ZERO;
+    /** The newest committed number at the last check; {@link ProposalNumber#ZERO} until one is known. */
+    private ProposalNumber lastSeenNumber = ProposalNumber.ZERO;
 
-    private boolean unfinishedWritePossible;
+    private WriteHistory history = WriteHistory.SETTLED;
+    private Activity activity = Activity.IDLE;
     private int connectedControllers;
     private int checksWaited;
-    private boolean proposing;
 
-    /** @param lossesBorne how many acceptors may be lost at once */
-    public AcceptorSetReconciler(
+    /**
+     * Schedules the first check.
+     *
+     * @param own this process's acceptor
+     * @param toleratedLosses the number of acceptors that may be lost at the same time
+     */
+    AcceptorSetReconciler(
             EventLoop loop,
-            CommittedState decided,
+            CommittedState committed,
             RegisterClient register,
             ControllerPeers peers,
             AcceptorMember own,
-            int lossesBorne) {
+            int toleratedLosses) {
         this.loop = loop;
-        this.committed = decided;
+        this.committed = committed;
         this.register = register;
         this.peers = peers;
         this.own = own;
-        startedNanos = loop.nanoTime();
-        planner = new AcceptorSetPlanner(REMOVE_AFTER_NANOS, 2 * lossesBorne + 1);
-        reachability = new QuorumReachabilityReporter(startedNanos);
+        startedAtNanos = loop.nanoTime();
+        planner = new AcceptorSetPlanner(REMOVE_AFTER_NANOS, 2 * toleratedLosses + 1);
+        reachability = new QuorumReachabilityReporter(startedAtNanos);
         loop.schedule(CHECK_PERIOD_NANOS, this::check);
     }
 
@@ -63,74 +110,81 @@
         List<Candidate> candidates = candidates();
         long now = loop.nanoTime();
         reachability.onObserved(AcceptorReachability.of(register.acceptors(), candidates, now), now);
-        detectUnfinishedWrites();
-        Optional<List<AcceptorMember>> next = proposing || register.acceptors().isJoint()
-                ? Optional.empty()
-                : planner.nextMembers(committed.members(), candidates, now);
-        boolean founded = committed.value() != null;
-        if (founded && next.isEmpty() && !unfinishedWritePossible) {
+        updateHistory();
+        Optional<Repair> repair = neededRepair(candidates, now);
+        if (repair.isEmpty()) {
             checksWaited = 0;
             return;
         }
-        if (checksWaited++ >= rank() * CHECKS_PER_RANK && !proposing) {
-            act(founded, next);
+        if (checksWaited++ >= rank() * CHECKS_PER_RANK && activity == Activity.IDLE) {
+            perform(repair.get());
         }
     }
 
-    private void act(boolean founded, Optional<List<AcceptorMember>> next) {
-        if (!founded) {
-            writeInitialState();
-        } else if (next.isPresent()) {
-            changeMembers(committed.members(), next.get());
-        } else {
-            proposing = true;
-            register.seal().whenComplete((state, failure) -> proposing = false);
+    /** The one place, beside a failed change of the set, where the write history changes. */
+    private void updateHistory() {
+        int connected = peers.connectedAddresses().size();
+        if (committed.proposalNumber().compareTo(lastSeenNumber) > 0) {
+            boolean first = lastSeenNumber.equals(ProposalNumber.ZERO);
+            history = first ? WriteHistory.POSSIBLY_UNFINISHED : WriteHistory.SETTLED;
+            lastSeenNumber = committed.proposalNumber();
         }
+        if (connected < connectedControllers) {
+            history = WriteHistory.POSSIBLY_UNFINISHED;
+        }
+        connectedControllers = connected;
     }
 
-    /**
-     * A change of the set that its proposer left unfinished would need the quorums of both sets once it is
-     * found, maybe when acceptors that were to join are long lost. So after the start, a change that failed
-     * and the loss of another controller, something has to be chosen anew: what is chosen after a write was
-     * left bars it, or completes it.
-     */
-    private void detectUnfinishedWrites() {
-        int up = peers.connectedAddresses().size();
-        if (committed.proposalNumber().compareTo(lastSeenProposalNumber) > 0) {
-            unfinishedWritePossible = lastSeenProposalNumber.equals(ProposalNumber.ZERO);
-            lastSeenProposalNumber = committed.proposalNumber();
+    private Optional<Repair> neededRepair(List<Candidate> candidates, long nowNanos) {
+        Optional<List<AcceptorMember>> next = nextMembers(candidates, nowNanos);
+        if (committed.value().isEmpty()) {
+            return Optional.of(new Repair.WriteInitialState());
         }
-        unfinishedWritePossible |= up < connectedControllers;
-        connectedControllers = up;
+        if (next.isPresent()) {
+            return Optional.of(new Repair.ChangeMembers(committed.members(), next.get()));
+        }
+        return history == WriteHistory.POSSIBLY_UNFINISHED ? Optional.of(new Repair.Seal()) : Optional.empty();
     }
 
-    /** The first value: an empty state, so that the set can grow before the first configuration. */
-    private void writeInitialState() {
-        proposing = true;
-        register.writeInitialState().whenComplete((state, failure) -> proposing = false);
+    private Optional<List<AcceptorMember>> nextMembers(List<Candidate> candidates, long nowNanos) {
+        return activity == Activity.PROPOSING || register.acceptors().isJoint()
+                ? Optional.empty()
+                : planner.nextMembers(committed.members(), candidates, nowNanos);
     }
 
-    private void changeMembers(List<AcceptorMember> members, List<AcceptorMember> next) {
-        proposing = true;
-        register.changeMembers(members, next).whenComplete((state, failure) -> {
-            proposing = false;
-            if (failure != null) {
-                planner.onChangeFailed(members, next, loop.nanoTime());
-                unfinishedWritePossible = true;
-                Logger.warn(
-                        "acceptors stay as they are ({}): {}",
-                        failure.getMessage(),
-                        AcceptorSetChange.between(members, next));
+    private void perform(Repair repair) {
+        activity = Activity.PROPOSING;
+        propose(repair).whenComplete((state, failure) -> {
+            activity = Activity.IDLE;
+            if (failure != null && repair instanceof Repair.ChangeMembers change) {
+                onChangeFailed(change, failure);
             }
         });
     }
 
+    private CompletableFuture<SystemState> propose(Repair repair) {
+        if (repair instanceof Repair.ChangeMembers change) {
+            return register.changeMembers(change.from(), change.to());
+        }
+        return repair instanceof Repair.WriteInitialState ? register.writeInitialState() : register.seal();
+    }
+
+    private void onChangeFailed(Repair.ChangeMembers change, Throwable failure) {
+        planner.onChangeFailed(change.from(), change.to(), loop.nanoTime());
+        history = WriteHistory.POSSIBLY_UNFINISHED;
+        Logger.warn(
+                "acceptor set change failed: change=\"{}\" error=\"{}\"",
+                AcceptorSetChange.between(change.from(), change.to()),
+                failure.getMessage());
+    }
+
     private List<Candidate> candidates() {
         List<Candidate> candidates = new ArrayList<>(peers.candidates());
-        candidates.add(Candidate.ofReachable(own, startedNanos));
+        candidates.add(Candidate.ofReachable(own, startedAtNanos));
         return candidates;
     }
 
+    /** How many connected controllers stand before this one in the order of addresses. */
     private int rank() {
         int before = 0;
         for (String address : peers.connectedAddresses()) {
--- a/controller/src/main/java/burlarch/controller/register/CommittedState.java
+++ b/controller/src/main/java/burlarch/controller/register/CommittedState.java
@@ -9,75 +9,92 @@
 import burlarch.coordination.register.acceptorset.AcceptorSetChange;
 import java.util.ArrayList;
 import java.util.List;
+import java.util.Optional;
 import org.tinylog.Logger;
 
 /**
- * The newest value that is known to be chosen, and whom to ask for newer ones. Never goes back. Lives on the
- * loop.
+ * The newest value of the register that this process knows to be chosen, with the state in it and the acceptors to ask
+ * for newer values. Runs on the event loop; in memory only.
+ *
+ * <p>Invariant <em>never backwards</em>: the proposal number only increases, so the state only moves forward along the
+ * values of the register.
  */
 public final class CommittedState {
-    /** Told of each newer value. */
+    /** How this process learned that a value is chosen. */
+    public enum Origin {
+        /** A proposal of this process ended with it. */
+        OWN_PROPOSAL,
+        /** Another controller reported it. */
+        OTHER_CONTROLLER
+    }
+
+    /** Notified on the event loop of each newer value, in the order of registration. */
     public interface Listener {
-        void onCommitted(SystemState state, boolean ownProposal);
+        /** A newer value is chosen. */
+        void onCommitted(SystemState state, Origin origin);
     }
 
     private final List<Listener> listeners = new ArrayList<>();
     private ProposalNumber proposalNumber = ProposalNumber.ZERO;
+    /** Null while no value is known to be chosen. */
     private RegisterValue value;
+
     private SystemState state = SystemState.EMPTY;
     private RegisterView registerView;
 
-    /** @param stored what this process's disk tells of the register: holds until a newer value is known */
+    /** @param stored what this process's disk says of the register; holds until a newer value is known */
     public CommittedState(RegisterView stored) {
         registerView = stored;
     }
 
+    /** Adds a listener; it hears of later values only. */
     public void addListener(Listener listener) {
         listeners.add(listener);
     }
 
     /**
-     * Takes over a chosen value if it is newer.
+     * Advances to a chosen value if it is newer than the known one.
      *
-     * @param ownProposal whether a proposal of this process chose it
-     * @return whether it was newer
+     * @return whether it is newer
      */
-    public boolean advance(ProposalNumber chosenBallot, RegisterValue chosen, boolean ownProposal) {
-        if (chosen == null || chosenBallot.compareTo(proposalNumber) <= 0) {
+    boolean advance(ProposalNumber chosenNumber, RegisterValue chosen, Origin origin) {
+        if (chosenNumber.compareTo(proposalNumber) <= 0) {
             return false;
         }
-        proposalNumber = chosenBallot;
+        proposalNumber = chosenNumber;
         value = chosen;
         state = SystemStateCodec.decode(chosen.payload());
         List<AcceptorMember> before = registerView.members();
-        registerView = registerView.newerOf(RegisterView.of(chosenBallot, chosen));
+        registerView = registerView.newerOf(RegisterView.of(chosenNumber, chosen));
         AcceptorSetChange change = AcceptorSetChange.between(before, registerView.members());
         if (!change.isEmpty()) {
-            Logger.info("acceptors: {}, version {}", change, chosenBallot.term());
+            Logger.info("acceptor set changed: change=\"{}\" term={}", change, chosenNumber.term());
         }
-        listeners.forEach(listener -> listener.onCommitted(state, ownProposal));
+        listeners.forEach(listener -> listener.onCommitted(state, origin));
         return true;
     }
 
+    /** The proposal number of {@link #value}; {@link ProposalNumber#ZERO} while no value is known to be chosen. */
     public ProposalNumber proposalNumber() {
         return proposalNumber;
     }
 
-    /** Null before anything was chosen. */
-    public RegisterValue value() {
-        return value;
+    /** The newest value that is known to be chosen; empty before there is one. */
+    Optional<RegisterValue> value() {
+        return Optional.ofNullable(value);
     }
 
+    /** The state in {@link #value}; the empty state while no value is known to be chosen. */
     public SystemState state() {
         return state;
     }
 
-    /** What a proposal begins with. */
-    public RegisterView registerView() {
+    /** What a proposal starts with. */
+    RegisterView registerView() {
         return registerView;
     }
 
-    /** The acceptors as far as is known here: until a value is known as chosen, those on the disk. */
+    /** The acceptors of {@link #value}; those on the disk while no value is known to be chosen. */
     public List<AcceptorMember> members() {
         return registerView.members();
     }
--- a/controller/src/main/java/burlarch/controller/register/LocalAcceptor.java
+++ b/controller/src/main/java/burlarch/controller/register/LocalAcceptor.java
@@ -9,28 +9,35 @@
 import burlarch.coordination.register.RegisterView;
 import burlarch.storage.AcceptorStore;
 import java.io.IOException;
+import java.util.Optional;
 import java.util.concurrent.Executor;
 import java.util.concurrent.RejectedExecutionException;
 import java.util.function.Consumer;
 import org.tinylog.Logger;
 
 /**
- * This process's acceptor on the disk's own thread: a disk that hangs makes the acceptor silent and holds
- * nothing else up. A reply leaves only after its state is durable; one whose write fails is dropped.
+ * This process's acceptor. It runs on the disk thread, so that a disk that hangs delays the acceptor and nothing else.
+ *
+ * <p>Invariant <em>durable before response</em>: a response leaves only after the state behind it is durable. A request
+ * whose write fails gets no response; its proposer sends it again.
  */
-public final class LocalAcceptor {
+final class LocalAcceptor {
+    private enum DiskState {
+        WRITABLE,
+        FAILING
+    }
+
     private final AcceptorStore store;
     private final Acceptor acceptor;
     private final Executor disk;
-    /** What the disk holds; written by the disk's thread, read by any. */
+    /** The state on the disk; written by the disk thread, read by any thread. */
     private volatile AcceptorState durableState;
 
-    private boolean failing;
+    /** Used by the disk thread alone; only decides what is logged. */
+    private DiskState diskState = DiskState.WRITABLE;
 
-    /**
-     * @param disk runs one task after the other; it rejects those beyond its bound, as proposers send again
-     */
-    public LocalAcceptor(AcceptorStore store, Executor disk) {
+    /** @param disk runs one task after the other; it rejects tasks beyond its bound, because proposers send again */
+    LocalAcceptor(AcceptorStore store, Executor disk) {
         this.store = store;
         this.disk = disk;
         durableState = store.state();
@@ -38,29 +45,29 @@
     }
 
     /**
-     * The value that was accepted here at that ballot; null where the newest one has another. From any
-     * thread. A ballot has one value only, so this is the chosen one where that ballot is known as chosen.
+     * The value that this acceptor accepted last, if it was accepted at that proposal number. May be called on any
+     * thread. A proposal number has only one value, so this is the chosen value if the number is known as chosen.
      */
-    public RegisterValue acceptedAt(ProposalNumber ballot) {
+    Optional<RegisterValue> acceptedAt(ProposalNumber number) {
         AcceptorState state = durableState;
-        return state.accepted().equals(ballot) ? state.value() : null;
+        return state.accepted().equals(number) ? Optional.ofNullable(state.value()) : Optional.empty();
     }
 
-    /** Handles a message from any thread; the reply comes on the disk's thread, or never. */
-    public void onRequest(RegisterMessage message, Consumer<RegisterMessage> reply) {
+    /** Handles a request. May be called on any thread; the response comes on the disk thread, or never. */
+    void onRequest(RegisterMessage request, Consumer<RegisterMessage> responder) {
         try {
-            disk.execute(() -> process(message, reply));
+            disk.execute(() -> process(request, responder));
         } catch (RejectedExecutionException full) {
-            Logger.debug("acceptor busy, message dropped");
+            Logger.debug("acceptor queue full: request dropped");
         }
     }
 
-    /** Lets the disk keep the acceptors of a chosen value; where it can't now, a later value tries again. */
-    public void storeAcceptorSet(RegisterView chosen) {
+    /** Stores the acceptors of a chosen value on the disk. If that fails now, the next chosen value stores them. */
+    void storeAcceptorSet(RegisterView chosen) {
         try {
             disk.execute(() -> saveAcceptorSet(chosen));
         } catch (RejectedExecutionException full) {
-            Logger.debug("acceptor busy, the set of acceptors is not kept yet");
+            Logger.debug("acceptor queue full: acceptor set not stored");
         }
     }
 
@@ -68,41 +75,53 @@
         try {
             StoredAcceptorSet.save(store, chosen);
         } catch (IOException e) {
-            Logger.debug("the set of acceptors is not kept yet: {}", e.getMessage());
+            Logger.debug("acceptor set not stored: error=\"{}\"", e.getMessage());
         }
     }
 
-    private void process(RegisterMessage message, Consumer<RegisterMessage> reply) {
-        AcceptorTransition step = null;
-        if (message instanceof RegisterMessage.PrepareRequest prepare) {
-            step = acceptor.onPrepare(prepare);
-        } else if (message instanceof RegisterMessage.AcceptRequest accept) {
-            step = acceptor.onAccept(accept);
+    private void process(RegisterMessage request, Consumer<RegisterMessage> responder) {
+        transition(request).filter(this::persist).ifPresent(done -> responder.accept(done.response()));
+    }
+
+    /** Empty for a message that is no request to an acceptor. */
+    private Optional<AcceptorTransition> transition(RegisterMessage request) {
+        if (request instanceof RegisterMessage.PrepareRequest prepare) {
+            return Optional.of(acceptor.onPrepare(prepare));
         }
-        if (step != null && persist(step)) {
-            reply.accept(step.response());
+        if (request instanceof RegisterMessage.AcceptRequest accept) {
+            return Optional.of(acceptor.onAccept(accept));
         }
+        return Optional.empty();
     }
 
-    private boolean persist(AcceptorTransition step) {
-        if (!step.changed()) {
+    /** Whether the state behind the response is durable. */
+    private boolean persist(AcceptorTransition transition) {
+        if (!transition.changed()) {
             return true;
         }
         try {
-            store.save(step.state());
-            acceptor.onPersisted(step.state());
-            durableState = step.state();
-            if (failing) {
-                failing = false;
-                Logger.info("disk takes writes again");
-            }
+            store.save(transition.state());
+            acceptor.onPersisted(transition.state());
+            durableState = transition.state();
+            onWriteSucceeded();
             return true;
         } catch (IOException e) {
-            if (!failing) {
-                failing = true;
-                Logger.warn("disk refuses writes, acceptor is silent: {}", e.getMessage());
-            }
+            onWriteFailed(e);
             return false;
         }
     }
+
+    private void onWriteSucceeded() {
+        if (diskState == DiskState.FAILING) {
+            diskState = DiskState.WRITABLE;
+            Logger.info("disk writes succeed again: acceptor responds");
+        }
+    }
+
+    private void onWriteFailed(IOException failure) {
+        if (diskState == DiskState.WRITABLE) {
+            diskState = DiskState.FAILING;
+            Logger.warn("disk write failed: acceptor does not respond, error=\"{}\"", failure.getMessage());
+        }
+    }
 }
--- a/controller/src/main/java/burlarch/controller/register/ProposalExecutor.java
+++ b/controller/src/main/java/burlarch/controller/register/ProposalExecutor.java
@@ -1,9 +1,7 @@
 package burlarch.controller.register;
 
 import burlarch.controller.peers.ControllerPeers;
-import burlarch.coordination.register.ProposalNumber;
 import burlarch.coordination.register.RegisterMessage;
-import burlarch.coordination.register.RegisterValue;
 import burlarch.coordination.register.RegisterView;
 import burlarch.coordination.register.proposal.Proposal;
 import burlarch.coordination.register.proposal.ProposalOutput;
@@ -11,7 +9,6 @@
 import burlarch.coordination.register.proposal.RegisterChange;
 import burlarch.transport.EventLoop;
 import burlarch.transport.NodeMessage;
-import burlarch.transport.PeerConnection;
 import java.util.ArrayDeque;
 import java.util.Deque;
 import java.util.List;
@@ -20,16 +17,21 @@
 import java.util.random.RandomGenerator;
 
 /**
- * Runs proposals one after the other, so that those of one process don't get into each other's way, and lets
- * the own acceptor answer those of others. Lives on the loop.
+ * Runs this process's proposals, one after the other, so that they don't compete with one another for the acceptors'
+ * promises. Runs on the event loop and owns the running proposal and the queue.
+ *
+ * <p>Invariant <em>one proposal</em>: at most one proposal of this process runs. Responses and timers of an earlier
+ * proposal are ignored.
  */
-public final class ProposalExecutor implements Proposer {
-    /** Proposals that wait for their turn; a further one ends at once as not started. */
+final class ProposalExecutor implements Proposer {
+    /** The most waiting proposals; a further one ends at once as not started. */
     private static final int MAX_QUEUED = 64;
 
     private record QueuedProposal(
             RegisterChange change, long deadlineNanos, CompletableFuture<ProposalResult> result) {}
 
+    private record RunningProposal(Proposal proposal, CompletableFuture<ProposalResult> result) {}
+
     private final EventLoop loop;
     private final ControllerPeers peers;
     private final LocalAcceptor acceptor;
@@ -38,123 +40,127 @@
     private final RandomGenerator random;
     private final Supplier<RegisterView> registerView;
     private final Deque<QueuedProposal> queue = new ArrayDeque<>();
-    private Proposal proposal;
-    private QueuedProposal running;
+    /** Null while no proposal runs. */
+    private RunningProposal running;
+
     private long proposalCount;
+    /** The highest term that this process has used or seen; the next proposal starts above it. */
     private long highestTerm;
 
     /**
      * @param proposerName unique for this start of this process
-     * @param belief what is known of the register here
+     * @param registerView what this process knows about the register when a proposal starts
      */
-    public ProposalExecutor(
+    ProposalExecutor(
             EventLoop loop,
             ControllerPeers peers,
             LocalAcceptor acceptor,
             String ownAddress,
             String proposerName,
             RandomGenerator random,
-            Supplier<RegisterView> belief) {
+            Supplier<RegisterView> registerView) {
         this.loop = loop;
         this.peers = peers;
         this.acceptor = acceptor;
         this.ownAddress = ownAddress;
         this.proposerName = proposerName;
         this.random = random;
-        this.registerView = belief;
+        this.registerView = registerView;
     }
 
     @Override
-    public CompletableFuture<ProposalResult> propose(RegisterChange change, long limitNanos) {
+    public CompletableFuture<ProposalResult> propose(RegisterChange change, long timeoutNanos) {
         CompletableFuture<ProposalResult> result = new CompletableFuture<>();
         if (queue.size() >= MAX_QUEUED) {
             result.complete(new ProposalResult.NotStarted());
             return result;
         }
-        queue.add(new QueuedProposal(change, loop.nanoTime() + limitNanos, result));
+        queue.add(new QueuedProposal(change, loop.nanoTime() + timeoutNanos, result));
         startNext();
         return result;
     }
 
-    /** The value that the own acceptor holds of that ballot; null where it holds another. */
-    public RegisterValue acceptedAt(ProposalNumber ballot) {
-        return acceptor.acceptedAt(ballot);
-    }
-
-    /** A message of the register from another controller. */
-    public void onMessage(PeerConnection from, RegisterMessage message) {
-        if (message instanceof RegisterMessage.PrepareRequest || message instanceof RegisterMessage.AcceptRequest) {
-            acceptor.onRequest(message, reply -> from.send(new NodeMessage.RegisterProtocol(reply)));
-        } else {
-            onReply(proposal, message);
+    /** A response of another controller's acceptor. */
+    void onResponse(RegisterMessage response) {
+        if (running != null) {
+            onResponse(running.proposal, response);
         }
     }
 
-    /** Another controller is connected: what was sent to it before may be lost. */
-    public void onPeerUp() {
-        if (proposal != null) {
+    /** Another controller is connected: requests that were sent to it before may be lost. */
+    void onPeerConnected() {
+        if (running != null) {
+            Proposal proposal = running.proposal;
             perform(proposal, proposal.onAcceptorReachable(loop.nanoTime()));
         }
     }
 
     private void startNext() {
         long now = loop.nanoTime();
-        while (proposal == null && !queue.isEmpty()) {
+        while (running == null && !queue.isEmpty()) {
             QueuedProposal next = queue.poll();
             if (now - next.deadlineNanos() >= 0) {
                 next.result().complete(new ProposalResult.NotStarted());
                 continue;
             }
-            running = next;
-            proposal = new Proposal(
-                    proposerName + "/" + ++proposalCount,
-                    highestTerm,
-                    registerView.get(),
-                    next.change(),
-                    next.deadlineNanos(),
-                    random);
-            perform(proposal, proposal.start(now));
+            start(next, now);
         }
     }
 
-    private void onReply(Proposal target, RegisterMessage message) {
-        if (target != null && target == proposal) {
-            perform(target, target.onResponse(message, loop.nanoTime()));
+    private void start(QueuedProposal next, long nowNanos) {
+        Proposal proposal = new Proposal(
+                proposerName + "/" + ++proposalCount,
+                highestTerm,
+                registerView.get(),
+                next.change(),
+                next.deadlineNanos(),
+                random);
+        running = new RunningProposal(proposal, next.result());
+        perform(proposal, proposal.start(nowNanos));
+    }
+
+    private boolean isRunning(Proposal proposal) {
+        return running != null && running.proposal == proposal;
+    }
+
+    private void onResponse(Proposal proposal, RegisterMessage response) {
+        if (isRunning(proposal)) {
+            perform(proposal, proposal.onResponse(response, loop.nanoTime()));
         }
     }
 
-    private void onTimer(Proposal target) {
-        if (target == proposal) {
-            perform(target, target.onTimer(loop.nanoTime()));
+    private void onTimer(Proposal proposal) {
+        if (isRunning(proposal)) {
+            perform(proposal, proposal.onTimer(loop.nanoTime()));
         }
     }
 
-    private void perform(Proposal target, List<ProposalOutput> outputs) {
+    private void perform(Proposal proposal, List<ProposalOutput> outputs) {
         for (ProposalOutput output : outputs) {
             if (output instanceof ProposalOutput.Send send) {
-                send(target, send);
+                send(proposal, send);
             } else if (output instanceof ProposalOutput.SetTimer timer) {
-                loop.schedule(Math.max(0, timer.atNanos() - loop.nanoTime()), () -> onTimer(target));
-            } else if (output instanceof ProposalOutput.Finished done) {
-                finish(target, done.result());
+                loop.schedule(Math.max(0, timer.atNanos() - loop.nanoTime()), () -> onTimer(proposal));
+            } else if (output instanceof ProposalOutput.Finished finished) {
+                finish(proposal, finished.result());
             }
         }
     }
 
-    private void send(Proposal target, ProposalOutput.Send send) {
+    private void send(Proposal proposal, ProposalOutput.Send send) {
         if (send.member().address().equals(ownAddress)) {
-            acceptor.onRequest(send.message(), reply -> loop.execute(() -> onReply(target, reply)));
+            acceptor.onRequest(send.message(), response -> loop.execute(() -> onResponse(proposal, response)));
         } else {
             peers.send(send.member().address(), new NodeMessage.RegisterProtocol(send.message()));
         }
     }
 
-    private void finish(Proposal target, ProposalResult result) {
-        highestTerm = Math.max(highestTerm, target.highestTerm());
-        QueuedProposal ended = running;
-        proposal = null;
+    private void finish(Proposal proposal, ProposalResult result) {
+        highestTerm = Math.max(highestTerm, proposal.highestTerm());
+        CompletableFuture<ProposalResult> ended = running.result;
         running = null;
+        // The next proposal starts after the listeners of this result have run.
         loop.execute(this::startNext);
-        ended.result().complete(result);
+        ended.complete(result);
     }
 }
--- a/controller/src/main/java/burlarch/controller/register/Proposer.java
+++ b/controller/src/main/java/burlarch/controller/register/Proposer.java
@@ -4,8 +4,13 @@
 import burlarch.coordination.register.proposal.RegisterChange;
 import java.util.concurrent.CompletableFuture;
 
-/** The register as those see it who change it. */
+/** Proposes changes of the register. Called on the event loop. */
 public interface Proposer {
-    /** Proposes a change; the result comes on the loop, at the latest when the limit is over. */
-    CompletableFuture<ProposalResult> propose(RegisterChange change, long limitNanos);
+    /**
+     * Proposes one change.
+     *
+     * @param timeoutNanos after which the proposal ends at the latest
+     * @return completes on the event loop with the way in which the proposal ended; never fails
+     */
+    CompletableFuture<ProposalResult> propose(RegisterChange change, long timeoutNanos);
 }
--- a/controller/src/main/java/burlarch/controller/register/QuorumReachabilityReporter.java
+++ b/controller/src/main/java/burlarch/controller/register/QuorumReachabilityReporter.java
@@ -3,49 +3,70 @@
 import burlarch.coordination.register.acceptorset.AcceptorReachability;
 import org.tinylog.Logger;
 
-/** Tells operators, at a bounded rate, while too few acceptors can be reached. Lives on the loop. */
+/**
+ * Logs for operators, at a bounded rate, that no quorum of the acceptors can be reached. Runs on the event loop.
+ *
+ * <table>
+ * <caption>States of the alarm</caption>
+ * <tr><th>from</th><th>observation</th><th>to</th><th>logged</th></tr>
+ * <tr><td>CLEAR</td><td>no quorum for 3 s</td><td>RAISED</td><td>error</td></tr>
+ * <tr><td>RAISED</td><td>no quorum, 10 s after the last line</td><td>RAISED</td><td>error</td></tr>
+ * <tr><td>RAISED</td><td>quorum</td><td>CLEAR</td><td>info</td></tr>
+ * </table>
+ */
 final class QuorumReachabilityReporter {
-    /** Shorter gaps are what starts and short cuts bring along. */
+    /** Shorter gaps are normal at starts and short network faults. */
     private static final long REPORT_AFTER_NANOS = 3_000_000_000L;
 
     private static final long REPORT_PERIOD_NANOS = 10_000_000_000L;
 
+    private enum Alarm {
+        CLEAR,
+        RAISED
+    }
+
+    private Alarm alarm = Alarm.CLEAR;
     private long lastReachableAtNanos;
     private long lastReportAtNanos;
-    private boolean reported;
 
-    QuorumReachabilityReporter(long startedNanos) {
-        lastReachableAtNanos = startedNanos;
+    QuorumReachabilityReporter(long startedAtNanos) {
+        lastReachableAtNanos = startedAtNanos;
     }
 
-    void onObserved(AcceptorReachability reach, long nowNanos) {
-        if (reach.quorumReachable()) {
-            lastReachableAtNanos = nowNanos;
-            if (reported) {
-                reported = false;
-                Logger.info("a majority of the {} acceptors can be reached again", reach.size());
-            }
-            return;
+    /** Takes one observation; to be called periodically. */
+    void onObserved(AcceptorReachability reachability, long nowNanos) {
+        if (reachability.quorumReachable()) {
+            onQuorum(reachability, nowNanos);
+        } else if (isReportDue(nowNanos)) {
+            alarm = Alarm.RAISED;
+            lastReportAtNanos = nowNanos;
+            report(reachability);
         }
-        boolean due = reported
+    }
+
+    private void onQuorum(AcceptorReachability reachability, long nowNanos) {
+        lastReachableAtNanos = nowNanos;
+        if (alarm == Alarm.RAISED) {
+            alarm = Alarm.CLEAR;
+            Logger.info("quorum of acceptors reachable again: acceptors={}", reachability.size());
+        }
+    }
+
+    private boolean isReportDue(long nowNanos) {
+        return alarm == Alarm.RAISED
                 ? nowNanos - lastReportAtNanos >= REPORT_PERIOD_NANOS
                 : nowNanos - lastReachableAtNanos >= REPORT_AFTER_NANOS;
-        if (due) {
-            reported = true;
-            lastReportAtNanos = nowNanos;
-            report(reach);
-        }
     }
 
-    private static void report(AcceptorReachability reach) {
-        if (reach.size() == 0) {
-            Logger.error("no acceptor is known: no other controller was reached, and this disk names none");
+    private static void report(AcceptorReachability reachability) {
+        if (reachability.size() == 0) {
+            Logger.error("no acceptor known: no other controller was reached, and this disk names no acceptors");
             return;
         }
         Logger.error(
-                "no majority of acceptors, nothing can be changed: {} of {} can be reached; missing: {}",
-                reach.size() - reach.unreachable().size(),
-                reach.size(),
-                reach.unreachable());
+                "no quorum of acceptors, changes are rejected: reachable={} acceptors={} unreachable={}",
+                reachability.size() - reachability.unreachable().size(),
+                reachability.size(),
+                reachability.unreachable());
     }
 }
--- a/controller/src/main/java/burlarch/controller/register/RegisterClient.java
+++ b/controller/src/main/java/burlarch/controller/register/RegisterClient.java
@@ -3,6 +3,7 @@
 import burlarch.controller.error.ControlException;
 import burlarch.controller.error.ErrorKind;
 import burlarch.controller.peers.ControllerPeers;
+import burlarch.controller.register.CommittedState.Origin;
 import burlarch.controller.state.ChangeResult;
 import burlarch.controller.state.StateChangeProposal;
 import burlarch.controller.state.SystemState;
@@ -12,14 +13,18 @@
 import burlarch.coordination.register.acceptorset.AcceptorSet;
 import burlarch.coordination.register.proposal.ChangeDecision;
 import burlarch.coordination.register.proposal.ProposalResult;
+import burlarch.coordination.register.proposal.RegisterChange;
 import burlarch.transport.NodeMessage;
 import java.util.List;
 import java.util.concurrent.CompletableFuture;
 import java.util.function.Function;
 
 /**
- * The register as one that holds a {@link SystemState}: what a proposal chose is adopted and told to the
- * other controllers before anyone hears of its end. Lives on the loop.
+ * The register as the other packages use it: it holds a {@link SystemState}. Called on the event loop, where its futures
+ * complete; they fail with a {@link ControlException}. It has no state of its own.
+ *
+ * <p>Invariant <em>commit before result</em>: the value that a proposal ended with is in {@link CommittedState}, and the
+ * other controllers were told of it, before anyone learns of the proposal's result.
  */
 public final class RegisterClient {
     private static final long PROPOSAL_TIMEOUT_NANOS = 850_000_000;
@@ -28,68 +33,64 @@
     private final CommittedState committed;
     private final ControllerPeers peers;
 
-    public RegisterClient(Proposer driver, CommittedState decided, ControllerPeers peers) {
-        this.proposer = driver;
-        this.committed = decided;
+    /** A client that proposes by {@code proposer} and advances {@code committed}. */
+    public RegisterClient(Proposer proposer, CommittedState committed, ControllerPeers peers) {
+        this.proposer = proposer;
+        this.committed = committed;
         this.peers = peers;
     }
 
     /**
      * Changes the state.
      *
-     * @return the state that holds the change, also where it held it before; fails with a {@link
-     * ControlException}
+     * @param change a pure function, such as those of {@link burlarch.controller.state.StateChanges}
+     * @return the state that holds the change, also if it was applied before
      */
     public CompletableFuture<SystemState> change(Function<SystemState, ChangeResult> change) {
         StateChangeProposal proposal = new StateChangeProposal(change);
         return proposer.propose(proposal, PROPOSAL_TIMEOUT_NANOS).thenApply(result -> {
-            learnChosen(result);
+            commit(result);
             return proposal.outcome(result);
         });
     }
 
-    /** The newest state, as a quorum has it. */
+    /** Reads the newest state from a quorum (a linearizable read). */
     public CompletableFuture<SystemState> read() {
-        return proposer.propose(current -> ChangeDecision.keep(), PROPOSAL_TIMEOUT_NANOS)
-                .thenApply(this::stateOf);
+        return proposeAndRead(current -> ChangeDecision.keep());
     }
 
-    /** Writes an empty state where the register holds none. */
-    public CompletableFuture<SystemState> writeInitialState() {
-        return proposer.propose(
-                        current -> current != null
-                                ? ChangeDecision.keep()
-                                : new ChangeDecision.Write(new RegisterValue(
-                                        committed.members(), SystemStateCodec.encode(SystemState.EMPTY))),
-                        PROPOSAL_TIMEOUT_NANOS)
-                .thenApply(this::stateOf);
+    /** Writes the empty state if the register holds no value yet. */
+    CompletableFuture<SystemState> writeInitialState() {
+        return proposeAndRead(current -> current != null
+                ? ChangeDecision.keep()
+                : new ChangeDecision.Write(
+                        new RegisterValue(committed.members(), SystemStateCodec.encode(SystemState.EMPTY))));
     }
 
     /**
-     * Writes the state again, so that no write that was left unfinished before can come to light any more, a
-     * changing set of acceptors among them.
+     * Writes the current state again. Afterwards no write that was left unfinished before, such as a change of the
+     * acceptor set, can become chosen any more.
      */
-    public CompletableFuture<SystemState> seal() {
-        return proposer.propose(current -> ChangeDecision.seal(), PROPOSAL_TIMEOUT_NANOS)
-                .thenApply(this::stateOf);
+    CompletableFuture<SystemState> seal() {
+        return proposeAndRead(current -> ChangeDecision.seal());
     }
 
-    /** Changes the acceptors; the state stays. */
-    public CompletableFuture<SystemState> changeMembers(List<AcceptorMember> from, List<AcceptorMember> to) {
-        return proposer.propose(
-                        current -> {
-                            boolean asExpected =
-                                    current != null && current.members().equals(from);
-                            return asExpected
-                                    ? new ChangeDecision.Write(new RegisterValue(to, current.payload()))
-                                    : ChangeDecision.keep();
-                        },
-                        PROPOSAL_TIMEOUT_NANOS)
-                .thenApply(this::stateOf);
+    /** Changes the acceptors if they are still {@code from}; the state stays. */
+    CompletableFuture<SystemState> changeMembers(List<AcceptorMember> from, List<AcceptorMember> to) {
+        return proposeAndRead(current -> {
+            boolean asExpected = current != null && current.members().equals(from);
+            return asExpected
+                    ? new ChangeDecision.Write(new RegisterValue(to, current.payload()))
+                    : ChangeDecision.keep();
+        });
+    }
+
+    private CompletableFuture<SystemState> proposeAndRead(RegisterChange change) {
+        return proposer.propose(change, PROPOSAL_TIMEOUT_NANOS).thenApply(this::stateOf);
     }
 
     private SystemState stateOf(ProposalResult result) {
-        learnChosen(result);
+        commit(result);
         if (result instanceof ProposalResult.Chosen chosen) {
             return StateChangeProposal.stateOf(chosen.value());
         }
@@ -97,19 +98,20 @@
         throw new ControlException(unclear ? ErrorKind.UNCLEAR : ErrorKind.NO_QUORUM);
     }
 
-    private void learnChosen(ProposalResult result) {
+    private void commit(ProposalResult result) {
         if (result instanceof ProposalResult.Chosen chosen
-                && committed.advance(chosen.proposalNumber(), chosen.value(), true)) {
+                && chosen.value() != null
+                && committed.advance(chosen.proposalNumber(), chosen.value(), Origin.OWN_PROPOSAL)) {
             peers.sendAll(NodeMessage.Committed.withoutValue(chosen.proposalNumber()));
         }
     }
 
-    /** The newest state that is known here without asking. */
+    /** The newest committed state that is known here, without asking a quorum. */
     public SystemState committedState() {
         return committed.state();
     }
 
-    /** The acceptors that have a vote, as far as is known here. */
+    /** The acceptors of the newest committed value that is known here. */
     public AcceptorSet acceptors() {
         return AcceptorSet.of(committed.members());
     }
--- a/controller/src/main/java/burlarch/controller/register/RegisterStorage.java
+++ b/controller/src/main/java/burlarch/controller/register/RegisterStorage.java
@@ -9,25 +9,29 @@
 import burlarch.storage.SegmentedLog;
 import java.io.IOException;
 import java.util.List;
+import java.util.Optional;
 import java.util.function.Supplier;
 
 /**
- * What a controller finds on its disk.
+ * What a controller recovers from its disk at its start. Opened before the event loop and the disk thread run.
  *
- * @param store of the acceptor
- * @param initialView the newest that this disk tells of the register and its acceptors: the value accepted here,
- *     the acceptors of a chosen value, or those of the first start
+ * @param store the acceptor's store
+ * @param initialView the newest information on this disk about the register and its acceptors: the accepted value, the
+ *     acceptors of a chosen value, or those of the first start
  */
 public record RegisterStorage(AcceptorStore store, RegisterView initialView) {
-    /** Extra value of the store: acceptors of the first start, one a line. */
+    /** Named value of the store: the addresses of the acceptors of the first start, one a line. */
     private static final String FIRST_MEMBERS = "first-members";
 
     /**
-     * Opens the disk. At the first start of the whole system the identity follows from the address, so that
-     * all know the first acceptors unasked.
+     * Opens the disk.
      *
-     * @param newIdentity for a disk that comes empty later: an identity that no other disk ever has
-     * @throws IOException if the disk can't be read or made lasting; opening may be tried again
+     * @param address IP:PORT of this process
+     * @param seeds the addresses of the acceptors of the first start
+     * @param bootstrap whether the fleet starts for the first time. The identity of the disk then follows from the
+     *     address, so that all controllers know the first acceptors without asking
+     * @param newIdentity an identity that no other disk ever has, for a disk that is empty at a later start
+     * @throws IOException if the disk can't be read, or if writes may not be durable; opening may be tried again
      */
     public static RegisterStorage open(
             Disk disk, String address, List<String> seeds, boolean bootstrap, Supplier<String> newIdentity)
@@ -35,7 +39,11 @@
         return open(disk, address, seeds, bootstrap, newIdentity, SegmentedLog.DEFAULT_SEGMENT_BYTES);
     }
 
-    /** As the other one, with snapshots at other distances. */
+    /**
+     * Opens the disk, as the shorter form does.
+     *
+     * @param segmentBytes size of a segment of the log, after which a snapshot is written
+     */
     public static RegisterStorage open(
             Disk disk,
             String address,
@@ -47,8 +55,8 @@
         AcceptorStore store =
                 AcceptorStore.open(disk, () -> bootstrap ? firstIdentity(address) : newIdentity.get(), segmentBytes);
         RegisterView first = RegisterView.ofInitialAcceptors(firstMembers(store, seeds, bootstrap));
-        RegisterView belief = first.newerOf(StoredAcceptorSet.load(store)).newerOf(RegisterView.of(store.state()));
-        return new RegisterStorage(store, belief);
+        RegisterView newest = first.newerOf(StoredAcceptorSet.load(store)).newerOf(RegisterView.of(store.state()));
+        return new RegisterStorage(store, newest);
     }
 
     private static String firstIdentity(String address) {
@@ -57,15 +65,16 @@
 
     private static List<AcceptorMember> firstMembers(AcceptorStore store, List<String> seeds, boolean bootstrap)
             throws IOException {
-        byte[] kept = store.namedValue(FIRST_MEMBERS).orElse(null);
-        if (kept == null && bootstrap) {
-            kept = String.join("\n", seeds).getBytes(UTF_8);
-            store.saveNamedValue(FIRST_MEMBERS, kept);
+        Optional<byte[]> stored = store.namedValue(FIRST_MEMBERS);
+        if (stored.isEmpty() && bootstrap) {
+            stored = Optional.of(String.join("\n", seeds).getBytes(UTF_8));
+            store.saveNamedValue(FIRST_MEMBERS, stored.get());
         }
-        if (kept == null) {
-            return List.of();
-        }
-        return new String(kept, UTF_8)
+        return stored.map(RegisterStorage::parseMembers).orElse(List.of());
+    }
+
+    private static List<AcceptorMember> parseMembers(byte[] addresses) {
+        return new String(addresses, UTF_8)
                 .lines()
                 .map(seed -> new AcceptorMember(firstIdentity(seed), seed))
                 .toList();
--- a/controller/src/main/java/burlarch/controller/register/StoredAcceptorSet.java
+++ b/controller/src/main/java/burlarch/controller/register/StoredAcceptorSet.java
@@ -9,46 +9,52 @@
 import java.io.IOException;
 import java.util.ArrayList;
 import java.util.List;
+import java.util.Optional;
 
 /**
- * The acceptors of the newest chosen value that this controller has heard of, on its disk: whom a controller
- * asks after a start that is no acceptor, or whose own vote has missed a change of the acceptors. Bounded by
- * {@link AcceptorStore#MAX_NAMED_VALUE_BYTES}.
+ * The acceptors of the newest chosen value that this controller has heard of, on its disk. After a start they tell a
+ * controller whom to ask if it is no acceptor itself, or if its own accepted value is older than a change of the set.
+ *
+ * <p>Stored as one named value of the acceptor's store, bounded by {@link AcceptorStore#MAX_NAMED_VALUE_BYTES}. Its
+ * text form is stored data: the proposal number's term and proposer in the first line, then one acceptor a line.
  */
 final class StoredAcceptorSet {
-    /** Extra value of the store: round and proposer of the ballot, then one acceptor a line. */
     private static final String KEY = "known-acceptors";
-
     private static final String SEPARATOR = " ";
     private static final int FIELDS_PER_LINE = 2;
 
     private StoredAcceptorSet() {}
 
-    /** What was saved last; {@link RegisterView#NONE} where nothing was. */
+    /** What was saved last; {@link RegisterView#NONE} if nothing was saved. */
     static RegisterView load(AcceptorStore store) {
-        byte[] kept = store.namedValue(KEY).orElse(null);
-        if (kept == null) {
-            return RegisterView.NONE;
-        }
-        List<String> lines = new String(kept, UTF_8).lines().toList();
-        String[] ballot = lines.get(0).split(SEPARATOR, FIELDS_PER_LINE);
+        Optional<byte[]> stored = store.namedValue(KEY);
+        return stored.isEmpty() ? RegisterView.NONE : parse(new String(stored.get(), UTF_8));
+    }
+
+    private static RegisterView parse(String text) {
+        List<String> lines = text.lines().toList();
+        String[] number = lines.get(0).split(SEPARATOR, FIELDS_PER_LINE);
         List<AcceptorMember> members = new ArrayList<>();
         for (String line : lines.subList(1, lines.size())) {
             String[] member = line.split(SEPARATOR, FIELDS_PER_LINE);
             members.add(new AcceptorMember(member[0], member[1]));
         }
-        return RegisterView.ofChosenAcceptors(new ProposalNumber(Long.parseLong(ballot[0]), ballot[1]), members);
+        return RegisterView.ofChosenAcceptors(new ProposalNumber(Long.parseLong(number[0]), number[1]), members);
     }
 
     /**
-     * Makes the acceptors of a chosen value durable where others were saved before.
+     * Makes the acceptors of a chosen value durable, if others are stored.
      *
-     * @throws IOException if it may not have lasted; the next call tries again
+     * @throws IOException if they may not be durable; the next call tries again
      */
     static void save(AcceptorStore store, RegisterView chosen) throws IOException {
         if (load(store).members().equals(chosen.members())) {
             return;
         }
+        store.saveNamedValue(KEY, format(chosen).getBytes(UTF_8));
+    }
+
+    private static String format(RegisterView chosen) {
         StringBuilder text = new StringBuilder();
         text.append(chosen.proposalNumber().term())
                 .append(SEPARATOR)
@@ -56,6 +62,6 @@
         for (AcceptorMember member : chosen.members()) {
             text.append('\n').append(member.storageId()).append(SEPARATOR).append(member.address());
         }
-        store.saveNamedValue(KEY, text.toString().getBytes(UTF_8));
+        return text.toString();
     }
 }
--- a/controller/src/main/java/burlarch/controller/rollout/RolloutCoordinator.java
+++ b/controller/src/main/java/burlarch/controller/rollout/RolloutCoordinator.java
@@ -2,6 +2,7 @@
 
 import burlarch.controller.distribution.RouterPublisher;
 import burlarch.controller.ownership.LeaseManager;
+import burlarch.controller.ownership.SingletonRole;
 import burlarch.controller.state.SystemState;
 import burlarch.coordination.registry.Instance;
 import burlarch.coordination.registry.InstanceRegistry;
@@ -17,16 +18,23 @@
 import java.util.Optional;
 import org.tinylog.Logger;
 
-/** Brings engines to the named weights while this controller owns the duty. Lives on the loop. */
-public final class RolloutCoordinator implements LeaseManager.SingletonRole {
-    private static final long PERIOD_NANOS = 300_000_000;
+/**
+ * Brings engines to the named versions of model weights while this controller holds the role's lease. Runs on the event
+ * loop; responses of engines are taken to it. The decisions, and their state, are in {@link WeightsRollout}.
+ *
+ * <p>Invariant <em>no order without a lease</em>: {@link LeaseManager#mayAct} is asked immediately before each order.
+ */
+public final class RolloutCoordinator implements SingletonRole {
+    private static final long INSTANCES_PERIOD_NANOS = 300_000_000;
 
     private final EventLoop loop;
     private final InstanceRegistry registry;
     private final RouterPublisher publisher;
     private final EngineControlClient engines;
     private final WeightsRollout rollout;
-    private LeaseManager ownership;
+    /** Null before {@link #start}. */
+    private LeaseManager lease;
+
     private EventLoop.Timer timer;
 
     public RolloutCoordinator(
@@ -42,27 +50,28 @@
         this.rollout = rollout;
     }
 
-    /** To be called once. */
-    public void start(LeaseManager keeper) {
-        ownership = keeper;
-        loop.schedule(PERIOD_NANOS, this::updateInstances);
+    /** Starts to follow the instances; to be called once. */
+    public void start(LeaseManager roleLease) {
+        lease = roleLease;
+        loop.schedule(INSTANCES_PERIOD_NANOS, this::updateInstances);
     }
 
-    /** Whether some engine has yet to get newer weights. */
+    /** Whether some engine still has to load newer weights. */
+    @Override
     public boolean hasWork() {
         return !rollout.isComplete();
     }
 
-    /** A value was chosen. */
+    /** A newer state is committed. */
     public void onCommitted(SystemState state) {
         perform(rollout.onTargets(state.weights(), loop.nanoTime()));
         if (hasWork()) {
-            ownership.wake();
+            lease.wake();
         }
     }
 
     private void updateInstances() {
-        loop.schedule(PERIOD_NANOS, this::updateInstances);
+        loop.schedule(INSTANCES_PERIOD_NANOS, this::updateInstances);
         List<Instance> live = registry.snapshot().instances().stream()
                 .filter(instance -> instance.state() != InstanceState.GONE)
                 .toList();
@@ -70,8 +79,8 @@
     }
 
     @Override
-    public void onAcquired(long token) {
-        perform(rollout.onOwnership(token, loop.nanoTime()));
+    public void onAcquired(long fencingToken) {
+        perform(rollout.onOwnership(fencingToken, loop.nanoTime()));
     }
 
     @Override
@@ -92,7 +101,7 @@
             } else if (action instanceof RolloutAction.Timer next) {
                 scheduleTimer(next);
             } else if (action instanceof RolloutAction.OwnershipLost) {
-                loop.execute(ownership::onFenced);
+                loop.execute(lease::onFenced);
             }
         }
         publisher.sendInstances();
@@ -100,7 +109,7 @@
 
     private void sendOrder(RolloutAction.SendOrder order) {
         Optional<Instance> instance = registry.find(order.instanceId());
-        if (instance.isEmpty() || !ownership.mayAct()) {
+        if (instance.isEmpty() || !lease.mayAct()) {
             loop.execute(() -> onResult(order, OrderResult.NO_RESPONSE));
             return;
         }
@@ -108,14 +117,19 @@
                 order.model(),
                 order.version(),
                 order.mode(),
-                ownership.holderName(),
+                lease.holderName(),
                 order.fencingToken(),
                 order.expectedSequence());
         engines.order(address(instance.get()), sent).thenAccept(result -> loop.execute(() -> onResult(order, result)));
     }
 
     private void onResult(RolloutAction.SendOrder order, OrderResult result) {
-        Logger.info("order of {} {} to {}: {}", order.model(), order.version(), order.instanceId(), result);
+        Logger.info(
+                "weights order ended: model={} version={} instance={} result={}",
+                order.model(),
+                order.version(),
+                order.instanceId(),
+                result);
         perform(rollout.onOrderResult(order.instanceId(), result, loop.nanoTime()));
     }
 
