--- a/engine-client/src/main/java/burlarch/engine/EngineJsonCodec.java
+++ b/engine-client/src/main/java/burlarch/engine/EngineJsonCodec.java
@@ -54,7 +54,7 @@
         return new KvEventsResponse(KvEventsResponse.Status.OK, epoch, next, lost, events);
     }
 
-    /** Entries of the form [number, "+" or "-", salt, part, tokens, model, ...]. */
+    /** Entries of the form [number, "+" or "-", salt, segment, tokens, model, ...]. */
     private List<KvEvent> readNumberedEvents(JsonParser parser) throws IOException {
         expect(parser, parser.currentToken(), JsonToken.START_ARRAY);
         List<KvEvent> events = new ArrayList<>();
@@ -68,7 +68,7 @@
         return events;
     }
 
-    /** Entries of the form [salt, part, tokens, model, ...]. */
+    /** Entries of the form [salt, segment, tokens, model, ...]. */
     private List<KvEvent> readSnapshotEntries(JsonParser parser) throws IOException {
         expect(parser, parser.currentToken(), JsonToken.START_ARRAY);
         List<KvEvent> entries = new ArrayList<>();
@@ -82,7 +82,7 @@
     private KvEvent readRestOfEntry(JsonParser parser, boolean added) throws IOException {
         String salt = readText(parser);
         expect(parser, parser.nextToken(), JsonToken.VALUE_STRING);
-        long part = readHex(parser);
+        long segment = readHex(parser);
         expect(parser, parser.nextToken(), JsonToken.VALUE_NUMBER_INT);
         int tokens = parser.getIntValue();
         String model = readText(parser);
@@ -92,7 +92,7 @@
             }
             parser.skipChildren();
         }
-        return new KvEvent(added, salt, part, tokens, model);
+        return new KvEvent(added, salt, segment, tokens, model);
     }
 
     private String readText(JsonParser parser) throws IOException {
@@ -108,13 +108,13 @@
         int offset = parser.getTextOffset();
         char[] characters = parser.getTextCharacters();
         if (length == 0 || length > HEX_DIGITS) {
-            throw new JsonParseException(parser, "part id expected");
+            throw new JsonParseException(parser, "segment id expected");
         }
         long value = 0;
         for (int i = offset; i < offset + length; i++) {
             int digit = Character.digit(characters[i], HEX_DIGITS);
             if (digit < 0) {
-                throw new JsonParseException(parser, "part id expected");
+                throw new JsonParseException(parser, "segment id expected");
             }
             value = value << 4 | digit;
         }
--- a/engine-client/src/main/java/burlarch/engine/KvEventCompactor.java
+++ b/engine-client/src/main/java/burlarch/engine/KvEventCompactor.java
@@ -9,7 +9,7 @@
 
 /**
  * Removes the events of one response that a later event of it supersedes. Each event states how many tokens of
- * a part are cached from then on, so only the last event of each part counts. A part that is read or evicted in
+ * a segment are cached from then on, so only the last event of each segment counts. A segment that is read or evicted in
  * pieces causes an event for each piece.
  */
 final class KvEventCompactor {
@@ -17,7 +17,7 @@
 
     private KvEventCompactor() {}
 
-    /** The last event of each part, in the order of the events. */
+    /** The last event of each segment, in the order of the events. */
     static List<KvEvent> compact(List<KvEvent> events) {
         if (events.size() < 2) {
             return events;
--- a/router/src/main/java/burlarch/router/http/HintHeaders.java
+++ b/router/src/main/java/burlarch/router/http/HintHeaders.java
@@ -10,8 +10,8 @@
  * A malformed value is treated as an absent one.
  */
 public final class HintHeaders {
-    /** More parts do not fit into the largest head; bounds the memory that a hostile header can claim. */
-    private static final int MAX_PROMPT_PARTS = 4096;
+    /** More segments do not fit into the largest head; bounds the memory that a hostile header can claim. */
+    private static final int MAX_PROMPT_SEGMENTS = 4096;
 
     private HintHeaders() {}
 
@@ -29,27 +29,27 @@
         return new int[] {(int) in, (int) out};
     }
 
-    /** Parts of a prompt in the form ID:TOKENS, separated by commas, ids in hexadecimal. */
-    public static List<PromptSegment> promptParts(String value) {
+    /** Segments of a prompt in the form ID:TOKENS, separated by commas, ids in hexadecimal. */
+    public static List<PromptSegment> promptSegments(String value) {
         if (value == null || value.isEmpty()) {
             return List.of();
         }
-        List<PromptSegment> parts = new ArrayList<>();
+        List<PromptSegment> segments = new ArrayList<>();
         int start = 0;
         while (start <= value.length()) {
             int end = value.indexOf(',', start);
             end = end < 0 ? value.length() : end;
-            PromptSegment part = promptPart(value.substring(start, end).trim());
-            if (part == null || parts.size() == MAX_PROMPT_PARTS) {
+            PromptSegment segment = promptSegment(value.substring(start, end).trim());
+            if (segment == null || segments.size() == MAX_PROMPT_SEGMENTS) {
                 return List.of();
             }
-            parts.add(part);
+            segments.add(segment);
             start = end + 1;
         }
-        return List.copyOf(parts);
+        return List.copyOf(segments);
     }
 
-    private static PromptSegment promptPart(String text) {
+    private static PromptSegment promptSegment(String text) {
         int colon = text.indexOf(':');
         if (colon <= 0) {
             return null;
--- a/router/src/main/java/burlarch/router/prefixcache/KvUpdateBatchCodec.java
+++ b/router/src/main/java/burlarch/router/prefixcache/KvUpdateBatchCodec.java
@@ -14,7 +14,7 @@
 /**
  * Binary format of the updates that routers publish to one another: a version, the salts as texts, then for
  * each update its source, epoch, offsets and events. Numbers are varints of seven bits a byte, the low ones
- * first; ids of parts have four bytes if these suffice and eight otherwise. The model of an event is left out:
+ * first; ids of segments have four bytes if these suffice and eight otherwise. The model of an event is left out:
  * the salt identifies it. Stateless.
  */
 public final class KvUpdateBatchCodec {
@@ -120,8 +120,8 @@
         for (int i = 0; i < count; i++) {
             long head = in.number();
             String salt = salts[(int) Math.min(head >>> FLAG_BITS, Integer.MAX_VALUE)];
-            long part = in.fixed((head & WIDE) != 0 ? Long.BYTES : Integer.BYTES);
-            events.add(new KvEvent((head & ADDED) != 0, salt, part, (int) in.number(), ""));
+            long segment = in.fixed((head & WIDE) != 0 ? Long.BYTES : Integer.BYTES);
+            events.add(new KvEvent((head & ADDED) != 0, salt, segment, (int) in.number(), ""));
         }
         KvEvents decoded = new KvEvents(source, epoch, (flags & LOST) != 0, events);
         return new KvUpdate(decoded, (flags & SNAPSHOT) != 0, since, next);
--- a/router/src/main/java/burlarch/router/server/RequestReader.java
+++ b/router/src/main/java/burlarch/router/server/RequestReader.java
@@ -59,7 +59,7 @@
                 fields.get("X-Model"),
                 usage[0],
                 usage[1],
-                HintHeaders.promptParts(fields.get("X-Prefix-Hash")),
+                HintHeaders.promptSegments(fields.get("X-Prefix-Hash")),
                 fields.contains(Headers.LAST_EVENT_ID),
                 receivedNanos,
                 receivedNanos + deadlineMillis * NANOS_PER_MILLI));
--- a/router/src/test/java/burlarch/router/MalformedRequestsTest.java
+++ b/router/src/test/java/burlarch/router/MalformedRequestsTest.java
@@ -9,8 +9,8 @@
 import org.junit.jupiter.params.provider.EnumSource;
 
 /**
- * A client's request ends at each of its bytes, in each way in which a connection can end: no part of one is
- * ever sent on, and other requests are served as before.
+ * The request of a client ends at each of its bytes, in each way in which a connection can end: no incomplete
+ * request is ever forwarded, and other requests are served as before.
  */
 class MalformedRequestsTest {
     private static final String HEAD =
