--- a/simulation/src/main/java/burlarch/simulation/coordination/fault/FaultKind.java
+++ b/simulation/src/main/java/burlarch/simulation/coordination/fault/FaultKind.java
@@ -115,21 +115,21 @@
     HERD_KILL(
             "herd_kill on core",
             Loss.ALL_CONTROLLERS,
-            (steps, at, length) -> steps.addLasting(at, steps.drawHerdSeconds(), "kill core-*")),
+            (steps, at, length) -> steps.addLasting(at, steps.drawMassFailureSeconds(), "kill core-*")),
     HERD_POWER(
             "herd_kill power on core",
             Loss.ALL_CONTROLLERS,
-            (steps, at, length) -> steps.addLasting(at, steps.drawHerdSeconds(), "power core-*")),
+            (steps, at, length) -> steps.addLasting(at, steps.drawMassFailureSeconds(), "power core-*")),
     HERD_TAKEN(
             "herd_kill taken",
             Loss.ALL_CONTROLLERS,
             (steps, at, length) -> steps.addLasting(
-                    at, steps.drawHerdSeconds(), "when taken " + steps.drawFigure(0.01) + " power core-*")),
+                    at, steps.drawMassFailureSeconds(), "when taken " + steps.drawFigure(0.01) + " power core-*")),
     HERD_ALL(
             "herd_kill taken all",
             Loss.ALL_CONTROLLERS,
             (steps, at, length) -> steps.addLasting(
-                    at, steps.drawHerdSeconds(), "when taken 0 power core-*,router-*,engine-*,server-*")),
+                    at, steps.drawMassFailureSeconds(), "when taken 0 power core-*,router-*,engine-*,server-*")),
     AFTER_ACK_WIPE(
             "after_ack_wipe",
             Loss.ONE_DISK,
--- a/simulation/src/main/java/burlarch/simulation/coordination/fault/FaultStepWriter.java
+++ b/simulation/src/main/java/burlarch/simulation/coordination/fault/FaultStepWriter.java
@@ -21,7 +21,7 @@
     static final double RESTART_INTERVAL = 1.2;
 
     private static final double SHORTLY_AFTER = 0.3;
-    private static final double MAX_HERD = 1;
+    private static final double MAX_MASS_FAILURE = 1;
     private static final double REPLACEMENT_PARTITION = 6;
     private static final int ZONES = 3;
     /** Machines besides controllers that may be on one side of a split only. */
@@ -282,8 +282,8 @@
     }
 
     /** Length of a fault that strikes many machines at once. */
-    double drawHerdSeconds() {
-        return 0.2 + 0.8 * MAX_HERD * random.nextDouble();
+    double drawMassFailureSeconds() {
+        return 0.2 + 0.8 * MAX_MASS_FAILURE * random.nextDouble();
     }
 
     /** A number from 0 to {@code max}, as text. */
--- a/simulation/src/main/java/burlarch/simulation/coordination/node/OperatorNode.java
+++ b/simulation/src/main/java/burlarch/simulation/coordination/node/OperatorNode.java
@@ -43,7 +43,7 @@
     private final SimulatedLoop loop;
     private final ControlClient client;
     private final Deque<NodeSignals.Call> scriptedCalls = new ArrayDeque<>();
-    private long markCount;
+    private long bodyCount;
 
     /** @param controllers addresses of the controllers, as they are when a request is sent */
     public OperatorNode(
@@ -132,7 +132,7 @@
 
     private void putBroken(long known) {
         int kind = context.random().nextInt(ConfigurationBodies.BROKEN_KINDS);
-        byte[] body = ConfigurationBodies.broken(kind, known + 1, nextMark());
+        byte[] body = ConfigurationBodies.broken(kind, known + 1, nextBodyTag());
         client.call(new ControlAction.Put(body, known), CALL_LIMIT_NANOS, response -> {
             if (response.filter(ControlResponse::succeeded).isPresent()) {
                 checkers.operators().onBrokenAcknowledged();
@@ -152,7 +152,7 @@
     }
 
     private OperatorChange putOf(long ifMatch, long version) {
-        byte[] body = ConfigurationBodies.configuration(version, nextMark());
+        byte[] body = ConfigurationBodies.configuration(version, nextBodyTag());
         try {
             AppliedChange change = AppliedChange.put(
                     ifMatch, version, ConfigurationDocument.read(body).digest());
@@ -163,12 +163,12 @@
     }
 
     private void patch(long ifMatch, long version) {
-        patch(ifMatch, version, ConfigurationBodies.patch(version, nextMark()));
+        patch(ifMatch, version, ConfigurationBodies.patch(version, nextBodyTag()));
     }
 
     private void patchMany() {
         long known = shared.knownVersion();
-        patch(known, known + 1, ConfigurationBodies.largePatch(known + 1, nextMark()));
+        patch(known, known + 1, ConfigurationBodies.largePatch(known + 1, nextBodyTag()));
     }
 
     private void patch(long ifMatch, long version, byte[] body) {
@@ -181,8 +181,8 @@
         }
     }
 
-    private String nextMark() {
-        return context.name() + "-" + ++markCount;
+    private String nextBodyTag() {
+        return context.name() + "-" + ++bodyCount;
     }
 
     private void change(OperatorChange requested) {
--- a/simulation/src/main/java/burlarch/simulation/link/SimulatedLinks.java
+++ b/simulation/src/main/java/burlarch/simulation/link/SimulatedLinks.java
@@ -222,7 +222,7 @@
             return;
         }
         link.sendReset();
-        link.markClosed();
+        link.setClosed();
         linksByKey.remove(link.key());
         OutgoingConnection outgoing = outgoingByAddress.get(link.remote());
         if (outgoing != null && outgoing.link == link) {
