--- a/coordination/src/main/java/burlarch/coordination/ownership/LeaseState.java
+++ b/coordination/src/main/java/burlarch/coordination/ownership/LeaseState.java
@@ -1,8 +1,8 @@
 package burlarch.coordination.ownership;
 
 /**
- * The states of an {@link OwnershipLease}. All transitions are in {@link #after}; an event that has no transition in a
- * state is a programming error.
+ * The states of an {@link OwnershipLease}. All transitions are in {@link #after}; an event that has no
+ * transition in a state is a programming error.
  *
  * <pre>
  * event           | UNCLAIMED | CLAIMING        | AWAITING_EXPIRY | OWNED     | LOST
--- a/coordination/src/main/java/burlarch/coordination/ownership/OwnershipLease.java
+++ b/coordination/src/main/java/burlarch/coordination/ownership/OwnershipLease.java
@@ -4,21 +4,22 @@
 import java.util.Optional;
 
 /**
- * One process's lease on a singleton role, which only one process may perform at a time. The register names the owner
- * and issues the fencing token; this class decides when the owner may act. See {@link LeaseState} for the states and
- * their transitions.
+ * One process's lease on a singleton role, which only one process may perform at a time. The register names the
+ * owner and issues the fencing token; this class decides when the owner may act. See {@link LeaseState} for the
+ * states and their transitions.
  *
- * <p>Invariant OneLeaseApart: between the last act of an owner and the first act of the next one lies a complete lease.
- * The owner acts only for a quarter of a lease after it <em>requested</em> the view of the register that last showed it
- * as owner. The next owner's claim is accepted after that view was formed, and the next owner waits that quarter and a
- * complete lease from when it learned of the acceptance. So the previous owner has stopped one lease before.
+ * <p>Invariant OneLeaseApart: between the last act of an owner and the first act of the next one lies a
+ * complete lease. The owner acts only for a quarter of a lease after it <em>requested</em> the view of the
+ * register that last showed it as owner. The next owner's claim is accepted after that view was formed, and the
+ * next owner waits that quarter and a complete lease from when it learned of the acceptance. So the previous
+ * owner has stopped one lease before.
  *
  * <p>Times are nanoseconds of a monotonic clock. Not safe for use by several threads.
  */
 public final class OwnershipLease {
     /**
-     * The owner acts for this fraction of a lease without a new look at the register. The next owner waits it out in
-     * addition to the lease.
+     * The owner acts for this fraction of a lease without a new look at the register. The next owner waits it
+     * out in addition to the lease.
      */
     private static final int ACTING_FRACTION_DIVISOR = 4;
 
@@ -33,8 +34,8 @@
     /**
      * Creates a lease that is not claimed.
      *
-     * @param self how the register names this process; a new name for each start, so that a restarted process waits its
-     *     former self out
+     * @param self how the register names this process; a new name for each start, so that a restarted process
+     *     waits its former self out
      * @param leaseNanos length of a lease, the same for all processes
      */
     public OwnershipLease(String self, long leaseNanos) {
@@ -43,12 +44,17 @@
         actNanos = leaseNanos / ACTING_FRACTION_DIVISOR;
     }
 
-    /** How long a new owner waits from its accepted claim before it acts: a complete lease, and the acting time. */
+    /**
+     * How long a new owner waits from its accepted claim before it acts: a complete lease, and the acting time.
+     */
     public long takeoverWaitNanos() {
         return leaseNanos + actNanos;
     }
 
-    /** Notes that a claim is sent to the register now. Returns false, without an effect, unless it is unclaimed here. */
+    /**
+     * Notes that a claim is sent to the register now. Returns false, without an effect, unless it is unclaimed
+     * here.
+     */
     public boolean beginClaim() {
         if (state != LeaseState.UNCLAIMED) {
             return false;
--- a/coordination/src/main/java/burlarch/coordination/ownership/QuorumContactTracker.java
+++ b/coordination/src/main/java/burlarch/coordination/ownership/QuorumContactTracker.java
@@ -7,17 +7,17 @@
 import java.util.Set;
 
 /**
- * Tracks whether this process is in contact with a quorum of the register's acceptors. It is while it has received
- * messages from enough of them within a given time.
+ * Tracks whether this process is in contact with a quorum of the register's acceptors. It is while it has
+ * received messages from enough of them within a given time.
  *
- * <p>The result is a hint: without contact, what needs a quorum cannot be served now, and that something was not heard
- * here means nothing. Safety rests on the register and on leases, never on this class.
+ * <p>The result is a hint: without contact, what needs a quorum cannot be served now, and that something was
+ * not heard here means nothing. Safety rests on the register and on leases, never on this class.
  *
- * <p>Times are nanoseconds of a monotonic clock that goes on while the process is frozen. After a freeze there is
- * therefore no contact until new messages have come. Not safe for use by several threads.
+ * <p>Times are nanoseconds of a monotonic clock that goes on while the process is frozen. After a freeze there
+ * is therefore no contact until new messages have come. Not safe for use by several threads.
  */
 public final class QuorumContactTracker {
-    /** Acceptors beyond this number are forgotten; the one that was silent for longest first. */
+    /** Acceptors beyond this number are forgotten; the one whose last message is oldest first. */
     static final int MAX_ACCEPTORS = 2 * AcceptorSet.MAX_MEMBERS;
 
     private final String ownStorageId;
--- a/coordination/src/main/java/burlarch/coordination/ownership/RendezvousAssignment.java
+++ b/coordination/src/main/java/burlarch/coordination/ownership/RendezvousAssignment.java
@@ -8,11 +8,11 @@
 import java.util.TreeSet;
 
 /**
- * Assigns keys to members by rendezvous hashing: each member has a score for each key, and the member with the highest
- * score owns the key. Immutable.
+ * Assigns keys to members by rendezvous hashing: each member has a score for each key, and the member with the
+ * highest score owns the key. Immutable.
  *
- * <p>Processes that know the same members agree on all owners without a message. When a member leaves, only its own keys
- * move.
+ * <p>Processes that know the same members agree on all owners without a message. When a member leaves, only its
+ * own keys move.
  */
 public final class RendezvousAssignment {
     private static final long FNV_OFFSET = 0xCBF29CE484222325L;
--- a/coordination/src/main/java/burlarch/coordination/register/Acceptor.java
+++ b/coordination/src/main/java/burlarch/coordination/register/Acceptor.java
@@ -8,13 +8,13 @@
 /**
  * One acceptor of the register, bound to one disk.
  *
- * <p>The acceptor computes only. For each request its caller makes {@link AcceptorTransition#state()} durable, then
- * calls {@link #onPersisted} and sends the response. When the disk refuses the write, the caller drops the transition
- * and the acceptor is as before. The caller handles requests one at a time: it passes the next request only after the
- * previous transition was persisted or dropped.
+ * <p>The acceptor computes only. For each request its caller makes {@link AcceptorTransition#state()} durable,
+ * then calls {@link #onPersisted} and sends the response. When the disk refuses the write, the caller drops the
+ * transition and the acceptor is as before. The caller handles requests one at a time: it passes the next
+ * request only after the previous transition was persisted or dropped.
  *
- * <p>Invariant DurableBeforeResponse: a response tells only of state that is durable. A proposer may therefore count
- * it also after this process has restarted.
+ * <p>Invariant DurableBeforeResponse: a response tells only of state that is durable. A proposer may therefore
+ * count it also after this process has restarted.
  *
  * <p>A request with a proposal number that was granted before is a repeated message of the same proposal
  * (UniqueNumber); the acceptor grants it again without a write.
@@ -46,7 +46,9 @@
         return state;
     }
 
-    /** Phase one: grants the proposal number unless a higher one was granted, and reports the accepted value. */
+    /**
+     * Phase one: grants the proposal number unless a higher one was granted, and reports the accepted value.
+     */
     public AcceptorTransition onPrepare(PrepareRequest request) {
         ProposalNumber number = request.proposalNumber();
         if (number.compareTo(state.prepared()) < 0) {
--- a/coordination/src/main/java/burlarch/coordination/register/ProposalNumber.java
+++ b/coordination/src/main/java/burlarch/coordination/register/ProposalNumber.java
@@ -1,12 +1,12 @@
 package burlarch.coordination.register;
 
 /**
- * The number of one attempt of a proposal. Acceptors reject requests whose number is below the highest that they have
- * granted.
+ * The number of one attempt of a proposal. Acceptors reject requests whose number is below the highest that
+ * they have granted.
  *
- * <p>Numbers are ordered by term, then by proposer. Invariant UniqueNumber: a number belongs to one attempt of one
- * proposal, because no two proposals have the same name and a proposal raises the term with each attempt. The Paxos
- * literature calls it a ballot number.
+ * <p>Numbers are ordered by term, then by proposer. Invariant UniqueNumber: a number belongs to one attempt of
+ * one proposal, because no two proposals have the same name and a proposal raises the term with each attempt.
+ * The Paxos literature calls it a ballot number.
  *
  * @param term rises with each attempt of a proposer
  * @param proposer name of the proposal that uses the number
--- a/coordination/src/main/java/burlarch/coordination/register/RegisterMessage.java
+++ b/coordination/src/main/java/burlarch/coordination/register/RegisterMessage.java
@@ -3,12 +3,13 @@
 /**
  * The messages between proposers and acceptors. A message may be lost, repeated or overtaken by another one.
  *
- * <p>Each request has a {@code callId}, which is unique within its proposal; the response repeats it. The names of the
- * components on the wire are those of earlier releases; the transport maps them.
+ * <p>Each request has a {@code callId}, which is unique within its proposal; the response repeats it. The names
+ * of the components on the wire are those of earlier releases; the transport maps them.
  */
 public sealed interface RegisterMessage {
     /**
-     * Phase one: asks an acceptor to reject lower proposal numbers from now on, and to report what it accepted last.
+     * Phase one: asks an acceptor to reject lower proposal numbers from now on, and to report what it accepted
+     * last.
      */
     record PrepareRequest(long callId, ProposalNumber proposalNumber) implements RegisterMessage {}
 
@@ -18,10 +19,10 @@
      * @param storageId identity of the acceptor's disk
      * @param granted false when the acceptor had granted a higher proposal number before
      * @param prepared the highest proposal number that the acceptor has granted
-     * @param accepted proposal number of {@code value}; {@link ProposalNumber#ZERO} when nothing was accepted yet or
-     *     the request was rejected
-     * @param value the value that the acceptor accepted last; null when {@code accepted} is {@link
-     *     ProposalNumber#ZERO}
+     * @param accepted proposal number of {@code value}; {@link ProposalNumber#ZERO} when nothing was accepted
+     *     yet or the request was rejected
+     * @param value the value that the acceptor accepted last; null when {@code accepted} is
+     *     {@link ProposalNumber#ZERO}
      */
     record PrepareResponse(
             long callId,
--- a/coordination/src/main/java/burlarch/coordination/register/RegisterView.java
+++ b/coordination/src/main/java/burlarch/coordination/register/RegisterView.java
@@ -4,17 +4,18 @@
 import java.util.List;
 
 /**
- * The local view of the register: what a proposer knows of it before it sends a request. The view names the acceptors
- * to ask first, and the value below which nothing may be written any more. It may be old; that costs messages, never
- * safety.
+ * The local view of the register: what a proposer knows of it before it sends a request. The view names the
+ * acceptors to ask first, and the value below which nothing may be written any more. It may be old; that costs
+ * messages, never safety.
  *
- * <p>There are four kinds of view: nothing is known ({@link #NONE}); the initial acceptors alone; the acceptors of a
- * chosen value without the value; a value, be it chosen or only accepted somewhere.
+ * <p>There are four kinds of view: nothing is known ({@link #NONE}); the initial acceptors alone; the acceptors
+ * of a chosen value without the value; a value, be it chosen or only accepted somewhere.
  *
- * @param proposalNumber of the value that the view was learned from; {@link ProposalNumber#ZERO} when no value is known
+ * @param proposalNumber of the value that the view was learned from; {@link ProposalNumber#ZERO} when no value
+ *     is known
  * @param value that value; null when no value is known, or only the acceptors of a chosen value
- * @param members the acceptors that the value names, as in {@link RegisterValue#members()}; the initial acceptors when
- *     no value is known; empty when no acceptor is known
+ * @param members the acceptors that the value names, as in {@link RegisterValue#members()}; the initial
+ *     acceptors when no value is known; empty when no acceptor is known
  */
 public record RegisterView(ProposalNumber proposalNumber, RegisterValue value, List<AcceptorMember> members) {
     /** Nothing is known. A proposer with this view reaches no quorum. */
@@ -41,8 +42,8 @@
     }
 
     /**
-     * Returns the view with the higher proposal number. When both numbers are equal, returns the view that holds more:
-     * acceptors rather than none, the value rather than its acceptors alone.
+     * Returns the view with the higher proposal number. When both numbers are equal, returns the view that
+     * holds more: acceptors rather than none, the value rather than its acceptors alone.
      */
     public RegisterView newerOf(RegisterView other) {
         int order = other.proposalNumber.compareTo(proposalNumber);
@@ -55,9 +56,9 @@
     }
 
     /**
-     * Whether a proposer with this view may write the register's first value when a quorum of these acceptors reports
-     * that it has accepted none. Only a proposer that knows of no value may: invariant SingleFounding of {@link
-     * burlarch.coordination.register.proposal.Proposal}.
+     * Whether a proposer with this view may write the register's first value when a quorum of these acceptors
+     * reports that it has accepted none. Only a proposer that knows of no value may: invariant SingleFounding
+     * of {@link burlarch.coordination.register.proposal.Proposal}.
      */
     public boolean mayWriteFirstValue() {
         return proposalNumber.equals(ProposalNumber.ZERO);
--- a/coordination/src/main/java/burlarch/coordination/register/acceptorset/AcceptorSet.java
+++ b/coordination/src/main/java/burlarch/coordination/register/acceptorset/AcceptorSet.java
@@ -12,13 +12,14 @@
  *
  * <ul>
  *   <li>A <em>simple</em> set has one list of members; a quorum is a majority of it.
- *   <li>A <em>joint</em> set (M, N) is in force while the acceptors change from M to N. It has two lists of members, the
- *       old and the new one; a quorum is a majority of each. The literature calls this joint consensus.
+ *   <li>A <em>joint</em> set (M, N) is in force while the acceptors change from M to N. It has two lists of
+ *       members, the old and the new one; a quorum is a majority of each. The literature calls this joint
+ *       consensus.
  * </ul>
  *
- * <p>{@link burlarch.coordination.register.RegisterValue#members()} holds a joint set as one list: a joining acceptor,
- * which is in the new list alone, has a plus sign before its storage identity; a leaving acceptor, which is in the old
- * list alone, has a minus sign. Identities themselves therefore begin with neither sign.
+ * <p>{@link burlarch.coordination.register.RegisterValue#members()} holds a joint set as one list: a joining
+ * acceptor, which is in the new list alone, has a plus sign before its storage identity; a leaving acceptor,
+ * which is in the old list alone, has a minus sign. Identities themselves therefore begin with neither sign.
  */
 public final class AcceptorSet {
     /** The most acceptors that one list may name. */
@@ -61,15 +62,16 @@
     /**
      * Decodes the members of a value.
      *
-     * @throws IllegalArgumentException when the list names too many acceptors, one twice, or one without identity
+     * @throws IllegalArgumentException when the list names too many acceptors, one twice, or one without
+     *     identity
      */
     public static AcceptorSet of(List<AcceptorMember> members) {
         return new AcceptorSet(members);
     }
 
     /**
-     * Encodes the joint set that leads from one simple set to another. An acceptor that is in both has the address that
-     * {@code to} gives it.
+     * Encodes the joint set that leads from one simple set to another. An acceptor that is in both has the
+     * address that {@code to} gives it.
      *
      * @throws IllegalArgumentException when {@code to} is no simple set of 1 to {@link #MAX_MEMBERS} acceptors
      */
@@ -113,7 +115,9 @@
         return next.stream().filter(member -> !contains(member.storageId())).toList();
     }
 
-    /** Whether these identities are a majority of each list in force; identities that are not in it don't count. */
+    /**
+     * Whether these identities are a majority of each list in force; identities that are not in it don't count.
+     */
     public boolean hasQuorum(Set<String> storageIds) {
         return hasMajority(oldMembers, storageIds) && hasMajority(newMembers, storageIds);
     }
--- a/coordination/src/main/java/burlarch/coordination/register/acceptorset/AcceptorSetPlanner.java
+++ b/coordination/src/main/java/burlarch/coordination/register/acceptorset/AcceptorSetPlanner.java
@@ -10,9 +10,10 @@
 /**
  * Decides the next change of the acceptor set from what one controller knows of the others.
  *
- * <p>Invariant OddSize: from an odd set the planner leads to odd sets only, and from an even one back to an odd one as
- * soon as an acceptor can be added or has to be removed. An even set tolerates no more losses than the odd one below
- * it, so a lost acceptor and its successor are exchanged in one change, and two acceptors join or leave together.
+ * <p>Invariant OddSize: from an odd set the planner leads to odd sets only, and from an even one back to an odd
+ * one as soon as an acceptor can be added or has to be removed. An even set tolerates no more losses than the
+ * odd one below it, so a lost acceptor and its successor are exchanged in one change, and two acceptors join or
+ * leave together.
  *
  * <p>The first rule that applies decides:
  *
@@ -53,7 +54,9 @@
     private final long removeAfterNanos;
     private final int minMembers;
 
-    /** When changes that were to add a spare have failed, by storage identity; holds only present candidates. */
+    /**
+     * When changes that were to add a spare have failed, by storage identity; holds only present candidates.
+     */
     private final Map<String, Long> failedAtNanos = new HashMap<>();
 
     /**
@@ -88,8 +91,8 @@
     }
 
     /**
-     * Reports that a change to these members failed. An acceptor that was to join may be the reason, so all that were to
-     * join are excluded as spares for a while.
+     * Reports that a change to these members failed. An acceptor that was to join may be the reason, so all
+     * that were to join are excluded as spares for a while.
      */
     public void onChangeFailed(List<AcceptorMember> members, List<AcceptorMember> next, long nowNanos) {
         for (AcceptorMember joining : AcceptorSet.of(members).joining(next)) {
--- a/coordination/src/main/java/burlarch/coordination/register/proposal/AcceptTally.java
+++ b/coordination/src/main/java/burlarch/coordination/register/proposal/AcceptTally.java
@@ -9,8 +9,9 @@
 /**
  * The granted accept responses to one write.
  *
- * <p>Keeps ChosenByQuorum: the write is chosen once a quorum of the set that the written value names has accepted it. A
- * copy to joining acceptors is complete only once all of them have accepted it too (JoinersHoldBase).
+ * <p>Keeps ChosenByQuorum: the write is chosen once a quorum of the set that the written value names has
+ * accepted it. A copy to joining acceptors is complete only once all of them have accepted it too
+ * (JoinersHoldBase).
  */
 final class AcceptTally {
     private final AcceptorSet acceptors;
--- a/coordination/src/main/java/burlarch/coordination/register/proposal/ChangeDecision.java
+++ b/coordination/src/main/java/burlarch/coordination/register/proposal/ChangeDecision.java
@@ -8,15 +8,16 @@
     record Write(RegisterValue next) implements ChangeDecision {}
 
     /**
-     * Leave the value as it is and report it once it is certain to be chosen. Right for a read, for a change that is
-     * already applied, and for one that no later value can take, such as one whose base version has passed.
+     * Leave the value as it is and report it once it is certain to be chosen. Right for a read, for a change
+     * that is already applied, and for one that no later value can take, such as one whose base version has
+     * passed.
      */
     record Keep() implements ChangeDecision {}
 
     /**
-     * Leave the value as it is, but write it again under a new proposal number before it is reported. Once that write is
-     * chosen, no earlier proposal that was left unfinished can be chosen any more. Needed before a change is rejected
-     * that a later value might still take.
+     * Leave the value as it is, but write it again under a new proposal number before it is reported. Once that
+     * write is chosen, no earlier proposal that was left unfinished can be chosen any more. Needed before a
+     * change is rejected that a later value might still take.
      */
     record Seal() implements ChangeDecision {}
 
--- a/coordination/src/main/java/burlarch/coordination/register/proposal/ConflictBackoff.java
+++ b/coordination/src/main/java/burlarch/coordination/register/proposal/ConflictBackoff.java
@@ -3,8 +3,8 @@
 import java.util.random.RandomGenerator;
 
 /**
- * The delays before a new attempt after proposers have conflicted. The upper bound doubles with each conflict; jitter
- * keeps proposers from conflicting again.
+ * The delays before a new attempt after proposers have conflicted. The upper bound doubles with each conflict;
+ * jitter keeps proposers from conflicting again.
  */
 final class ConflictBackoff {
     private static final long FIRST_NANOS = 20_000_000L;
--- a/coordination/src/main/java/burlarch/coordination/register/proposal/MessageExchange.java
+++ b/coordination/src/main/java/burlarch/coordination/register/proposal/MessageExchange.java
@@ -10,11 +10,12 @@
 import java.util.function.Predicate;
 
 /**
- * The request of a proposal that is out at present: who has received it, and in which interval it is sent again. Each
- * request has a call id of its own, so a late response to an earlier request does not count for the present one.
+ * The request of a proposal that is out at present: who has received it, and in which interval it is sent
+ * again. Each request has a call id of its own, so a late response to an earlier request does not count for the
+ * present one.
  *
- * <p>The interval doubles from {@link #FIRST_RESEND_NANOS} to {@link #MAX_RESEND_NANOS}. Requests are idempotent, so
- * sending one again is safe.
+ * <p>The interval doubles from {@link #FIRST_RESEND_NANOS} to {@link #MAX_RESEND_NANOS}. Requests are
+ * idempotent, so sending one again is safe.
  */
 final class MessageExchange {
     private static final long FIRST_RESEND_NANOS = 400_000_000L;
@@ -22,7 +23,7 @@
 
     private final Consumer<ProposalOutput> outputs;
 
-    /** Those that were asked, by storage identity, in the order of asking. */
+    /** The acceptors that the request was sent to, by storage identity, in the order of sending. */
     private final Map<String, AcceptorMember> recipients = new LinkedHashMap<>();
 
     private long callId;
@@ -64,7 +65,10 @@
         resendIntervalNanos = Math.min(2 * resendIntervalNanos, MAX_RESEND_NANOS);
     }
 
-    /** Sends the request again to the recipients that have not responded, and starts with the first interval anew. */
+    /**
+     * Sends the request again to the recipients that have not responded, and starts with the first interval
+     * anew.
+     */
     void resendWithFirstInterval(Predicate<String> hasResponded) {
         sendAgain(hasResponded);
         resendIntervalNanos = FIRST_RESEND_NANOS;
--- a/coordination/src/main/java/burlarch/coordination/register/proposal/PrepareTally.java
+++ b/coordination/src/main/java/burlarch/coordination/register/proposal/PrepareTally.java
@@ -13,11 +13,11 @@
 import java.util.Set;
 
 /**
- * The granted prepare responses of one attempt, and the newest value among those that they report and the one that the
- * proposer knew before.
+ * The granted prepare responses of one attempt, and the newest value among those that they report and the one
+ * that the proposer knew before.
  *
- * <p>Keeps PrepareQuorum: the set whose quorum counts is the one that the newest value names. The set of the proposer's
- * view counts only until a newer value was seen.
+ * <p>Keeps PrepareQuorum: the set whose quorum counts is the one that the newest value names. The set of the
+ * proposer's view counts only until a newer value was seen.
  */
 final class PrepareTally {
     private final Map<String, ProposalNumber> acceptedByStorageId = new HashMap<>();
--- a/coordination/src/main/java/burlarch/coordination/register/proposal/ProposalResult.java
+++ b/coordination/src/main/java/burlarch/coordination/register/proposal/ProposalResult.java
@@ -8,8 +8,8 @@
     /**
      * {@code value} is chosen.
      *
-     * @param proposalNumber the number under which it is chosen; {@link ProposalNumber#ZERO} when the register is still
-     *     empty
+     * @param proposalNumber the number under which it is chosen; {@link ProposalNumber#ZERO} when the register
+     *     is still empty
      * @param value the register's value; null when the register is still empty
      * @param decision the decision of the change that led to this result
      */
@@ -17,14 +17,14 @@
             implements ProposalResult {}
 
     /**
-     * The deadline passed after the change was sent to acceptors. It may be chosen, now or later, or never. The caller
-     * may propose the same change again, when the payload shows whether it is applied.
+     * The deadline passed after the change was sent to acceptors. It may be chosen, now or later, or never. The
+     * caller may propose the same change again, when the payload shows whether it is applied.
      */
     record Unknown() implements ProposalResult {}
 
     /**
-     * The deadline passed before the change was sent to any acceptor. It is not chosen and never will be; the caller may
-     * propose it again.
+     * The deadline passed before the change was sent to any acceptor. It is not chosen and never will be; the
+     * caller may propose it again.
      */
     record NotStarted() implements ProposalResult {}
 }
--- a/coordination/src/main/java/burlarch/coordination/register/proposal/ProposalState.java
+++ b/coordination/src/main/java/burlarch/coordination/register/proposal/ProposalState.java
@@ -1,8 +1,8 @@
 package burlarch.coordination.register.proposal;
 
 /**
- * The states of a {@link Proposal}. All transitions are in {@link #after}; an event that has no transition in a state
- * is a programming error.
+ * The states of a {@link Proposal}. All transitions are in {@link #after}; an event that has no transition in a
+ * state is a programming error.
  *
  * <pre>
  * state           | STARTED   | REJECTED        | BACKOFF_ELAPSED | WRITE_READY | STEP_CHOSEN | ENDED
@@ -15,19 +15,30 @@
  * FINISHED        |           |                 |                 |             |             |
  * </pre>
  *
- * <p>An attempt begins with each entry into {@code PREPARING}, under a new proposal number. A rejected attempt still
- * counts responses during its backoff, because the other acceptors may be a quorum yet; it sends nothing again.
+ * <p>An attempt begins with each entry into {@code PREPARING}, under a new proposal number. A rejected attempt
+ * still counts responses during its backoff, because the other acceptors may be a quorum yet; it sends nothing
+ * again.
  */
 enum ProposalState {
     /** Not started yet. */
     NEW,
-    /** The prepare request is out; its responses are counted, and it is sent again to those that have not responded. */
+    /**
+     * The prepare request is out; its responses are counted, and it is sent again to those that have not
+     * responded.
+     */
     PREPARING,
-    /** As {@code PREPARING}, but an acceptor has granted a higher number: a new attempt follows after a delay. */
+    /**
+     * As {@code PREPARING}, but an acceptor has granted a higher number: a new attempt follows after a delay.
+     */
     PREPARE_BACKOFF,
-    /** The accept request is out; its responses are counted, and it is sent again to those that have not responded. */
+    /**
+     * The accept request is out; its responses are counted, and it is sent again to those that have not
+     * responded.
+     */
     ACCEPTING,
-    /** As {@code ACCEPTING}, but an acceptor has granted a higher number: a new attempt follows after a delay. */
+    /**
+     * As {@code ACCEPTING}, but an acceptor has granted a higher number: a new attempt follows after a delay.
+     */
     ACCEPT_BACKOFF,
     /** The result is known. */
     FINISHED;
--- a/coordination/src/main/java/burlarch/coordination/register/proposal/WritePlan.java
+++ b/coordination/src/main/java/burlarch/coordination/register/proposal/WritePlan.java
@@ -10,10 +10,15 @@
     /** Nothing is written: the value that was read is the result. */
     record Report(ChangeDecision decision) implements WritePlan {}
 
-    /** The next write needs prepare responses of more acceptors; these are asked for them under the same number. */
+    /**
+     * The next write needs prepare responses of more acceptors; the prepare request is sent to these too.
+     */
     record AwaitPrepares(AcceptorSet acceptors) implements WritePlan {}
 
-    /** A value is written. All but {@link FinalWrite} are intermediate steps, after which the next attempt follows. */
+    /**
+     * A value is written. All but {@link FinalWrite} are intermediate steps, after which the next attempt
+     * follows.
+     */
     sealed interface Write extends WritePlan {
         /** The value to write. */
         RegisterValue value();
--- a/coordination/src/main/java/burlarch/coordination/register/proposal/WritePlanner.java
+++ b/coordination/src/main/java/burlarch/coordination/register/proposal/WritePlanner.java
@@ -14,8 +14,8 @@
 import java.util.List;
 
 /**
- * Plans what a proposal writes on the value that the prepare phase has read, and remembers how far the proposal's own
- * change has come over its attempts.
+ * Plans what a proposal writes on the value that the prepare phase has read, and remembers how far the
+ * proposal's own change has come over its attempts.
  *
  * <p>The first row that applies decides:
  *
@@ -33,10 +33,11 @@
  * simple set; Keep or Seal otherwise                  | FinalWrite: the value unchanged
  * </pre>
  *
- * <p>Keeps SetSuccession and JoinersHoldBase. A write that needs more prepare responses becomes {@link AwaitPrepares}.
+ * <p>Keeps SetSuccession and JoinersHoldBase. A write that needs more prepare responses becomes
+ * {@link AwaitPrepares}.
  *
- * <p>Once the own change was sent, a value is no longer reported without a write of it: a value without the change
- * bars the earlier write only when it is chosen under a higher number.
+ * <p>Once the own change was sent, a value is no longer reported without a write of it: a value without the
+ * change bars the earlier write only when it is chosen under a higher number.
  */
 final class WritePlanner {
     /** Whether an acceptor may know of the proposal's own change. */
@@ -48,7 +49,9 @@
     private final RegisterChange change;
     private ChangeProgress progress = ChangeProgress.NOT_SENT;
 
-    /** The intermediate write of this proposal that was chosen last, and its number; no write and ZERO at first. */
+    /**
+     * The intermediate write of this proposal that was chosen last, and its number; no write and ZERO at first.
+     */
     private Write lastChosenStep;
 
     private ProposalNumber lastChosenNumber = ProposalNumber.ZERO;
@@ -128,7 +131,7 @@
         return new StartSetChange(new RegisterValue(joint, next.payload()), decision);
     }
 
-    /** Puts a write off until all acceptors are prepared, and hold the value below, that it needs. */
+    /** Postpones a write until all acceptors that it needs are prepared and hold the value below it. */
     private static WritePlan afterPrepares(WritePlan plan, PrepareTally prepares) {
         if (plan instanceof StartSetChange start) {
             return afterJoinersHoldBase(start, prepares);
