--- a/routing/src/main/java/burlarch/routing/AttemptOutcome.java
+++ b/routing/src/main/java/burlarch/routing/AttemptOutcome.java
@@ -1,22 +1,22 @@
 package burlarch.routing;
 
-/** How an attempt at an instance ended. */
+/** How an attempt, the sending of a request to one instance, ended. */
 public enum AttemptOutcome {
-    /** A whole answer came. */
+    /** A complete response arrived. */
     ANSWERED(false),
-    /** The instance said that it had not run the request: full or rate limited. */
+    /** The instance declared that it had not executed the request: its queue is full or a rate limit holds. */
     REJECTED(true),
-    /** 421: another instance, or other weights. */
+    /** Status 421: the instance serves another model or other weights than the request expects. */
     MISDIRECTED(true),
-    /** No connection came up, nothing was written. */
+    /** No connection was established; nothing was written. */
     NOT_CONNECTED(true),
-    /** Ended without a whole answer after something may have been read. */
+    /** Ended without a complete response after the instance may have read part of the request. */
     BROKEN(false),
-    /** Nothing came in time. */
+    /** No response arrived in time. */
     TIMED_OUT(false),
-    /** The client left first. */
+    /** The client closed its connection, or the attempt was no longer needed. */
     CANCELLED(false),
-    /** A failure of the instance's own, 5xx after it ran. */
+    /** The instance executed the request and failed, status 5xx. */
     FAILED(false);
 
     private final boolean neverRan;
@@ -25,7 +25,7 @@
         this.neverRan = neverRan;
     }
 
-    /** Whether it is certain that the request had not run. */
+    /** Whether it is certain that the request was not executed, so that any route may retry it. */
     public boolean neverRan() {
         return neverRan;
     }
--- a/routing/src/main/java/burlarch/routing/Placement.java
+++ b/routing/src/main/java/burlarch/routing/Placement.java
@@ -2,17 +2,20 @@
 
 import burlarch.coordination.registry.Instance;
 
-/** What is to be done with a request. */
+/**
+ * The planner's decision on one attempt of a request. A {@link Send} identifies its attempt: the caller hands
+ * the same object back with each report about the attempt.
+ */
 public sealed interface Placement {
     /**
-     * Send it.
+     * Send the request to an instance.
      *
-     * @param cacheSalt null where the service keeps no prompts
-     * @param expectVersion weights version that the instance has to have, 0 for none
-     * @param kvFetch address to take kept parts from, or null
-     * @param kvSave address of a store to save parts to, or null
-     * @param priority 0 (first) to 9
-     * @param predictedFirstNanos how long the first event is expected to take
+     * @param cacheSalt salt for the engine's prefix cache, null where the service caches no prompts
+     * @param expectVersion weights version that the instance has to have, 0 for any
+     * @param kvFetch address from which the engine is to fetch cached segments, or null
+     * @param kvSave address of a store to which the engine is to save the shared segments, or null
+     * @param priority from 0, the most urgent, to 9
+     * @param predictedFirstNanos expected time from sending to the first event of the response
      */
     record Send(
             Instance instance,
@@ -24,6 +27,11 @@
             long predictedFirstNanos)
             implements Placement {}
 
-    /** Refuse at once with 503 and a time to come back. */
+    /**
+     * Reject the attempt at once, with 503 and Retry-After.
+     *
+     * @param retryAfterMillis after which the client may come back
+     * @param reason one phrase for the response and for operators
+     */
     record Refuse(long retryAfterMillis, String reason) implements Placement {}
 }
--- a/routing/src/main/java/burlarch/routing/Planner.java
+++ b/routing/src/main/java/burlarch/routing/Planner.java
@@ -5,44 +5,60 @@
 import java.util.Collection;
 
 /**
- * Decides which instance gets a request, and what is refused. No I/O, no clock, not thread-safe: the caller
- * holds one lock around all calls. Times are nanoseconds of one monotonic clock.
+ * Decides which instance receives each attempt of a request, and which requests are rejected.
+ *
+ * <p>An implementation does no I/O, reads no clock and is not thread-safe: the caller holds one lock around
+ * all calls. {@code nowNanos} is the current time in nanoseconds of one monotonic clock, the same for all calls.
+ *
+ * <p>The life of one attempt: {@link #plan} returns a {@link Placement.Send}; then {@link #onSent}, at most one
+ * {@link #onFirstEvent}, and exactly one {@link #onEnded}, all with the same {@code send} object. A report
+ * with a {@code send} that is unknown or has already ended is ignored.
  */
 public interface Planner {
-    /** The configuration in force. */
+    /** A configuration came into force; it replaces the former one. */
     void onConfiguration(Configuration configuration, long nowNanos);
 
-    /** All instances that are known, whole; draining, loading and gone ones may be among them. */
-    void onInstances(Collection<Instance> instances, long nowNanos);
-
     /**
-     * How many live routers there are, this one included: budgets and learned capacity are shared by them.
+     * The complete set of known instances; those that are missing are forgotten. Instances that are loading,
+     * draining or gone may be among them and receive no requests.
      */
+    void onInstances(Collection<Instance> instances, long nowNanos);
+
+    /** The number of live routers, this one included. They divide retry budgets and learned capacity. */
     void onLiveRouters(int live, long nowNanos);
 
-    /** Events of one engine or store, in their order. */
+    /** Prefix-cache events of one engine or store, in the order in which it sent them. */
     void onKvEvents(KvEvents events, long nowNanos);
 
-    /** The whole of what one engine or store keeps, as its list told. */
+    /** The complete list of what one engine or store caches; replaces what its events had reported. */
     void onKvList(KvEvents list, long nowNanos);
 
     /**
-     * Where the next attempt of a request goes. After a Send the caller reports {@link #onSent}, then
-     * {@link #onEnded} exactly once; {@link #onFirstEvent} between them when a stream has begun.
+     * Decides on the next attempt of a request.
      *
-     * @param attempt 0 for the first; the planner keeps to the route's retries and the retry budget
+     * @param attempt 0 for the first; further ones are refused beyond the route's retries and the retry budget
+     * @return to send it, or to reject it; never null
      */
     Placement plan(RouteRequest request, int attempt, long nowNanos);
 
-    /** A request is out to that instance. */
+    /** The request is being sent to the instance of {@code send}. */
     void onSent(RouteRequest request, Placement.Send send, long nowNanos);
 
-    /** The first bytes of the answer's body came. */
+    /** The first bytes of the response's body arrived. */
     void onFirstEvent(RouteRequest request, Placement.Send send, long nowNanos);
 
-    /** The attempt is over. {@code load} null where the answer carried none. */
+    /**
+     * The attempt ended.
+     *
+     * @param load as reported by the response, null if it carried none
+     */
     void onEnded(RouteRequest request, Placement.Send send, AttemptOutcome outcome, ServerLoad load, long nowNanos);
 
-    /** An answer or a refusal told which weights an instance has. */
+    /**
+     * A response or rejection of an instance named the weights version that the instance has loaded.
+     *
+     * @param instance id of the instance
+     * @param model null is ignored
+     */
     void onWeightsVersion(String instance, String model, long version, long nowNanos);
 }
--- a/routing/src/main/java/burlarch/routing/PlannerSettings.java
+++ b/routing/src/main/java/burlarch/routing/PlannerSettings.java
@@ -3,16 +3,17 @@
 import java.util.Map;
 
 /**
- * What a planner is told at its start.
+ * Settings of a planner, fixed at its start.
  *
- * @param zone where this router runs
- * @param regionOfZone region of each zone; a zone that is missing is taken as a region of its own
- * @param retryBudget further sends allowed for each first send
- * @param budgetWindowSeconds over which they are counted
- * @param budgetSlack further sends of the whole fleet beyond that share
- * @param versionMillis within which all engines take requests on newly named weights
- * @param priorities the Priority header for each rank 0, 1, ...; ranks beyond take the last
- * @param refuseBeyondLatencyTargets a request whose first event would take so many aims is refused, 0 for never
+ * @param zone in which this router runs
+ * @param regionOfZone region of each zone; a zone that is missing counts as a region of its own
+ * @param retryBudget retries allowed for each first attempt, as a fraction
+ * @param budgetWindowSeconds length of the sliding window in which both are counted
+ * @param budgetSlack retries that the whole fleet may make beyond that fraction in each window
+ * @param versionMillis within which all engines must serve newly announced weights
+ * @param priorities value of the Priority header for ranks 0, 1, ...; ranks beyond the last use the last
+ * @param refuseBeyondLatencyTargets a request is rejected if its first event is expected to take longer than so many
+ *     latency targets; 0 for never
  */
 public record PlannerSettings(
         String zone,
@@ -25,7 +26,10 @@
         double refuseBeyondLatencyTargets) {
     private static final int LOWEST_PRIORITY = 9;
 
-    /** Ranks map to themselves, and nothing is refused for its aim's sake unless it is far out of reach. */
+    /**
+     * Settings with each rank as its own priority, and with rejection of what is expected to take longer than
+     * one latency target.
+     */
     public static PlannerSettings of(
             String zone,
             Map<String, String> regionOfZone,
@@ -44,12 +48,13 @@
                 1);
     }
 
+    /** The priority of a rank, from 0 to 9, for any rank. */
     public int priorityOf(int rank) {
         int index = Math.max(0, Math.min(priorities.length - 1, rank));
         return Math.max(0, Math.min(LOWEST_PRIORITY, priorities[index]));
     }
 
-    /** How often a move to or from that zone counts: 1 within the zone, 2 within the region, 10 beyond. */
+    /** Relative cost of a KV transfer between two zones: 1 within a zone, 2 within a region, 10 across regions. */
     public double distance(String from, String to) {
         if (from == null || from.equals(to)) {
             return 1;
--- a/routing/src/main/java/burlarch/routing/ServerLoad.java
+++ b/routing/src/main/java/burlarch/routing/ServerLoad.java
@@ -1,4 +1,10 @@
 package burlarch.routing;
 
-/** X-Server-Load of an answer: requests running, requests waiting, slots. */
+/**
+ * Load that an instance reports in the X-Server-Load header of a response.
+ *
+ * @param running requests that it executes
+ * @param waiting requests in its queue
+ * @param slots requests that it can execute at once, 0 if not reported
+ */
 public record ServerLoad(int running, int waiting, int slots) {}
--- a/routing/src/main/java/burlarch/routing/admission/FetchAdmission.java
+++ b/routing/src/main/java/burlarch/routing/admission/FetchAdmission.java
@@ -9,38 +9,46 @@
 import java.util.Map;
 
 /**
- * The throttle of fetches to one service: requests whose shared parts no engine keeps. Each is an offer of
- * its tenant, and goes out or is refused at once. The capacity is learned from what the fetches came to.
+ * Admission control of the fetches to one service. A fetch is a request that misses the prefix cache: no
+ * engine caches its shared segments, so that it has to prefill them. Each fetch is offered under its tenant
+ * and is admitted or rejected at once. The sustainable rate is learned from the outcomes of fetches.
  */
 public final class FetchAdmission {
-    /** W of the most urgent rank, more for each rank below, and the most. */
-    private static final double WINDOW_BEST = 10;
+    /** Averaging window in seconds of the most urgent rank, its increase for each lower rank, and its maximum. */
+    private static final double BASE_WINDOW_SECONDS = 10;
 
-    private static final double WINDOW_PER_RANK = 2.5;
-    private static final double WINDOW_MOST = 20;
-    /** W for each tenant at least, so that one offer alone lies within an equal share. */
-    private static final double WINDOW_PER_TENANT = 1.5;
-    /** Outcomes that make a batch of evidence: one router sees few fetches a second. */
-    private static final double BATCH = 16;
-    /** Routers get uneven shares of the clients. */
+    private static final double WINDOW_SECONDS_PER_RANK = 2.5;
+    private static final double MAX_RANK_WINDOW_SECONDS = 20;
+    /** Minimum of the window for each tenant, so that a single offer lies within an equal quota share. */
+    private static final double WINDOW_SECONDS_PER_TENANT = 1.5;
+    /** Outcomes in a batch of evidence; small, because one router sees few fetches in a second. */
+    private static final double EVIDENCE_BATCH = 16;
+    /** Routers receive unequal fractions of the traffic, so each may exceed an equal fraction by this factor. */
     private static final double HEADROOM = 2;
 
     private static final double FLEET_FLOOR_PER_SECOND = 20;
-    private static final long SHORTEST_RETRY_MILLIS = 50;
-    private static final long LONGEST_RETRY_MILLIS = 2_000;
+    private static final long MIN_RETRY_MILLIS = 50;
+    private static final long MAX_RETRY_MILLIS = 2_000;
+    /** Index of a tenant that the configuration does not name. */
+    private static final int UNKNOWN_TENANT = -1;
 
     private final Map<String, Integer> tenants = new HashMap<>();
     private LearnedCapacity capacity;
 
-    /** Rebuilds the shares where other tenants are configured; the learned capacity stays. */
-    public void configure(List<Tenant> configured, double startPerSecond, int liveRouters) {
+    /**
+     * Configures the tenants. If they differ from the former ones their quotas begin anew; the learned rate stays.
+     *
+     * @param configured null for none: all requests are of one tenant
+     * @param initialPerSecond rate of all routers together, used until a rate has been learned
+     */
+    public void configure(List<Tenant> configured, double initialPerSecond, int liveRouters) {
         int count = configured == null ? 0 : configured.size();
-        boolean same = capacity != null && count == tenants.size();
-        for (int i = 0; same && i < count; i++) {
+        boolean unchanged = capacity != null && count == tenants.size();
+        for (int i = 0; unchanged && i < count; i++) {
             Integer index = tenants.get(configured.get(i).name());
-            same = index != null && index == i;
+            unchanged = index != null && index == i;
         }
-        if (same) {
+        if (unchanged) {
             return;
         }
         tenants.clear();
@@ -51,68 +59,69 @@
                 tenants.put(configured.get(i).name(), i);
             }
         }
-        double start = capacity == null ? startPerSecond / liveRouters : capacity.perSecond();
+        double initial = capacity == null ? initialPerSecond / liveRouters : capacity.perSecond();
         double floor = Math.min(LearnedCapacity.FLOOR_PER_SECOND, FLEET_FLOOR_PER_SECOND / liveRouters);
-        capacity = new LearnedCapacity(shares, start, floor, BATCH, 1);
+        capacity = new LearnedCapacity(shares, initial, floor, EVIDENCE_BATCH, 1);
     }
 
     /**
-     * Whether the fetch may go out.
+     * Offers a fetch. Returns whether it is admitted.
      *
-     * @param bearable fetches a second that the engines can read for this router; until strain has been seen
-     *     the capacity keeps ahead of what is offered, up to a multiple of that
+     * @param sustainablePerSecond fetches that the engines can prefill for this router; until overload has been
+     *     observed the learned rate follows the offers up to a multiple of that
      */
-    public boolean offer(RouteRequest request, double bearable, long nowNanos) {
-        if (capacity.perSecond() < HEADROOM * bearable) {
+    public boolean offer(RouteRequest request, double sustainablePerSecond, long nowNanos) {
+        if (capacity.perSecond() < HEADROOM * sustainablePerSecond) {
             capacity.keepAhead();
         }
-        return capacity.offer(indexOf(request.tenant()), window(rank(request)), nowNanos);
+        return capacity.offer(indexOf(request.tenant()), windowSeconds(request.rank()), nowNanos);
     }
 
-    /** A fetch that was admitted did not go out, or was not run. */
+    /** An admitted fetch was not executed: its offer of {@code agoNanos} ago is taken back. */
     public void withdraw(RouteRequest request, long agoNanos) {
-        capacity.withdraw(indexOf(request.tenant()), window(rank(request)), agoNanos);
+        capacity.withdraw(indexOf(request.tenant()), windowSeconds(request.rank()), agoNanos);
     }
 
     /**
-     * What a fetch came to.
+     * The outcome of a fetch.
      *
-     * @param strain part of the aim that it waited for others, 1 for errors, time-outs and rejections
+     * @param strain its wait for other requests as a fraction of the latency target; 1 for errors, time-outs and
+     *     rejections
+     * @param accepted whether the instance executed it
      */
     public void onOutcome(long sentNanos, double strain, boolean accepted, long nowNanos) {
         capacity.onOutcome(sentNanos, strain, accepted, nowNanos);
     }
 
     /**
-     * When the tenant's estimate will have come down so far that one more offer fits: its T times the part
-     * that is refused, spread for those that are refused together.
+     * Retry-After of a rejected fetch: when the rate estimated for its tenant will have fallen so far that one
+     * more offer fits, spread at random over requests that are rejected together. From 50 to 2000 ms.
      */
     public long retryAfterMillis(RouteRequest request) {
         double unit = RendezvousHash.unit(request.id());
         double perSecond = capacity.perSecond();
-        double offered = capacity.throttle.offeredTotal();
-        double refused = offered > perSecond ? 1 - perSecond / offered : 0;
-        double millis = 1e3 * window(rank(request)) / perSecond * refused * (0.5 + unit);
-        return (long) Math.max(SHORTEST_RETRY_MILLIS * (1 + unit), Math.min(LONGEST_RETRY_MILLIS, millis));
-    }
-
-    /** 0 is the most urgent. A tenant's own rank goes before its route's. */
-    public static int rank(RouteRequest request) {
-        Integer own = request.tenant() == null ? null : request.tenant().priority();
-        return own == null ? request.route().priority() : own;
+        double offeredPerSecond = capacity.throttle.offeredTotal();
+        double rejectedFraction = offeredPerSecond > perSecond ? 1 - perSecond / offeredPerSecond : 0;
+        double millis = 1e3 * windowSeconds(request.rank()) / perSecond * rejectedFraction * (0.5 + unit);
+        return (long) Math.max(MIN_RETRY_MILLIS * (1 + unit), Math.min(MAX_RETRY_MILLIS, millis));
     }
 
+    /** The learned rate of this router, in fetches a second. */
     public double perSecond() {
         return capacity.perSecond();
     }
 
     private int indexOf(Tenant tenant) {
         Integer index = tenant == null ? null : tenants.get(tenant.name());
-        return index == null ? tenants.isEmpty() ? 0 : -1 : index;
+        if (index != null) {
+            return index;
+        }
+        return tenants.isEmpty() ? 0 : UNKNOWN_TENANT;
     }
 
-    private double window(int rank) {
-        double byRank = Math.min(WINDOW_MOST, WINDOW_BEST + WINDOW_PER_RANK * Math.max(0, rank));
-        return Math.max(byRank, WINDOW_PER_TENANT * tenants.size());
+    private double windowSeconds(int rank) {
+        double byRank =
+                Math.min(MAX_RANK_WINDOW_SECONDS, BASE_WINDOW_SECONDS + WINDOW_SECONDS_PER_RANK * Math.max(0, rank));
+        return Math.max(byRank, WINDOW_SECONDS_PER_TENANT * tenants.size());
     }
 }
--- a/routing/src/main/java/burlarch/routing/index/PrefixCacheIndex.java
+++ b/routing/src/main/java/burlarch/routing/index/PrefixCacheIndex.java
@@ -10,66 +10,102 @@
 import java.util.Set;
 
 /**
- * Who keeps which parts of prompts, as far as events, lists and own sends tell. A hint, never a promise:
- * events are lost and come late. A source is an engine's instance id or the name of a store's service.
+ * Which source caches which prompt segments. A source is an engine, named by its instance id, or a store,
+ * named by its service.
+ *
+ * <p>An entry is <em>confirmed</em> if the source reported it or a request that the source answered proves it,
+ * and <em>expected</em> if it only follows from a request that was sent there. Expected entries expire.
+ * After an event was lost the source is <em>uncertain</em> until its next complete list.
+ *
+ * <p>Operations on a source that was not added have no effect, and lookups find nothing.
  */
 public final class PrefixCacheIndex {
-    /** Tokens of one block of an engine's memory: less than that missing at a part's end is not missing. */
+    /** Tokens of one block of an engine's KV cache. Engines cache full blocks only, so a shorter tail never misses. */
     private static final int BLOCK_TOKENS = 16;
-    /** How long a guess stands that nobody confirms. */
+    /** After how many ticks an expected entry that was not confirmed is ignored. */
     private static final int EXPECTED_TICKS = 40;
 
     private static final long TICK_NANOS = 100_000_000L;
-    /** Parts for each so many tokens of a source's memory, within the two bounds. */
+    /** A table holds one segment for each so many tokens of its source's capacity, within the two bounds. */
     private static final int TOKENS_PER_SEGMENT = 64;
 
     private static final int MIN_SEGMENTS = 256;
     private static final int MAX_SEGMENTS = 16_384;
-    /** What is assumed of a source of which the configuration tells nothing. */
-    private static final long UNKNOWN_CAPACITY = 100_000;
+    /** Assumed where the configuration does not state the capacity. */
+    private static final long UNKNOWN_CAPACITY_TOKENS = 100_000;
 
     private static final class Source {
+        private static final long NO_EPOCH = -1;
+
         final SegmentTable segments;
-        long epoch = -1;
+        long epoch = NO_EPOCH;
+        /** Whether events were lost since the last complete list. */
         boolean uncertain;
 
         Source(long capacityTokens) {
-            long parts = capacityTokens / TOKENS_PER_SEGMENT;
+            long count = capacityTokens / TOKENS_PER_SEGMENT;
             this.segments =
-                    new SegmentTable((int) Math.max(MIN_SEGMENTS, Math.min(MAX_SEGMENTS, parts)), capacityTokens);
+                    new SegmentTable((int) Math.max(MIN_SEGMENTS, Math.min(MAX_SEGMENTS, count)), capacityTokens);
+        }
+
+        /**
+         * A new epoch invalidates what is known of the source. Expected entries from before its first event
+         * stay: they stem from requests to the run that now reports its epoch.
+         */
+        void enterEpoch(long reported) {
+            if (epoch == reported) {
+                return;
+            }
+            if (epoch != NO_EPOCH) {
+                segments.clear();
+                uncertain = false;
+            }
+            epoch = reported;
+        }
+
+        int cachedTokens(long key, int maxExpectedTicks, int nowTicks) {
+            int cached = segments.tokens(key);
+            boolean expired =
+                    cached > 0 && segments.isExpected(key) && nowTicks - segments.lastUsedAt(key) > maxExpectedTicks;
+            return expired ? 0 : cached;
         }
     }
 
     private final Map<String, Source> sources = new HashMap<>();
 
-    /** Makes a source known, with room for so many tokens; one that is known already stays as it is. */
+    /**
+     * Adds a source; one that was added before keeps its entries and its capacity.
+     *
+     * @param capacityTokens of its cache, 0 if unknown
+     */
     public void addSource(String source, long capacityTokens) {
         if (!sources.containsKey(source)) {
-            sources.put(source, new Source(capacityTokens > 0 ? capacityTokens : UNKNOWN_CAPACITY));
+            sources.put(source, new Source(capacityTokens > 0 ? capacityTokens : UNKNOWN_CAPACITY_TOKENS));
         }
     }
 
-    /** Forgets all sources but these. */
+    /** Removes all sources but these. */
     public void retainSources(Set<String> known) {
         sources.keySet().retainAll(known);
     }
 
     /**
-     * Takes in events; those of a source that was not added are dropped.
+     * Applies events of a source, in their order.
      *
-     * @return tokens that are new to the source and kept nowhere else: those that it has read itself
+     * @return tokens that are new to the source and confirmed for no other one: what it has prefilled itself
+     *     rather than fetched
      */
     public long onEvents(KvEvents events, long nowNanos) {
         Source source = sources.get(events.source());
         if (source == null) {
             return 0;
         }
-        enterEpoch(source, events.epoch());
+        source.enterEpoch(events.epoch());
         source.uncertain |= events.lost();
         return apply(source, events.events(), nowNanos);
     }
 
-    /** Takes in the whole of what a source keeps: what it does not name is gone, guesses too. */
+    /** Applies the complete list of a source: entries that it does not name are removed, expected ones too. */
     public void onFullList(KvEvents list, long nowNanos) {
         Source source = sources.get(list.source());
         if (source == null) {
@@ -81,20 +117,9 @@
         apply(source, list.events(), nowNanos);
     }
 
-    private static void enterEpoch(Source source, long epoch) {
-        if (source.epoch != epoch) {
-            // Guesses made before the first word of a source stand.
-            if (source.epoch != -1) {
-                source.segments.clear();
-                source.uncertain = false;
-            }
-            source.epoch = epoch;
-        }
-    }
-
     private long apply(Source source, List<KvEvent> events, long nowNanos) {
-        int now = ticks(nowNanos);
-        long read = 0;
+        int nowTicks = ticks(nowNanos);
+        long prefilled = 0;
         for (int i = 0; i < events.size(); i++) {
             KvEvent event = events.get(i);
             String salt = event.salt() == null ? "" : event.salt();
@@ -102,62 +127,63 @@
             if (event.tokens() > 0) {
                 int before = source.segments.isExpected(key) ? 0 : source.segments.tokens(key);
                 int added = Math.max(0, event.tokens() - before);
-                read += added == 0 || isCachedElsewhere(source, key) ? 0 : added;
-                source.segments.put(key, event.tokens(), CacheSalt.group(salt), now, false);
+                prefilled += added == 0 || isCachedElsewhere(source, key) ? 0 : added;
+                source.segments.put(key, event.tokens(), CacheSalt.group(salt), nowTicks, false);
             } else if (!event.added()) {
                 source.segments.remove(key);
             }
         }
-        return read;
+        return prefilled;
     }
 
-    private boolean isCachedElsewhere(Source but, long key) {
+    private boolean isCachedElsewhere(Source except, long key) {
         for (Source source : sources.values()) {
-            if (source != but && source.segments.tokens(key) > 0 && !source.segments.isExpected(key)) {
+            if (source != except && source.segments.tokens(key) > 0 && !source.segments.isExpected(key)) {
                 return true;
             }
         }
         return false;
     }
 
-    /** A request with these parts went to the source: it will soon keep them, unless told otherwise. */
-    public void expectCached(String source, String salt, List<PromptSegment> parts, long nowNanos) {
+    /** A request with these segments was sent to the source, which is expected to cache them soon. */
+    public void expectCached(String source, String salt, List<PromptSegment> segments, long nowNanos) {
         Source known = sources.get(source);
         if (known == null) {
             return;
         }
         long saltHash = CacheSalt.hash(salt);
         short group = CacheSalt.group(salt);
-        for (int i = 0; i < parts.size(); i++) {
-            PromptSegment part = parts.get(i);
-            if (part.tokens() > 0) {
-                known.segments.put(CacheSalt.key(saltHash, part.id()), part.tokens(), group, ticks(nowNanos), true);
+        for (int i = 0; i < segments.size(); i++) {
+            PromptSegment segment = segments.get(i);
+            if (segment.tokens() > 0) {
+                long key = CacheSalt.key(saltHash, segment.id());
+                known.segments.put(key, segment.tokens(), group, ticks(nowNanos), true);
             }
         }
     }
 
-    /** The source has read these parts: guesses about them hold. */
-    public void confirm(String source, String salt, List<PromptSegment> parts, long nowNanos) {
+    /** The source has prefilled these segments: expected entries of them become confirmed. */
+    public void confirm(String source, String salt, List<PromptSegment> segments, long nowNanos) {
         Source known = sources.get(source);
         long saltHash = CacheSalt.hash(salt);
-        for (int i = 0; known != null && i < parts.size(); i++) {
-            known.segments.recordUse(CacheSalt.key(saltHash, parts.get(i).id()), ticks(nowNanos), true);
+        for (int i = 0; known != null && i < segments.size(); i++) {
+            known.segments.recordUse(CacheSalt.key(saltHash, segments.get(i).id()), ticks(nowNanos), true);
         }
     }
 
-    /** A send to the source came to nothing: what was guessed of it, and never confirmed, goes. */
-    public void withdrawExpected(String source, String salt, List<PromptSegment> parts) {
+    /** A request to the source was not executed: its expected entries that nothing confirmed are removed. */
+    public void withdrawExpected(String source, String salt, List<PromptSegment> segments) {
         Source known = sources.get(source);
         long saltHash = CacheSalt.hash(salt);
-        for (int i = 0; known != null && i < parts.size(); i++) {
-            long key = CacheSalt.key(saltHash, parts.get(i).id());
+        for (int i = 0; known != null && i < segments.size(); i++) {
+            long key = CacheSalt.key(saltHash, segments.get(i).id());
             if (known.segments.isExpected(key)) {
                 known.segments.remove(key);
             }
         }
     }
 
-    /** The source has dropped all that it kept under salts of this one's model and weights. */
+    /** The source has discarded all entries of the salt's model and weights version, of all tenants. */
     public void forgetVersion(String source, String salt) {
         Source known = sources.get(source);
         if (known != null) {
@@ -165,52 +191,50 @@
         }
     }
 
-    /** Tokens of the longest prefix whose parts are all kept; one kept partly counts so far and ends it. */
-    public int cachedPrefixTokens(String source, long saltHash, List<PromptSegment> parts, long nowNanos) {
-        return prefix(source, saltHash, parts, EXPECTED_TICKS, nowNanos);
+    /**
+     * Tokens of the longest prefix of the segments that the source caches, by confirmed and unexpired expected
+     * entries. A segment of which only the beginning is cached adds that and ends the prefix.
+     */
+    public int cachedPrefixTokens(String source, long saltHash, List<PromptSegment> segments, long nowNanos) {
+        return prefixTokens(source, saltHash, segments, EXPECTED_TICKS, nowNanos);
     }
 
-    /** The same without what is only guessed. */
-    public int confirmedPrefixTokens(String source, long saltHash, List<PromptSegment> parts, long nowNanos) {
-        return prefix(source, saltHash, parts, -1, nowNanos);
+    /** As {@link #cachedPrefixTokens(String, long, List, long)}, by confirmed entries alone. */
+    public int confirmedPrefixTokens(String source, long saltHash, List<PromptSegment> segments, long nowNanos) {
+        return prefixTokens(source, saltHash, segments, -1, nowNanos);
     }
 
-    private int prefix(String source, long saltHash, List<PromptSegment> parts, int guessTicks, long nowNanos) {
+    /** As {@link #cachedPrefixTokens(String, long, List, long)}, for a salt that is not hashed yet. */
+    public int cachedPrefixTokens(String source, String salt, List<PromptSegment> segments, long nowNanos) {
+        return cachedPrefixTokens(source, CacheSalt.hash(salt), segments, nowNanos);
+    }
+
+    private int prefixTokens(
+            String source, long saltHash, List<PromptSegment> segments, int maxExpectedTicks, long nowNanos) {
         Source known = sources.get(source);
         if (known == null || known.segments.size() == 0) {
             return 0;
         }
         int sum = 0;
-        for (int i = 0; i < parts.size(); i++) {
-            PromptSegment part = parts.get(i);
-            int kept = cachedTokens(known, CacheSalt.key(saltHash, part.id()), guessTicks, ticks(nowNanos));
-            if (kept + BLOCK_TOKENS <= part.tokens()) {
-                return sum + kept;
+        for (int i = 0; i < segments.size(); i++) {
+            PromptSegment segment = segments.get(i);
+            long key = CacheSalt.key(saltHash, segment.id());
+            int cached = known.cachedTokens(key, maxExpectedTicks, ticks(nowNanos));
+            if (cached + BLOCK_TOKENS <= segment.tokens()) {
+                return sum + cached;
             }
-            sum += Math.min(kept, part.tokens());
+            sum += Math.min(cached, segment.tokens());
         }
         return sum;
     }
 
-    /** As the other, for a salt as text. */
-    public int cachedPrefixTokens(String source, String salt, List<PromptSegment> parts, long nowNanos) {
-        return cachedPrefixTokens(source, CacheSalt.hash(salt), parts, nowNanos);
-    }
-
-    private static int cachedTokens(Source source, long key, int guessTicks, int now) {
-        int kept = source.segments.tokens(key);
-        boolean stale =
-                kept > 0 && source.segments.isExpected(key) && now - source.segments.lastUsedAt(key) > guessTicks;
-        return stale ? 0 : kept;
-    }
-
-    /** Whether events of the source went missing since its last list. */
+    /** Whether events of the source were lost since its last complete list. */
     public boolean isUncertain(String source) {
         Source known = sources.get(source);
         return known != null && known.uncertain;
     }
 
-    /** How many parts are known of the source. */
+    /** Number of segments with an entry for the source. */
     public int size(String source) {
         Source known = sources.get(source);
         return known == null ? 0 : known.segments.size();
--- a/routing/src/main/java/burlarch/routing/index/SegmentTable.java
+++ b/routing/src/main/java/burlarch/routing/index/SegmentTable.java
@@ -3,16 +3,25 @@
 import java.util.Arrays;
 
 /**
- * Parts of prompts with the tokens that are kept of each, in open addressing. Bounded twice: by a number of
- * parts and by the tokens of all together; beyond either the oldest of a few looked at gives way.
+ * The cached segments of one source with the number of cached tokens of each: a hash table with open
+ * addressing and linear probing, in parallel arrays, so that lookups and updates allocate nothing.
+ *
+ * <p>Two bounds hold after each {@link #put}: the number of segments, and the sum of their tokens unless a
+ * single segment exceeds it. Beyond either an approximate LRU evicts: the least recently used of a few entries.
+ *
+ * <p>Invariant <em>no gap in a probe sequence</em>: every slot from an entry's home slot to its own is occupied.
+ * {@link #remove} keeps it by moving later entries back, so no tombstones are needed.
  */
-public final class SegmentTable {
+final class SegmentTable {
     private static final int INITIAL_CAPACITY = 16;
-    /** Occupied places that an eviction looks at: near enough to the least recently used, at a fixed cost. */
+    /** Occupied slots that an eviction compares: close to least recently used, at a fixed cost. */
     private static final int EVICTION_SAMPLE = 8;
 
+    /** Key 0 marks a free slot; the real key 0 is stored as this one, which hashes practically never equal. */
     private static final long ZERO_KEY_SUBSTITUTE = 0x5851F42D4C957F2DL;
 
+    private static final long HASH_MULTIPLIER = 0x9E3779B97F4A7C15L;
+
     private final int maxSegments;
     private final long maxTokens;
     private long[] keys = new long[INITIAL_CAPACITY];
@@ -24,87 +33,87 @@
     private int evictionCursor;
     private long tokenSum;
 
-    /** Both bounds are at least one. */
-    public SegmentTable(int mostParts, long mostTokens) {
-        this.maxSegments = Math.max(1, mostParts);
-        this.maxTokens = Math.max(1, mostTokens);
+    /** An empty table; bounds below one count as one. */
+    SegmentTable(int maxSegments, long maxTokens) {
+        this.maxSegments = Math.max(1, maxSegments);
+        this.maxTokens = Math.max(1, maxTokens);
     }
 
     /**
-     * Sets what is kept of a part.
+     * Sets the cached tokens of a segment.
      *
-     * @param key of the part under its salt
-     * @param kept tokens, above 0
-     * @param group by which {@link #removeGroup} takes parts away
-     * @param now any clock that rises, in units as coarse as wanted
-     * @param onlyExpected whether this is a guess that nobody has told yet
+     * @param key of the segment under its salt
+     * @param cachedTokens above 0
+     * @param group by which {@link #removeGroup} removes segments
+     * @param now time of the use, in any unit that increases
+     * @param onlyExpected whether this is not confirmed; a confirmed entry stays confirmed
      */
-    public void put(long key, int kept, short group, int now, boolean onlyExpected) {
+    void put(long key, int cachedTokens, short group, int now, boolean onlyExpected) {
         long stored = stored(key);
-        int at = find(stored);
-        if (keys[at] == 0) {
-            evictFor(kept);
-            at = find(stored);
-            keys[at] = stored;
+        int slot = find(stored);
+        if (keys[slot] == 0) {
+            evictFor(cachedTokens);
+            slot = find(stored);
+            keys[slot] = stored;
             size++;
-            expected[at] = onlyExpected;
+            expected[slot] = onlyExpected;
         } else {
-            tokenSum -= tokens[at];
-            expected[at] &= onlyExpected;
+            tokenSum -= tokens[slot];
+            expected[slot] &= onlyExpected;
         }
-        tokens[at] = kept;
-        lastUsed[at] = now;
-        groups[at] = group;
-        tokenSum += kept;
+        tokens[slot] = cachedTokens;
+        lastUsed[slot] = now;
+        groups[slot] = group;
+        tokenSum += cachedTokens;
     }
 
-    /** Tokens kept of the part, 0 if it is not known. */
-    public int tokens(long key) {
+    /** Cached tokens of the segment, 0 if it has no entry. */
+    int tokens(long key) {
         return tokens[find(stored(key))];
     }
 
-    /** Whether the part is known only as a guess; false where it is not known. */
-    public boolean isExpected(long key) {
+    /** Whether the segment has an entry that is only expected. */
+    boolean isExpected(long key) {
         return expected[find(stored(key))];
     }
 
-    /** When the part was last put or touched; meaningful only where {@link #tokens} is above 0. */
-    public int lastUsedAt(long key) {
+    /** When the segment was last used; meaningful only where {@link #tokens} is above 0. */
+    int lastUsedAt(long key) {
         return lastUsed[find(stored(key))];
     }
 
-    /** Notes a use; a guess is no guess any more if {@code confirms}. */
-    public void recordUse(long key, int now, boolean confirms) {
-        int at = find(stored(key));
-        if (keys[at] != 0) {
-            lastUsed[at] = now;
-            expected[at] &= !confirms;
+    /** Records a use of the segment, if it has an entry; {@code confirms} makes an expected entry confirmed. */
+    void recordUse(long key, int now, boolean confirms) {
+        int slot = find(stored(key));
+        if (keys[slot] != 0) {
+            lastUsed[slot] = now;
+            expected[slot] &= !confirms;
         }
     }
 
-    /** Forgets the part. */
-    public void remove(long key) {
-        int at = find(stored(key));
-        if (keys[at] != 0) {
-            removeAt(at);
+    /** Removes the segment's entry, if there is one. */
+    void remove(long key) {
+        int slot = find(stored(key));
+        if (keys[slot] != 0) {
+            removeAt(slot);
         }
     }
 
-    /** Forgets all parts of the group. */
-    public void removeGroup(short group) {
-        int at = 0;
-        while (at < keys.length) {
-            if (keys[at] != 0 && groups[at] == group) {
-                // What moves into this place from behind is looked at next.
-                removeAt(at);
+    /** Removes the entries of all segments of the group. */
+    void removeGroup(short group) {
+        int slot = 0;
+        while (slot < keys.length) {
+            if (keys[slot] != 0 && groups[slot] == group) {
+                // The removal may have moved a later entry into this slot, so look at it again.
+                removeAt(slot);
             } else {
-                at++;
+                slot++;
             }
         }
     }
 
-    /** Forgets everything. */
-    public void clear() {
+    /** Removes all entries. */
+    void clear() {
         Arrays.fill(keys, 0);
         Arrays.fill(tokens, 0);
         Arrays.fill(expected, false);
@@ -112,37 +121,38 @@
         tokenSum = 0;
     }
 
-    /** How many parts are known. */
-    public int size() {
+    /** Number of segments with an entry. */
+    int size() {
         return size;
     }
 
-    /** Tokens of all known parts. */
-    public long tokenSum() {
+    /** Sum of the cached tokens of all segments. */
+    long tokenSum() {
         return tokenSum;
     }
 
-    /** Zero marks a free place, so that key is held as another that hashes hardly meet. */
     private static long stored(long key) {
         return key == 0 ? ZERO_KEY_SUBSTITUTE : key;
     }
 
+    /** The slot of the key, or the free slot where it would be inserted. */
     private int find(long stored) {
         int mask = keys.length - 1;
-        int at = home(stored);
-        while (keys[at] != 0 && keys[at] != stored) {
-            at = at + 1 & mask;
+        int slot = home(stored);
+        while (keys[slot] != 0 && keys[slot] != stored) {
+            slot = slot + 1 & mask;
         }
-        return at;
+        return slot;
     }
 
     private int home(long stored) {
-        long mixed = stored * 0x9E3779B97F4A7C15L;
+        long mixed = stored * HASH_MULTIPLIER;
         return (int) (mixed >>> 40) & keys.length - 1;
     }
 
-    private void evictFor(int more) {
-        while (size > 0 && (size >= maxSegments || tokenSum + more > maxTokens)) {
+    /** Makes room for one more segment of so many tokens. */
+    private void evictFor(int moreTokens) {
+        while (size > 0 && (size >= maxSegments || tokenSum + moreTokens > maxTokens)) {
             removeAt(oldestNearCursor());
         }
         if ((size + 1) * 3 > keys.length * 2) {
@@ -152,30 +162,33 @@
 
     private int oldestNearCursor() {
         int mask = keys.length - 1;
-        int best = -1;
+        int oldest = -1;
         for (int seen = 0, steps = 0; seen < EVICTION_SAMPLE && steps < keys.length; steps++) {
             evictionCursor = evictionCursor + 1 & mask;
             if (keys[evictionCursor] != 0) {
                 seen++;
-                best = best < 0 || lastUsed[evictionCursor] < lastUsed[best] ? evictionCursor : best;
+                oldest = oldest < 0 || lastUsed[evictionCursor] < lastUsed[oldest] ? evictionCursor : oldest;
             }
         }
-        return best;
+        return oldest;
     }
 
-    /** Closes the gap, so that no search ends too early. */
-    private void removeAt(int place) {
+    /**
+     * Frees a slot and moves later entries of the same run of occupied slots back into the gap. An entry may
+     * move if its home slot is not behind the gap, cyclically: a search for it still passes its new slot.
+     */
+    private void removeAt(int slot) {
         int mask = keys.length - 1;
-        tokenSum -= tokens[place];
+        tokenSum -= tokens[slot];
         size--;
-        int free = place;
-        int at = place + 1 & mask;
-        while (keys[at] != 0) {
-            if ((at - home(keys[at]) & mask) >= (at - free & mask)) {
-                move(at, free);
-                free = at;
+        int free = slot;
+        int next = slot + 1 & mask;
+        while (keys[next] != 0) {
+            if ((next - home(keys[next]) & mask) >= (next - free & mask)) {
+                move(next, free);
+                free = next;
             }
-            at = at + 1 & mask;
+            next = next + 1 & mask;
         }
         keys[free] = 0;
         tokens[free] = 0;
@@ -193,7 +206,7 @@
     private void grow() {
         long[] oldKeys = keys;
         int[] oldTokens = tokens;
-        int[] oldTouched = lastUsed;
+        int[] oldLastUsed = lastUsed;
         short[] oldGroups = groups;
         boolean[] oldExpected = expected;
         int length = keys.length * 2;
@@ -204,12 +217,12 @@
         expected = new boolean[length];
         for (int i = 0; i < oldKeys.length; i++) {
             if (oldKeys[i] != 0) {
-                int at = find(oldKeys[i]);
-                keys[at] = oldKeys[i];
-                tokens[at] = oldTokens[i];
-                lastUsed[at] = oldTouched[i];
-                groups[at] = oldGroups[i];
-                expected[at] = oldExpected[i];
+                int slot = find(oldKeys[i]);
+                keys[slot] = oldKeys[i];
+                tokens[slot] = oldTokens[i];
+                lastUsed[slot] = oldLastUsed[i];
+                groups[slot] = oldGroups[i];
+                expected[slot] = oldExpected[i];
             }
         }
     }
--- a/routing/src/main/java/burlarch/routing/instance/Engine.java
+++ b/routing/src/main/java/burlarch/routing/instance/Engine.java
@@ -8,33 +8,76 @@
 import java.util.List;
 import java.util.Map;
 
-/** One incarnation of an instance of any service, with all that is known of it. */
+/**
+ * One incarnation of an instance, a model engine or a plain server, as this router sees it: what it last
+ * announced, and the estimates that the router has made of it.
+ *
+ * <p>Invariant <em>versions only rise</em>: the weights version of a model never decreases by what responses
+ * say, which may arrive late; only {@link #distrustVersion} returns to what the instance announced.
+ */
 public final class Engine {
-    private static final double FREE_LOAD = 0.5;
-
-    public final String id;
-    public final long idHash;
-    public final InstanceHealth health = new InstanceHealth();
-    public final EngineSpeed speed;
-    public final PrefillLoadEstimate prefillLoad = new PrefillLoadEstimate();
-    public final KvTransferSpeed transferSpeed = new KvTransferSpeed();
-    public final EngineLoad load;
+    private static final double FREE_PREFILL_LOAD = 0.5;
+
+    private final String id;
+    private final long idHash;
+    private final InstanceHealth health = new InstanceHealth();
+    private final EngineSpeed speed;
+    private final EngineLoad load;
+    private final PrefillLoadEstimate prefillLoad = new PrefillLoadEstimate();
+    private final KvTransferSpeed transferSpeed = new KvTransferSpeed();
     private final Map<String, Long> versions = new HashMap<>(2);
     private Instance instance;
 
-    /** @param usual how fast instances of the service are */
-    public Engine(Instance instance, EngineSpeed usual) {
-        this.speed = new EngineSpeed(usual);
+    /** @param serviceAverage speed of the instances of its service, used until its own is known */
+    public Engine(Instance instance, EngineSpeed serviceAverage) {
+        this.speed = new EngineSpeed(serviceAverage);
         this.id = instance.id();
         this.idHash = RendezvousHash.hash(id);
         this.load = new EngineLoad(instance.capacity());
         this.instance = instance;
     }
 
+    /** The instance's id. */
+    public String id() {
+        return id;
+    }
+
+    /** The {@link RendezvousHash#hash} of the id. */
+    public long idHash() {
+        return idHash;
+    }
+
+    /** Whether it may receive requests, by how attempts there ended. */
+    public InstanceHealth health() {
+        return health;
+    }
+
+    /** How fast it prefills and responds. */
+    public EngineSpeed speed() {
+        return speed;
+    }
+
+    /** Its running and waiting requests. */
+    public EngineLoad load() {
+        return load;
+    }
+
+    /** How busy it is with prefilling, by its prefix-cache events. */
+    public PrefillLoadEstimate prefillLoad() {
+        return prefillLoad;
+    }
+
+    /** How fast KV transfers to it are. */
+    public KvTransferSpeed transferSpeed() {
+        return transferSpeed;
+    }
+
+    /** Its last announcement. */
     public Instance instance() {
         return instance;
     }
 
+    /** Applies a new announcement of the same instance. */
     public void update(Instance announced) {
         instance = announced;
         if (announced.capacity() > 0) {
@@ -42,22 +85,24 @@
         }
     }
 
+    /** Whether it announced that it accepts requests. */
     public boolean isReady() {
         return instance.state() == InstanceState.READY;
     }
 
+    /** Whether it is ready but still slower than usual. */
     public boolean isWarmingUp() {
         return instance.warmupLeftMillis() > 0;
     }
 
-    /** Whether under half of its places are taken, nothing is known to wait and it has read little. */
+    /** Whether under half of its slots are in use, no queue is known, and it has prefilled little lately. */
     public boolean isFree(long nowNanos) {
         return load.requests(nowNanos) < load.slots() / 2.0
                 && !load.hasQueue(nowNanos)
-                && prefillLoad.load(nowNanos) < FREE_LOAD;
+                && prefillLoad.load(nowNanos) < FREE_PREFILL_LOAD;
     }
 
-    /** Whether it may serve the model: unless it names others only. */
+    /** Whether it may serve the model: it does unless it announces models and this is not one of them. */
     public boolean serves(String model) {
         List<ServedModel> models = instance.models();
         if (model == null || models == null || models.isEmpty()) {
@@ -71,12 +116,16 @@
         return false;
     }
 
-    /** Weights version of a model, 0 if unknown. */
+    /** Weights version of a model, 0 if unknown or if {@code model} is null. */
     public long version(String model) {
         return model == null ? 0 : versions.getOrDefault(model, 0L);
     }
 
-    /** Takes a version in; versions only rise. Returns the one before if this is newer, else -1. */
+    /**
+     * Applies a reported weights version.
+     *
+     * @return the version before, 0 if there was none; -1 if the reported one is not newer and was ignored
+     */
     public long onVersion(String model, long version) {
         long before = version(model);
         if (version <= before) {
@@ -86,7 +135,7 @@
         return before;
     }
 
-    /** What was believed of the weights was wrong: back to what the instance announced. */
+    /** The known version of the model proved wrong: returns to the one that the instance announced, if any. */
     public void distrustVersion(String model) {
         versions.remove(model);
         List<ServedModel> models = instance.models();
--- a/routing/src/main/java/burlarch/routing/instance/EngineLoad.java
+++ b/routing/src/main/java/burlarch/routing/instance/EngineLoad.java
@@ -2,30 +2,37 @@
 
 import burlarch.routing.ServerLoad;
 
-/** What one instance has to do: our own requests exactly, those of other routers as far as it told. */
+/**
+ * The load of one instance: this router's own requests exactly, those of other routers by what responses
+ * report and by how long first events take. Reported values fade linearly to 0, as they get outdated.
+ */
 public final class EngineLoad {
-    /** How long the load that an answer told counts for; it fades evenly. */
-    private static final double FADE_NANOS = 4e9;
-    /** How long a told queue is taken to stand. */
+    /** After which reported requests of other routers count nothing. */
+    private static final double OTHER_REQUESTS_FADE_NANOS = 4e9;
+    /** How long a reported queue is assumed to remain. */
     private static final long QUEUE_VALID_NANOS = 1_000_000_000L;
-    /** How long a wait that a first event showed counts for, fading evenly. */
+    /** After which an observed wait no longer predicts the wait of the next request. */
     private static final double WAIT_FADE_NANOS = 8e8;
-    /** How long the same tells that places there are not free for sure. */
+    /** After which an observed wait no longer counts as a queue. */
     private static final double STRAIN_FADE_NANOS = 2e9;
 
+    /** Weight of the newest wait in the running average. */
     private static final double WAIT_GAIN = 0.5;
+    /** Fraction of own unprefilled tokens that are in the backlog until their first events arrive. */
     private static final double MIN_BACKLOG_FRACTION = 0.5;
-    /** Shorter waits are noise, or one prompt that was being read. */
+    /** Shorter waits are noise, or a single prompt that was being prefilled. */
     private static final long QUEUE_WAIT_NANOS = 200_000_000L;
 
     private int ownRequests;
     private double ownMemoryTokens;
+    /** Estimated own prompt tokens that are not prefilled yet, as of {@link #backlogAtNanos}. */
     private double backlogTokens;
-    /** Prompt tokens of our requests whose first event has not come. */
+
+    private long backlogAtNanos;
+    /** Prompt tokens of own requests without a first event. */
     private long ownPrefillTokens;
 
     private int ownPrefilling;
-    private long backlogAtNanos;
     private double otherRequests;
     private long otherRequestsAtNanos;
     private int slots;
@@ -38,10 +45,17 @@
         this.slots = Math.max(1, slots);
     }
 
+    /** Requests of this router that are at the instance. */
     public int ownRequests() {
         return ownRequests;
     }
 
+    /** Those of them whose first event has not arrived. */
+    public int ownPrefilling() {
+        return ownPrefilling;
+    }
+
+    /** Requests that the instance can execute at once, at least 1. */
     public int slots() {
         return slots;
     }
@@ -50,96 +64,93 @@
         slots = Math.max(1, count);
     }
 
-    /** Requests there that are not ours. */
-    double otherRequests(long nowNanos) {
-        return otherRequests * Math.max(0, 1 - (nowNanos - otherRequestsAtNanos) / FADE_NANOS);
+    private double otherRequests(long nowNanos) {
+        return otherRequests * Math.max(0, 1 - (nowNanos - otherRequestsAtNanos) / OTHER_REQUESTS_FADE_NANOS);
     }
 
-    /** Requests there, ours and others'. */
+    /** Estimated requests there, of all routers. */
     public double requests(long nowNanos) {
         return ownRequests + otherRequests(nowNanos);
     }
 
-    /** Whether requests wait there, as it told or first events showed lately. */
+    /** Whether requests wait there, by a recent report or by recent waits for first events. */
     public boolean hasQueue(long nowNanos) {
         return waiting > 0 && nowNanos - otherRequestsAtNanos < QUEUE_VALID_NANOS
-                || faded(STRAIN_FADE_NANOS, nowNanos) > QUEUE_WAIT_NANOS;
+                || fadedWaitNanos(STRAIN_FADE_NANOS, nowNanos) > QUEUE_WAIT_NANOS;
     }
 
-    /** How long requests lately waited for others, of whatever router. */
+    /** How long a new request is expected to wait for those of all routers, by recent waits. */
     public double waitNanos(long nowNanos) {
-        return faded(WAIT_FADE_NANOS, nowNanos);
+        return fadedWaitNanos(WAIT_FADE_NANOS, nowNanos);
     }
 
-    private double faded(double fadeNanos, long nowNanos) {
+    private double fadedWaitNanos(double fadeNanos, long nowNanos) {
         return waitNanos * Math.max(0, 1 - (nowNanos - waitAtNanos) / fadeNanos);
     }
 
-    /** A request has waited for others so long and does so still. */
-    public void onStillWaiting(double nanos, long nowNanos) {
-        waitNanos = Math.max(waitNanos(nowNanos), nanos);
+    /** A request has waited at least so long for others, and its first event has not arrived. */
+    public void onStillWaiting(double waitedNanos, long nowNanos) {
+        waitNanos = Math.max(waitNanos(nowNanos), waitedNanos);
         waitAtNanos = nowNanos;
     }
 
-    /** A first event came so much later than the request alone would have needed. */
-    public void onWaited(double nanos, long nowNanos) {
+    /** A first event arrived so much later than without other requests; less than 0 counts as 0. */
+    public void onWaited(double waitedNanos, long nowNanos) {
         double before = waitNanos(nowNanos);
-        waitNanos = before + (Math.max(0, nanos) - before) * WAIT_GAIN;
+        waitNanos = before + (Math.max(0, waitedNanos) - before) * WAIT_GAIN;
         waitAtNanos = nowNanos;
     }
 
-    /** Memory of what runs, in tokens; requests of others count as ours do on average. */
+    /** KV cache used by running requests, in tokens; each request of other routers counts {@code meanTokens}. */
     public double memoryTokens(double meanTokens, long nowNanos) {
         return ownMemoryTokens + otherRequests(nowNanos) * meanTokens;
     }
 
     /**
-     * Our prompt tokens that are still to be read. Half of them are taken to be there until the first event:
-     * others' requests are read in between.
+     * Own prompt tokens that are still to be prefilled, by the time since they were sent. Half of them count
+     * until their first events arrive, because requests of other routers are prefilled in between.
      */
     public double backlogTokens(EngineSpeed speed, long nowNanos) {
-        double read = Math.max(0, nowNanos - backlogAtNanos) * speed.tokensPerNano();
-        backlogTokens = Math.max(ownPrefillTokens * MIN_BACKLOG_FRACTION, backlogTokens - read);
+        double prefilled = Math.max(0, nowNanos - backlogAtNanos) * speed.tokensPerNano();
+        backlogTokens = Math.max(ownPrefillTokens * MIN_BACKLOG_FRACTION, backlogTokens - prefilled);
         backlogAtNanos = nowNanos;
         return backlogTokens;
     }
 
-    /** Requests of ours whose first event has not come. */
-    public int ownPrefilling() {
-        return ownPrefilling;
-    }
-
-    /** The first event of a request of ours came, or its end. */
-    public void onPrefilled(int tokensToRead) {
-        ownPrefilling--;
-        ownPrefillTokens = Math.max(0, ownPrefillTokens - tokensToRead);
-    }
-
-    public void onSent(int tokensToRead, double memory, EngineSpeed speed, long nowNanos) {
+    /** An own request was sent, with so many tokens to prefill and so much memory, in tokens. */
+    public void onSent(int tokensToPrefill, double memoryTokens, EngineSpeed speed, long nowNanos) {
         backlogTokens(speed, nowNanos);
-        backlogTokens += tokensToRead;
-        ownPrefillTokens += tokensToRead;
+        backlogTokens += tokensToPrefill;
+        ownPrefillTokens += tokensToPrefill;
         ownPrefilling++;
-        ownMemoryTokens += memory;
+        ownMemoryTokens += memoryTokens;
         ownRequests++;
     }
 
-    public void onEnded(double memory) {
+    /** The first event of an own request arrived, or it ended without one. Once for each {@link #onSent}. */
+    public void onPrefilled(int tokensToPrefill) {
+        ownPrefilling--;
+        ownPrefillTokens = Math.max(0, ownPrefillTokens - tokensToPrefill);
+    }
+
+    /** An own request ended. Once for each {@link #onSent}. */
+    public void onEnded(double memoryTokens) {
         ownRequests--;
-        ownMemoryTokens = ownRequests == 0 ? 0 : Math.max(0, ownMemoryTokens - memory);
+        ownMemoryTokens = ownRequests == 0 ? 0 : Math.max(0, ownMemoryTokens - memoryTokens);
     }
 
-    /** Requests that never ran leave nothing to read. */
-    public void withdraw(int tokensToRead) {
-        backlogTokens = Math.max(0, backlogTokens - tokensToRead);
+    /** An own request was not executed: its prompt will not be prefilled. */
+    public void withdraw(int tokensToPrefill) {
+        backlogTokens = Math.max(0, backlogTokens - tokensToPrefill);
     }
 
     /**
-     * What an answer's head told.
+     * A response reported the instance's load; a report that is older than the last one is ignored.
      *
-     * @param ownThen requests of ours that were there then
-     * @param ownPrefillingThen those of them whose first event had not come
-     * @param meanPrefillTokens of a request, for those that wait there
+     * @param ownThen own requests that were there when the response began
+     * @param ownPrefillingThen those of them without a first event
+     * @param meanPrefillTokens of a request, assumed for those that wait there
+     * @param atNanos when the response began
      */
     public void onLoadReported(
             ServerLoad reported,
--- a/routing/src/main/java/burlarch/routing/instance/KvTransferSpeed.java
+++ b/routing/src/main/java/burlarch/routing/instance/KvTransferSpeed.java
@@ -1,34 +1,42 @@
 package burlarch.routing.instance;
 
-/** How much longer than its link says moves to one instance take, as the last ones did. */
+/**
+ * How much longer KV transfers to one instance take than its nominal link speed allows, as a running average
+ * of recent transfers. Without new samples it fades linearly to nominal speed.
+ */
 public final class KvTransferSpeed {
     private static final double GAIN = 0.3;
     private static final double MAX_SLOWNESS = 30;
-    /** How long a link that showed slow is taken for slow without new evidence. */
+    /** How long a slow link is assumed to stay slow without new samples. */
     private static final double FADE_NANOS = 3e9;
-    /** Shorter moves tell nothing: their lateness is other work's. */
+    /** Shorter transfers are ignored: their delay comes from other work. */
     private static final double MIN_SAMPLE_NANOS = 15e6;
-    /** Lateness that other requests' reading explains. */
+    /** Delay that prefilling for other requests explains. */
     private static final double TOLERATED_NANOS = 150e6;
 
     private double slowness = 1;
     private long updatedNanos;
 
-    /** The factor, 1 or more. */
+    /** By how much the nominal time of a transfer is to be multiplied, 1 or more. */
     public double slowness(long nowNanos) {
         double fade = Math.max(0, 1 - (nowNanos - updatedNanos) / FADE_NANOS);
         return 1 + (slowness - 1) * fade;
     }
 
-    /** A move that was to take so long came so much later than that. */
+    /**
+     * A transfer ended.
+     *
+     * @param expectedNanos predicted duration, with the slowness of that time
+     * @param lateNanos by how much it took longer; negative if it was faster
+     */
     public void onTransferEnded(double expectedNanos, double lateNanos, long nowNanos) {
         double before = slowness(nowNanos);
-        double nominal = expectedNanos / before;
-        if (nominal < MIN_SAMPLE_NANOS) {
+        double nominalNanos = expectedNanos / before;
+        if (nominalNanos < MIN_SAMPLE_NANOS) {
             return;
         }
-        double late = lateNanos > 0 ? Math.max(0, lateNanos - TOLERATED_NANOS) : lateNanos;
-        double sample = Math.max(1, Math.min(MAX_SLOWNESS, (expectedNanos + late) / nominal));
+        double unexplainedNanos = lateNanos > 0 ? Math.max(0, lateNanos - TOLERATED_NANOS) : lateNanos;
+        double sample = Math.max(1, Math.min(MAX_SLOWNESS, (expectedNanos + unexplainedNanos) / nominalNanos));
         slowness = before + (sample - before) * GAIN;
         updatedNanos = nowNanos;
     }
--- a/routing/src/main/java/burlarch/routing/instance/StoreLivenessMonitor.java
+++ b/routing/src/main/java/burlarch/routing/instance/StoreLivenessMonitor.java
@@ -1,24 +1,25 @@
 package burlarch.routing.instance;
 
 /**
- * Whether one store is still there: it tells of what is saved to it. Several saves of which nothing is heard
- * for a while mean that it is down, and moves from it would be waited for in vain.
+ * Detects that a store is down. A store reports an event for each segment saved to it; several saves without
+ * any report for a while mean that it is down, and that fetches from it would wait in vain. A store that has
+ * never reported anything is one whose events this router does not receive, and is assumed to be up.
  */
 public final class StoreLivenessMonitor {
-    private static final int UNACKNOWLEDGED_SAVES = 3;
+    private static final int MAX_UNACKNOWLEDGED_SAVES = 3;
     private static final long TIMEOUT_NANOS = 500_000_000L;
 
     private boolean hasEverReported;
     private int unacknowledgedSaves;
     private long unacknowledgedSinceNanos;
 
-    /** Events or a list of the store came. */
+    /** Events or a complete list of the store arrived. */
     public void onEventsReceived() {
         hasEverReported = true;
         unacknowledgedSaves = 0;
     }
 
-    /** An engine has read what it was told to save there. */
+    /** An engine has prefilled what it was to save to the store, so a report is due. */
     public void onSaveDue(long nowNanos) {
         if (unacknowledgedSaves == 0) {
             unacknowledgedSinceNanos = nowNanos;
@@ -26,10 +27,10 @@
         unacknowledgedSaves++;
     }
 
-    /** Whether it is taken to be down. A store that was never heard of is not followed by this router. */
+    /** Whether the store is assumed to be down. */
     public boolean isUnresponsive(long nowNanos) {
         return hasEverReported
-                && unacknowledgedSaves >= UNACKNOWLEDGED_SAVES
+                && unacknowledgedSaves >= MAX_UNACKNOWLEDGED_SAVES
                 && nowNanos - unacknowledgedSinceNanos > TIMEOUT_NANOS;
     }
 }
--- a/routing/src/main/java/burlarch/routing/planner/AttemptHistory.java
+++ b/routing/src/main/java/burlarch/routing/planner/AttemptHistory.java
@@ -6,22 +6,28 @@
 import java.util.List;
 import java.util.Map;
 
-/** What earlier attempts of a request came to. Only failed attempts are kept, of the latest requests. */
+/**
+ * Outcomes of the earlier attempts of requests, by request id. Only requests whose attempts all failed are
+ * retained, and only the latest {@link #MAX_REQUESTS}.
+ */
 final class AttemptHistory {
     private static final int MAX_REQUESTS = 1024;
+    /** Stands for a request without retained attempts; compared by identity. */
     static final PreviousAttempts NONE = new PreviousAttempts();
 
-    /** Instances that one request was at, and how often it may have run. */
+    /** The attempts of one request that have ended. */
     static final class PreviousAttempts {
         private final List<String> instances = new ArrayList<>(2);
         private int count;
         private int possiblyReceived;
         private int mayHaveRun;
 
+        /** Whether an attempt failed at the instance, so that it is to be avoided. */
         boolean contains(String instance) {
             return instances.contains(instance);
         }
 
+        /** Attempts after which the request may have been executed. */
         int mayHaveRun() {
             return mayHaveRun;
         }
@@ -31,7 +37,7 @@
             return count;
         }
 
-        /** Attempts that an instance may have seen. */
+        /** Attempts that may have reached an instance: those with a connection. */
         int possiblyReceived() {
             return possiblyReceived;
         }
@@ -46,23 +52,28 @@
         }
     };
 
+    /** The earlier attempts of a request; {@link #NONE} if none is retained. */
     PreviousAttempts of(String request) {
-        PreviousAttempts tried = byRequest.get(request);
-        return tried == null ? NONE : tried;
+        PreviousAttempts previous = byRequest.get(request);
+        return previous == null ? NONE : previous;
     }
 
-    /** The end of an attempt. {@code instance} null: the same one may be tried again. */
+    /**
+     * An attempt ended.
+     *
+     * @param instance to be avoided by further attempts; null if the same one may be tried again
+     */
     void onEnded(String request, String instance, AttemptOutcome outcome) {
         if (outcome == AttemptOutcome.ANSWERED || outcome == AttemptOutcome.CANCELLED) {
             byRequest.remove(request);
             return;
         }
-        PreviousAttempts tried = byRequest.computeIfAbsent(request, id -> new PreviousAttempts());
+        PreviousAttempts previous = byRequest.computeIfAbsent(request, id -> new PreviousAttempts());
         if (instance != null) {
-            tried.instances.add(instance);
+            previous.instances.add(instance);
         }
-        tried.count++;
-        tried.possiblyReceived += outcome == AttemptOutcome.NOT_CONNECTED ? 0 : 1;
-        tried.mayHaveRun += outcome.neverRan() ? 0 : 1;
+        previous.count++;
+        previous.possiblyReceived += outcome == AttemptOutcome.NOT_CONNECTED ? 0 : 1;
+        previous.mayHaveRun += outcome.neverRan() ? 0 : 1;
     }
 }
--- a/routing/src/main/java/burlarch/routing/planner/CandidateSelector.java
+++ b/routing/src/main/java/burlarch/routing/planner/CandidateSelector.java
@@ -5,26 +5,36 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** Which instances of a service may get an attempt. */
+/**
+ * Selects the instances of a service that may receive an attempt: those that are ready, serve the model, have
+ * not failed this request, do not have outdated weights, and are neither ejected nor resting.
+ *
+ * <p>Invariant <em>ejection bound</em>: ejection removes at most half of the instances that remain by the
+ * other conditions, except those that cannot be reached. If all are ejected, the one whose ejection ends first
+ * receives the attempt, reachable or not.
+ */
 final class CandidateSelector {
-    /** Part of a service that doubts may take out, unless nothing connects there. */
     private static final double MAX_EJECTED_FRACTION = 0.5;
 
     private final List<Engine> usable = new ArrayList<>();
     private final List<Engine> ejected = new ArrayList<>();
 
-    /** The instances for this attempt; the list is reused by the next call. Empty where none is ready. */
-    List<Engine> of(
+    /**
+     * The candidates for an attempt, empty if no instance is ready. The list is reused by the next call.
+     *
+     * @param graceNanos after which instances with older weights than the newest known ones are excluded
+     */
+    List<Engine> select(
             ServiceState service,
             RouteRequest request,
-            AttemptHistory.PreviousAttempts tried,
+            AttemptHistory.PreviousAttempts previous,
             long graceNanos,
             long nowNanos) {
-        long least = request.model() == null ? 0 : service.minVersion(request.model(), graceNanos, nowNanos);
-        collect(service, request, tried, least, nowNanos);
-        if (usable.isEmpty() && least > 0) {
-            // The new weights are nowhere: what brings them is broken, and serving goes on.
-            collect(service, request, tried, 0, nowNanos);
+        long minVersion = request.model() == null ? 0 : service.minVersion(request.model(), graceNanos, nowNanos);
+        collect(service, request, previous, minVersion, nowNanos);
+        if (usable.isEmpty() && minVersion > 0) {
+            // No instance has the new weights: their distribution has failed, and old weights serve on.
+            collect(service, request, previous, 0, nowNanos);
         }
         return usable;
     }
@@ -32,50 +42,71 @@
     private void collect(
             ServiceState service,
             RouteRequest request,
-            AttemptHistory.PreviousAttempts tried,
+            AttemptHistory.PreviousAttempts previous,
             long minVersion,
             long nowNanos) {
         usable.clear();
         ejected.clear();
-        for (int i = 0; i < service.engines.size(); i++) {
-            Engine engine = service.engines.get(i);
+        List<Engine> engines = service.engines();
+        for (int i = 0; i < engines.size(); i++) {
+            Engine engine = engines.get(i);
             if (!engine.isReady()
-                    || tried.contains(engine.id)
+                    || previous.contains(engine.id())
                     || !engine.serves(request.model())
-                    || minVersion > 0 && isBehind(engine, request.model(), minVersion)) {
+                    || minVersion > 0 && isOutdated(engine, request.model(), minVersion)) {
                 continue;
             }
-            boolean out = engine.health.isEjected(nowNanos) || engine.health.isResting(nowNanos);
-            (out ? ejected : usable).add(engine);
+            boolean unavailable =
+                    engine.health().isEjected(nowNanos) || engine.health().isResting(nowNanos);
+            (unavailable ? ejected : usable).add(engine);
         }
         int enough = (int) Math.ceil((usable.size() + ejected.size()) * MAX_EJECTED_FRACTION);
-        readmit(enough, false);
-        if (usable.isEmpty()) {
-            readmit(1, true);
+        for (Engine next = firstReachable(); next != null && usable.size() < enough; next = firstReachable()) {
+            readmit(next);
+        }
+        Engine last = usable.isEmpty() ? firstToReturn() : null;
+        if (last != null) {
+            readmit(last);
         }
     }
 
-    private static boolean isBehind(Engine engine, String model, long minVersion) {
+    /** An instance of unknown version is not outdated. */
+    private static boolean isOutdated(Engine engine, String model, long minVersion) {
         long version = engine.version(model);
         return version > 0 && version < minVersion;
     }
 
-    private void readmit(int enough, boolean includeUnreachable) {
-        while (usable.size() < enough) {
-            Engine next = null;
-            for (int i = 0; i < ejected.size(); i++) {
-                Engine engine = ejected.get(i);
-                if ((includeUnreachable || !engine.health.isUnreachable())
-                        && (next == null
-                                || engine.health.unavailableUntilNanos() - next.health.unavailableUntilNanos() < 0)) {
-                    next = engine;
-                }
-            }
-            if (next == null) {
-                return;
+    private void readmit(Engine engine) {
+        ejected.remove(engine);
+        usable.add(engine);
+    }
+
+    /** The ejected engine whose ejection ends first, null if there is none. */
+    private Engine firstToReturn() {
+        Engine first = null;
+        for (int i = 0; i < ejected.size(); i++) {
+            first = earlier(first, ejected.get(i));
+        }
+        return first;
+    }
+
+    /** As {@link #firstToReturn}, without those to which no connection can be established. */
+    private Engine firstReachable() {
+        Engine first = null;
+        for (int i = 0; i < ejected.size(); i++) {
+            if (!ejected.get(i).health().isUnreachable()) {
+                first = earlier(first, ejected.get(i));
             }
-            ejected.remove(next);
-            usable.add(next);
         }
+        return first;
+    }
+
+    private static Engine earlier(Engine first, Engine other) {
+        return first == null
+                        || other.health().unavailableUntilNanos()
+                                        - first.health().unavailableUntilNanos()
+                                < 0
+                ? other
+                : first;
     }
 }
--- a/routing/src/main/java/burlarch/routing/planner/CostModel.java
+++ b/routing/src/main/java/burlarch/routing/planner/CostModel.java
@@ -2,59 +2,57 @@
 
 import burlarch.routing.RouteRequest;
 
-/** The figures that the schedulers weigh, in one place. Times are nanoseconds. */
-public final class CostModel {
-    /** Prompt tokens that an engine reads in a millisecond, until its own first events tell. */
-    public static final double START_TOKENS_PER_MILLI = 30;
-    /** From sending to the first event of a request with nothing to read, until first events tell. */
-    public static final long START_BASE_NANOS = 70_000_000L;
-    /** What a plain server is taken to need for a request until its answers tell. */
-    public static final long START_SERVICE_NANOS = 30_000_000L;
-    /** Shared tokens that nobody keeps, from which a request is a fetch. Below lie roundings to blocks. */
+/**
+ * Constants and formulas by which the schedulers compare instances. Costs are in nanoseconds: the expected time
+ * to the first event, plus weighted penalties for what harms other requests.
+ */
+final class CostModel {
+    /** A request is a fetch if it shares at least so many tokens that nobody caches; fewer are block rounding. */
     static final int MIN_FETCH_TOKENS = 64;
-    /** Further tokens that a source has to keep for a move. */
+    /** Tokens that a transfer has to add to what the engine caches itself: more than one block. */
     static final int MIN_TRANSFER_TOKENS = 17;
-    /** Set-up of one move. */
+    /** Setup time of a transfer. */
     static final long TRANSFER_SETUP_NANOS = 6_000_000L;
-    /** Shared tokens from which a store is asked though it is not known to keep any. */
+    /** Shared tokens from which a store is asked even though it is not known to cache any of them. */
     static final int MIN_STORE_PROBE_TOKENS = 256;
-    /** A move that takes longer than reading may take this part of what is left of the aim. */
+    /** A transfer that takes longer than prefilling may use this fraction of what is left of the latency target. */
     static final double MAX_TRANSFER_FRACTION_OF_TARGET = 0.3;
-    /** An engine begins no move that waits for more than two seconds; well before that it pays no more. */
+    /** Engines begin no transfer that has waited over 2 s; transfers this long are not worthwhile well before that. */
     static final long MAX_TRANSFER_NANOS = 1_000_000_000L;
-    /** How many times its own length a move counts: moved memory is priced a little. */
+    /** Cost of a nanosecond of transfer: network traffic has a price. */
     static final double TRANSFER_WEIGHT = 1.5;
-    /** The same for reading what others keep: it costs a hundred times what moving the same tokens does. */
+    /** Cost of a nanosecond of prefilling what others cache: a transfer takes about a hundredth of the time. */
     static final double REDUNDANT_PREFILL_WEIGHT = 12;
-    /** Shared tokens from which a store's copy is worth its move. */
+    /** Shared tokens from which saving to a store is worth the transfer. */
     static final int MIN_SAVE_TOKENS = 64;
-    /** Counts each nanosecond beyond the aim, on top of itself: late answers lose most of their worth. */
+    /** Additional cost of each nanosecond beyond the latency target: late responses lose most of their value. */
     static final double LATE_WEIGHT = 4;
-    /** Counts each nanosecond of waiting for memory, on top: the engine puts running requests back. */
+    /** Additional cost of each nanosecond of waiting for memory: the engine preempts running requests. */
     static final double MEMORY_WEIGHT = 1;
-    /** Each request that runs slows the others; this spreads what is alike otherwise. */
+    /** Cost of each request at the instance: it slows the others, and the term breaks ties. */
     static final long RUNNING_REQUEST_NANOS = 1_500_000L;
-    /** Bytes between zones are priced, and a way through another zone can break. */
+    /** Cost of another zone than the router's: traffic has a price there, and the path has more points of failure. */
     static final long OTHER_ZONE_NANOS = 4_000_000L;
-    /** An engine that is still warming up is slower by this factor. */
+    /** An engine that is warming up is slower by this factor. */
     static final double WARM_UP_FACTOR = 1.5;
-    /** What is known of an engine whose events got lost counts for this part. */
+    /** Fraction of the indexed tokens that is trusted for an engine whose events were lost. */
     static final double UNCERTAIN_FACTOR = 0.8;
-    /** The next engine by rendezvous is taken where the first costs more than the best by this. */
+    /** The first engine by rendezvous hash is chosen among those that cost at most so much more than the best. */
     static final long RENDEZVOUS_SLACK_NANOS = 300_000_000L;
-    /** What one engine counts of its running requests' kept tokens: running requests share them. */
+    /** Fraction of cached tokens that does not count as memory of a request: running requests share them. */
     static final double CACHED_TOKENS_MEMORY_FRACTION = 0.5;
-    /** Part of the most tokens that a request is taken to put out. */
+    /** Expected output as a fraction of the request's limit of output tokens. */
     static final double EXPECTED_OUTPUT_FRACTION = 0.5;
 
     private CostModel() {}
 
-    /** The time within which a request earns its full worth, from now; may be below 0. */
-    static long latencyTargetLeftNanos(RouteRequest request, long nowNanos) {
-        return request.receivedNanos() + request.route().targetLatencyMillis() * 1_000_000L - nowNanos;
-    }
-
-    /** One move of so many tokens at one distance. */
+    /**
+     * Time of one transfer.
+     *
+     * @param linkMbps nominal link speed; if it is 0 or less, transfers are impossible (Long.MAX_VALUE)
+     * @param distance factor by zones, see {@code PlannerSettings.distance}
+     * @param slowness factor by recent transfers
+     */
     static long transferNanos(int tokens, long tokenBytes, double linkMbps, double distance, double slowness) {
         if (linkMbps <= 0) {
             return Long.MAX_VALUE;
@@ -63,15 +61,24 @@
         return TRANSFER_SETUP_NANOS + (long) (bits / linkMbps * 1e3 * distance * slowness);
     }
 
-    /** Whether so long a move is better than reading what it brings. */
+    /** Whether a transfer is better than prefilling the same tokens, with so much left of the latency target. */
     static boolean isTransferWorthwhile(double transferNanos, double prefillNanos, long targetLeftNanos) {
         return transferNanos < MAX_TRANSFER_NANOS
                 && transferNanos < Math.max(prefillNanos, MAX_TRANSFER_FRACTION_OF_TARGET * targetLeftNanos)
                 && transferNanos * TRANSFER_WEIGHT < prefillNanos * REDUNDANT_PREFILL_WEIGHT;
     }
 
-    /** What a first event that comes so late costs, against one that comes at once. */
+    /** Cost of a first event that is expected after so long. */
     static double firstEventCost(double predictedNanos, long targetLeftNanos) {
         return predictedNanos + LATE_WEIGHT * Math.max(0, predictedNanos - Math.max(0, targetLeftNanos));
     }
+
+    /** KV cache that a request uses while it runs, in tokens, less what it shares with other requests. */
+    static double memoryTokens(RouteRequest request, int cachedTokens) {
+        int prompt = request.totalPromptTokens();
+        int cachedOfPrompt = Math.min(cachedTokens, prompt);
+        return prompt
+                - cachedOfPrompt * CACHED_TOKENS_MEMORY_FRACTION
+                + request.maxOutputTokens() * EXPECTED_OUTPUT_FRACTION;
+    }
 }
--- /dev/null
+++ b/routing/src/main/java/burlarch/routing/planner/FleetState.java
@@ -0,0 +1,158 @@
+package burlarch.routing.planner;
+
+import burlarch.configuration.Configuration;
+import burlarch.configuration.Configuration.Service;
+import burlarch.coordination.registry.Instance;
+import burlarch.coordination.registry.Instance.ServedModel;
+import burlarch.routing.CacheSalt;
+import burlarch.routing.KvEvents;
+import burlarch.routing.PlannerSettings;
+import burlarch.routing.admission.FetchAdmission;
+import burlarch.routing.admission.RetryBudget;
+import burlarch.routing.index.PrefixCacheIndex;
+import burlarch.routing.instance.Engine;
+import java.util.Collection;
+import java.util.HashMap;
+import java.util.HashSet;
+import java.util.List;
+import java.util.Map;
+import java.util.Set;
+
+/**
+ * The services and instances that a planner knows, by configuration, announcements and responses. It keeps the
+ * sources of the prefix-cache index equal to the known engines and stores.
+ *
+ * <p>Invariant <em>one engine, one estimate</em>: an {@link Engine} lives as long as its instance id is known,
+ * across configurations and announcements, so that attempts in flight and their estimates refer to one object.
+ */
+final class FleetState {
+    /** Assumed number of fetches that one engine can prefill in a second, until a rate has been learned. */
+    private static final double INITIAL_FETCHES_PER_ENGINE = 10;
+
+    private final PlannerSettings settings;
+    private final PrefixCacheIndex index;
+    private final KvTransferPlanner transfers;
+    private final Map<String, ServiceState> services = new HashMap<>();
+    private final Map<String, Engine> engines = new HashMap<>();
+    private Collection<Instance> instances = List.of();
+    private int liveRouters = 1;
+
+    FleetState(PlannerSettings settings, PrefixCacheIndex index, KvTransferPlanner transfers) {
+        this.settings = settings;
+        this.index = index;
+        this.transfers = transfers;
+    }
+
+    /** The service of that name, null if it is not configured or is a store. */
+    ServiceState service(String name) {
+        return services.get(name);
+    }
+
+    /** Number of live routers, at least 1. */
+    int liveRouters() {
+        return liveRouters;
+    }
+
+    void onConfiguration(Configuration configuration, long nowNanos) {
+        Set<String> named = new HashSet<>();
+        for (Service service : configuration.services()) {
+            if (service.kvStore() == null) {
+                named.add(service.name());
+                configure(service, configuration, nowNanos);
+            }
+        }
+        services.keySet().retainAll(named);
+        transfers.configure(configuration.services());
+        onInstances(instances, nowNanos);
+    }
+
+    private void configure(Service service, Configuration configuration, long nowNanos) {
+        ServiceState state = services.get(service.name());
+        if (state == null) {
+            state = new ServiceState(service, newBudget(nowNanos), new FetchAdmission());
+            services.put(service.name(), state);
+        }
+        state.update(service);
+        double initialPerSecond =
+                INITIAL_FETCHES_PER_ENGINE * Math.max(1, state.engines().size());
+        state.admission().configure(configuration.tenants(), initialPerSecond, liveRouters);
+    }
+
+    private RetryBudget newBudget(long nowNanos) {
+        RetryBudget budget =
+                new RetryBudget(settings.retryBudget(), settings.budgetWindowSeconds(), settings.budgetSlack());
+        budget.onLiveRouters(liveRouters, nowNanos);
+        return budget;
+    }
+
+    void onInstances(Collection<Instance> known, long nowNanos) {
+        instances = List.copyOf(known);
+        for (ServiceState service : services.values()) {
+            service.engines().clear();
+        }
+        Set<String> sources = new HashSet<>();
+        for (Instance instance : instances) {
+            sources.add(instance.id());
+            onInstance(instance, nowNanos);
+        }
+        engines.keySet().retainAll(sources);
+        sources.addAll(transfers.storeNames());
+        index.retainSources(sources);
+    }
+
+    private void onInstance(Instance instance, long nowNanos) {
+        ServiceState service = services.get(instance.service());
+        Engine engine = engines.computeIfAbsent(
+                instance.id(), id -> new Engine(instance, service == null ? null : service.speed()));
+        engine.update(instance);
+        if (service != null) {
+            service.engines().add(engine);
+            if (service.isModelService()) {
+                index.addSource(engine.id(), service.kvCapacity());
+            }
+        }
+        for (ServedModel model : instance.models() == null ? List.<ServedModel>of() : instance.models()) {
+            onVersion(engine, model.name(), model.version(), nowNanos);
+        }
+    }
+
+    void onLiveRouters(int live, long nowNanos) {
+        liveRouters = Math.max(1, live);
+        for (ServiceState service : services.values()) {
+            service.budget().onLiveRouters(liveRouters, nowNanos);
+        }
+    }
+
+    void onKvEvents(KvEvents events, long nowNanos) {
+        transfers.onEventsReceived(events.source());
+        long prefilledTokens = index.onEvents(events, nowNanos);
+        Engine engine = engines.get(events.source());
+        if (engine != null && prefilledTokens > 0) {
+            engine.prefillLoad().onPrefilled(engine.speed().prefillNanos(prefilledTokens), nowNanos);
+        }
+    }
+
+    void onKvList(KvEvents list, long nowNanos) {
+        transfers.onEventsReceived(list.source());
+        index.onFullList(list, nowNanos);
+    }
+
+    void onWeightsVersion(String instance, String model, long version, long nowNanos) {
+        Engine engine = engines.get(instance);
+        if (engine != null && model != null) {
+            onVersion(engine, model, version, nowNanos);
+        }
+    }
+
+    private void onVersion(Engine engine, String model, long version, long nowNanos) {
+        long before = engine.onVersion(model, version);
+        if (before > 0) {
+            // An engine that loads new weights discards its cache entries of the old ones.
+            index.forgetVersion(engine.id(), CacheSalt.of(model, before, null, engine.id()));
+        }
+        ServiceState service = services.get(engine.instance().service());
+        if (service != null) {
+            service.onVersion(model, version, nowNanos);
+        }
+    }
+}
--- a/routing/src/main/java/burlarch/routing/planner/InFlightAttempt.java
+++ b/routing/src/main/java/burlarch/routing/planner/InFlightAttempt.java
@@ -3,45 +3,216 @@
 import burlarch.routing.RouteRequest;
 import burlarch.routing.instance.Engine;
 
-/** An attempt, from its placement to its end. */
+/**
+ * One attempt, from its placement to its end: what was planned, and what was measured when it was sent and
+ * when its first event arrived. Owned by {@link InFlightAttempts}.
+ *
+ * <pre>
+ * state       sent   first event  end     not sent
+ * PLANNED     SENT   -            -       (discarded)
+ * SENT        -      RESPONDING   ENDED
+ * RESPONDING  -      -            ENDED
+ * </pre>
+ */
 final class InFlightAttempt {
-    final Engine engine;
-    final ServiceState service;
-    /** Weights that the engine was believed to have. */
-    final long versionAtSend;
-    /** Whether it was offered to the throttle as a fetch, whose outcome teaches the capacity. */
-    boolean fetch;
-    /** Prompt tokens that the engine reads, and those that it moves in. */
-    int tokensToPrefill;
-
-    int tokensToTransfer;
-    long transferNanos;
-    double memoryTokens;
-    long sentNanos;
-    /** Whether it tries out an instance in doubt. */
-    boolean trial;
-    /** Whether nothing of ours was still to be read there when it went out. */
-    boolean engineWasIdle;
-    /** When silence begins to tell of a queue. */
-    long overdueNanos;
-
-    long firstEventNanos;
-    boolean hasEnded;
-    int ownInFlightAtFirstEvent;
-    int ownPrefillingAtFirstEvent;
-
-    InFlightAttempt(Engine engine, ServiceState service, RouteRequest request) {
+    private enum State {
+        PLANNED,
+        SENT,
+        RESPONDING,
+        ENDED
+    }
+
+    /** Fraction of the latency target, beyond the uncontended time, after which a missing first event shows a queue. */
+    private static final double OVERDUE_FRACTION_OF_TARGET = 0.4;
+
+    private final Engine engine;
+    private final ServiceState service;
+    /** Weights version that the engine was known to have when the attempt was planned. */
+    private final long versionAtPlanning;
+
+    private final int tokensToPrefill;
+    private final int tokensToTransfer;
+    private final long transferNanos;
+    private final double memoryTokens;
+    /** Whether admission awaits the outcome of this attempt as a fetch. */
+    private boolean fetch;
+
+    private State state = State.PLANNED;
+    private long sentNanos;
+    private boolean trial;
+    private boolean engineWasIdle;
+    private long overdueNanos;
+    private long firstEventNanos;
+    private int ownRequestsAtFirstEvent;
+    private int ownPrefillingAtFirstEvent;
+
+    private InFlightAttempt(
+            Engine engine,
+            ServiceState service,
+            RouteRequest request,
+            boolean fetch,
+            int tokensToPrefill,
+            int tokensToTransfer,
+            long transferNanos,
+            double memoryTokens) {
         this.engine = engine;
         this.service = service;
-        this.versionAtSend = engine.version(request.model());
+        this.versionAtPlanning = engine.version(request.model());
+        this.fetch = fetch;
+        this.tokensToPrefill = tokensToPrefill;
+        this.tokensToTransfer = tokensToTransfer;
+        this.transferNanos = transferNanos;
+        this.memoryTokens = memoryTokens;
+    }
+
+    /** An attempt of a request without a cached prompt. */
+    static InFlightAttempt plain(Engine engine, ServiceState service, RouteRequest request) {
+        return new InFlightAttempt(engine, service, request, false, 0, 0, 0, 0);
+    }
+
+    /**
+     * An attempt of a request with a cached prompt.
+     *
+     * @param source of the transfer of cached segments, null for none
+     * @param offeredAsFetch whether it was offered to admission as a fetch
+     */
+    static InFlightAttempt prompt(
+            ServiceState service,
+            RouteRequest request,
+            SchedulingChoice choice,
+            KvTransferPlanner.TransferSource source,
+            boolean offeredAsFetch) {
+        int transferred = source == null ? 0 : source.gainedTokens();
+        return new InFlightAttempt(
+                choice.engine(),
+                service,
+                request,
+                offeredAsFetch,
+                Math.max(0, request.totalPromptTokens() - choice.cachedTokens() - transferred),
+                transferred,
+                source == null ? 0 : source.nanos(),
+                CostModel.memoryTokens(request, choice.cachedTokens()));
+    }
+
+    /** The attempt is sent: counts it at the engine and the service. */
+    void onSent(RouteRequest request, long nowNanos) {
+        state = State.SENT;
+        sentNanos = nowNanos;
+        trial = engine.health().onSent();
+        engineWasIdle = engine.load().backlogTokens(engine.speed(), nowNanos) < 1;
+        engine.load().onSent(tokensToPrefill, memoryTokens, engine.speed(), nowNanos);
+        service.onSent(this);
+        overdueNanos = nowNanos
+                + (long) (uncontendedNanos()
+                        + OVERDUE_FRACTION_OF_TARGET * request.route().targetLatencyMillis() * 1e6);
+    }
+
+    /** The first event arrived: the engine has prefilled the prompt. */
+    void onFirstEvent(long nowNanos) {
+        state = State.RESPONDING;
+        firstEventNanos = nowNanos;
+        ownRequestsAtFirstEvent = engine.load().ownRequests();
+        engine.load().onPrefilled(tokensToPrefill);
+        ownPrefillingAtFirstEvent = engine.load().ownPrefilling();
+        engine.health().onResponse(nowNanos);
+    }
+
+    /** The attempt ended; returns whether its first event had arrived. */
+    boolean onEnded() {
+        boolean hadFirstEvent = state == State.RESPONDING;
+        state = State.ENDED;
+        if (!hadFirstEvent) {
+            engine.load().onPrefilled(tokensToPrefill);
+        }
+        return hadFirstEvent;
+    }
+
+    /** Its first event is still missing at the time when it was overdue; the next time is half as long again. */
+    void postponeOverdue(long nowNanos) {
+        overdueNanos = nowNanos + (nowNanos - sentNanos) / 2;
+    }
+
+    /** Whether it was sent and neither its first event nor its end was reported. */
+    boolean awaitsFirstEvent() {
+        return state == State.SENT;
+    }
+
+    boolean isOverdue(long nowNanos) {
+        return nowNanos - overdueNanos >= 0;
+    }
+
+    Engine engine() {
+        return engine;
+    }
+
+    ServiceState service() {
+        return service;
+    }
+
+    long versionAtPlanning() {
+        return versionAtPlanning;
+    }
+
+    boolean isFetch() {
+        return fetch;
+    }
+
+    /** The outcome of the fetch has been reported to admission. */
+    void onFetchReported() {
+        fetch = false;
+    }
+
+    /** Prompt tokens that the engine has to prefill. */
+    int tokensToPrefill() {
+        return tokensToPrefill;
+    }
+
+    /** Prompt tokens that a transfer brings to the engine. */
+    int tokensToTransfer() {
+        return tokensToTransfer;
+    }
+
+    /** Expected time of the transfer. */
+    long transferNanos() {
+        return transferNanos;
+    }
+
+    /** KV cache that the request uses, in tokens. */
+    double memoryTokens() {
+        return memoryTokens;
+    }
+
+    long sentNanos() {
+        return sentNanos;
+    }
+
+    /** Whether it is a trial of an ejected instance. */
+    boolean isTrial() {
+        return trial;
+    }
+
+    /** Whether the engine had no own prompt left to prefill when the attempt was sent. */
+    boolean engineWasIdle() {
+        return engineWasIdle;
+    }
+
+    /** When the first event arrived; meaningful only after it. */
+    long firstEventNanos() {
+        return firstEventNanos;
+    }
+
+    /** Own requests at the engine when the first event arrived, this one included. */
+    int ownRequestsAtFirstEvent() {
+        return ownRequestsAtFirstEvent;
     }
 
-    boolean hasBegun() {
-        return firstEventNanos != 0;
+    /** Those of them that were without a first event, this one excluded. */
+    int ownPrefillingAtFirstEvent() {
+        return ownPrefillingAtFirstEvent;
     }
 
-    /** Time from sending to first event that the request would have needed with nobody else there. */
-    double expectedUncontendedNanos() {
-        return engine.speed.baseNanos() + engine.speed.prefillNanos(tokensToPrefill) + transferNanos;
+    /** Time from sending to the first event that the request would need if it were alone at the engine. */
+    double uncontendedNanos() {
+        return engine.speed().baseNanos() + engine.speed().prefillNanos(tokensToPrefill) + transferNanos;
     }
 }
--- a/routing/src/main/java/burlarch/routing/planner/InFlightAttempts.java
+++ b/routing/src/main/java/burlarch/routing/planner/InFlightAttempts.java
@@ -10,69 +10,64 @@
 import java.util.IdentityHashMap;
 import java.util.Map;
 
-/** The attempts that are out, and what their ends teach. A placement is known by its identity. */
+/**
+ * The attempts that are planned or in flight. Passes on what they show to the estimates of their engines, to
+ * the prefix-cache index, to admission, to the retry budget and to the attempt history.
+ *
+ * <p>An attempt is identified by its {@link Placement.Send} object, not by equality. Reports about one that is
+ * unknown are ignored, so that a repeated end counts once.
+ */
 final class InFlightAttempts {
-    /** Placements that were made and not sent yet; callers send at once, so more than a few are lost ones. */
+    /** Bound of planned attempts. Callers send at once, so that more than a few were abandoned. */
     private static final int MAX_PREPARED = 256;
-    /** Part of the aim, beyond what a request alone needs, after which its silence tells of a queue. */
-    private static final double OVERDUE_FRACTION_OF_TARGET = 0.4;
 
     private final PrefixCacheIndex index;
     private final KvTransferPlanner transfers;
     private final AttemptHistory history;
     private final Map<Placement.Send, InFlightAttempt> prepared = new IdentityHashMap<>();
     private final Map<Placement.Send, InFlightAttempt> inFlight = new IdentityHashMap<>();
-    /** Flights whose first event is awaited, about in the order in which they get overdue. */
+    /** Attempts without a first event, roughly in the order in which they become overdue. Ended ones leave late. */
     private final ArrayDeque<InFlightAttempt> awaitingFirstEvent = new ArrayDeque<>();
 
-    InFlightAttempts(PrefixCacheIndex index, KvTransferPlanner moves, AttemptHistory history) {
+    InFlightAttempts(PrefixCacheIndex index, KvTransferPlanner transfers, AttemptHistory history) {
         this.index = index;
-        this.transfers = moves;
+        this.transfers = transfers;
         this.history = history;
     }
 
-    void prepare(Placement.Send send, InFlightAttempt flight) {
+    /** An attempt was planned and may be sent. */
+    void prepare(Placement.Send send, InFlightAttempt attempt) {
         if (prepared.size() >= MAX_PREPARED) {
             prepared.clear();
         }
-        prepared.put(send, flight);
+        prepared.put(send, attempt);
     }
 
     void onSent(RouteRequest request, Placement.Send send, long nowNanos) {
-        InFlightAttempt flight = prepared.remove(send);
-        if (flight == null) {
+        InFlightAttempt attempt = prepared.remove(send);
+        if (attempt == null) {
             return;
         }
-        Engine engine = flight.engine;
-        flight.sentNanos = nowNanos;
-        flight.trial = engine.health.onSent();
-        flight.engineWasIdle = engine.load.backlogTokens(engine.speed, nowNanos) < 1;
-        engine.load.onSent(flight.tokensToPrefill, flight.memoryTokens, engine.speed, nowNanos);
-        flight.service.onSent(flight);
+        attempt.onSent(request, nowNanos);
         if (send.cacheSalt() != null) {
-            index.expectCached(engine.id, send.cacheSalt(), request.segments(), nowNanos);
+            index.expectCached(attempt.engine().id(), send.cacheSalt(), request.segments(), nowNanos);
         }
         if (send.kvSave() != null) {
             transfers.onSaved(send.kvSave(), request, send.cacheSalt(), nowNanos);
         }
-        AttemptHistory.PreviousAttempts tried = history.of(request.id());
-        if (tried.count() == 0) {
-            flight.service.budget.onFirstSend(nowNanos);
-        } else if (tried.possiblyReceived() > 0) {
-            flight.service.budget.onRetry(nowNanos);
-        }
-        inFlight.put(send, flight);
-        flight.overdueNanos = nowNanos
-                + (long) (flight.expectedUncontendedNanos()
-                        + OVERDUE_FRACTION_OF_TARGET * request.route().targetLatencyMillis() * 1e6);
-        awaitingFirstEvent.add(flight);
+        RetryPolicy.countSend(attempt.service().budget(), history.of(request.id()), nowNanos);
+        inFlight.put(send, attempt);
+        awaitingFirstEvent.add(attempt);
     }
 
-    /** Learns from silence: an overloaded engine's first events come too late to learn from. */
+    /**
+     * Evaluates attempts whose first event is overdue. This is needed because the first events of an overloaded
+     * engine arrive too late to learn from.
+     */
     void checkOverdue(long nowNanos) {
         for (InFlightAttempt next = awaitingFirstEvent.peek(); next != null; next = awaitingFirstEvent.peek()) {
-            if (!next.hasBegun() && !next.hasEnded) {
-                if (nowNanos - next.overdueNanos < 0) {
+            if (next.awaitsFirstEvent()) {
+                if (!next.isOverdue(nowNanos)) {
                     return;
                 }
                 learnFromMissingFirstEvent(next, nowNanos);
@@ -81,121 +76,137 @@
         }
     }
 
-    private void learnFromMissingFirstEvent(InFlightAttempt flight, long nowNanos) {
-        flight.engine.load.onStillWaiting(nowNanos - flight.sentNanos - flight.expectedUncontendedNanos(), nowNanos);
-        if (flight.fetch) {
-            flight.fetch = false;
-            flight.service.admission.onOutcome(flight.sentNanos, 1, false, nowNanos);
-        }
-        flight.overdueNanos = nowNanos + (nowNanos - flight.sentNanos) / 2;
-        awaitingFirstEvent.add(flight);
+    private void learnFromMissingFirstEvent(InFlightAttempt attempt, long nowNanos) {
+        double waitedNanos = nowNanos - attempt.sentNanos() - attempt.uncontendedNanos();
+        attempt.engine().load().onStillWaiting(waitedNanos, nowNanos);
+        if (attempt.isFetch()) {
+            attempt.onFetchReported();
+            attempt.service().admission().onOutcome(attempt.sentNanos(), 1, false, nowNanos);
+        }
+        attempt.postponeOverdue(nowNanos);
+        awaitingFirstEvent.add(attempt);
     }
 
     void onFirstEvent(RouteRequest request, Placement.Send send, long nowNanos) {
-        InFlightAttempt flight = inFlight.get(send);
-        if (flight == null || flight.hasBegun()) {
+        InFlightAttempt attempt = inFlight.get(send);
+        if (attempt == null || !attempt.awaitsFirstEvent()) {
             return;
         }
-        Engine engine = flight.engine;
-        flight.firstEventNanos = nowNanos;
-        flight.ownInFlightAtFirstEvent = engine.load.ownRequests();
-        engine.load.onPrefilled(flight.tokensToPrefill);
-        flight.ownPrefillingAtFirstEvent = engine.load.ownPrefilling();
-        engine.health.onResponse();
-        double elapsed = nowNanos - flight.sentNanos;
-        double waited = Math.max(0, elapsed - flight.expectedUncontendedNanos());
-        double othersWaited = engine.load.waitNanos(nowNanos);
-        engine.load.onWaited(waited, nowNanos);
-        if (flight.fetch) {
-            double aim = Math.max(1, request.route().targetLatencyMillis() * 1e6);
-            double strain = waited / aim;
-            flight.service.admission.onOutcome(flight.sentNanos, strain, true, nowNanos);
+        attempt.onFirstEvent(nowNanos);
+        Engine engine = attempt.engine();
+        double elapsedNanos = nowNanos - attempt.sentNanos();
+        double lateNanos = elapsedNanos - attempt.uncontendedNanos();
+        double othersWaitedNanos = engine.load().waitNanos(nowNanos);
+        double waitedNanos = Math.max(0, lateNanos);
+        engine.load().onWaited(waitedNanos, nowNanos);
+        if (attempt.isFetch()) {
+            double targetNanos = Math.max(1, request.route().targetLatencyMillis() * 1e6);
+            attempt.service().admission().onOutcome(attempt.sentNanos(), waitedNanos / targetNanos, true, nowNanos);
         }
         if (send.kvSave() != null) {
             transfers.onSaveDue(send.kvSave(), nowNanos);
         }
         if (send.kvFetch() != null) {
-            learnTransferTime(
-                    flight, send.kvFetch(), elapsed - flight.expectedUncontendedNanos() - othersWaited, nowNanos);
-        } else if (flight.engineWasIdle) {
-            engine.speed.onFirstEvent(flight.tokensToPrefill, elapsed);
+            learnTransferTime(attempt, send.kvFetch(), lateNanos - othersWaitedNanos, nowNanos);
+        } else if (attempt.engineWasIdle()) {
+            engine.speed().onFirstEvent(attempt.tokensToPrefill(), elapsedNanos);
         }
         if (send.cacheSalt() != null) {
-            index.confirm(engine.id, send.cacheSalt(), request.segments(), nowNanos);
+            index.confirm(engine.id(), send.cacheSalt(), request.segments(), nowNanos);
         }
     }
 
-    /** Lateness beyond reading what should have come is not explained by a source that lacked it. */
-    private void learnTransferTime(InFlightAttempt flight, String address, double late, long nowNanos) {
-        if (flight.engineWasIdle) {
-            transfers.onTransferEnded(
-                    address, late - flight.engine.speed.prefillNanos(flight.tokensToTransfer), nowNanos);
-            flight.engine.transferSpeed.onTransferEnded(flight.transferNanos, late, nowNanos);
+    /**
+     * Learns from a transfer that other own prompts did not delay. For the source only that lateness counts
+     * which exceeds the time to prefill the tokens after a transfer that brought nothing.
+     */
+    private void learnTransferTime(InFlightAttempt attempt, String address, double lateNanos, long nowNanos) {
+        if (attempt.engineWasIdle()) {
+            double prefillNanos = attempt.engine().speed().prefillNanos(attempt.tokensToTransfer());
+            transfers.onTransferEnded(address, lateNanos - prefillNanos, nowNanos);
+            attempt.engine().transferSpeed().onTransferEnded(attempt.transferNanos(), lateNanos, nowNanos);
         }
     }
 
     void onEnded(
             RouteRequest request, Placement.Send send, AttemptOutcome outcome, ServerLoad reportedLoad, long nowNanos) {
-        InFlightAttempt flight = inFlight.remove(send);
-        if (flight == null) {
+        InFlightAttempt attempt = inFlight.remove(send);
+        if (attempt == null) {
             return;
         }
-        flight.hasEnded = true;
-        Engine engine = flight.engine;
-        if (!flight.hasBegun()) {
-            engine.load.onPrefilled(flight.tokensToPrefill);
-        }
+        boolean hadFirstEvent = attempt.onEnded();
+        Engine engine = attempt.engine();
         if (reportedLoad != null) {
-            boolean begun = flight.hasBegun();
-            engine.load.onLoadReported(
-                    reportedLoad,
-                    begun ? flight.ownInFlightAtFirstEvent : engine.load.ownRequests(),
-                    begun ? flight.ownPrefillingAtFirstEvent : engine.load.ownPrefilling(),
-                    flight.service.meanPrefillTokens(),
-                    engine.speed,
-                    begun ? flight.firstEventNanos : nowNanos);
-        }
-        engine.load.onEnded(flight.memoryTokens);
+            applyReportedLoad(attempt, reportedLoad, hadFirstEvent, nowNanos);
+        }
+        engine.load().onEnded(attempt.memoryTokens());
         if (outcome.neverRan()) {
-            engine.load.withdraw(flight.tokensToPrefill);
+            engine.load().withdraw(attempt.tokensToPrefill());
             if (send.cacheSalt() != null) {
-                index.withdrawExpected(engine.id, send.cacheSalt(), request.segments());
+                index.withdrawExpected(engine.id(), send.cacheSalt(), request.segments());
             }
         }
         if (outcome == AttemptOutcome.ANSWERED) {
-            engine.speed.onAnswered(nowNanos - flight.sentNanos);
-        }
-        reportToAdmission(request, flight, outcome, nowNanos);
-        boolean corrected = outcome == AttemptOutcome.MISDIRECTED && correctVersion(request, flight);
-        engine.health.onEnded(corrected ? AttemptOutcome.CANCELLED : outcome, flight.trial, flight.sentNanos, nowNanos);
-        history.onEnded(request.id(), corrected ? null : engine.id, outcome);
+            engine.speed().onAnswered(nowNanos - attempt.sentNanos());
+        }
+        if (attempt.isFetch() && !hadFirstEvent) {
+            reportFetchOutcome(request, attempt, outcome, nowNanos);
+        }
+        boolean corrected = outcome == AttemptOutcome.MISDIRECTED && correctVersion(request, attempt);
+        // A misdirection by a wrong version was this router's fault: the instance is healthy and may be tried again.
+        engine.health()
+                .onEnded(
+                        corrected ? AttemptOutcome.CANCELLED : outcome,
+                        attempt.isTrial(),
+                        attempt.sentNanos(),
+                        nowNanos);
+        history.onEnded(request.id(), corrected ? null : engine.id(), outcome);
     }
 
-    /** Whether a 421 came of a wrong belief about the weights, which is mended now. */
-    private static boolean correctVersion(RouteRequest request, InFlightAttempt flight) {
-        if (flight.engine.version(request.model()) == flight.versionAtSend) {
-            flight.engine.distrustVersion(request.model());
-        }
-        return flight.engine.version(request.model()) != flight.versionAtSend;
+    /** The load is that of the response's head, so own requests are counted as of the first event. */
+    private static void applyReportedLoad(
+            InFlightAttempt attempt, ServerLoad reportedLoad, boolean hadFirstEvent, long nowNanos) {
+        Engine engine = attempt.engine();
+        engine.load()
+                .onLoadReported(
+                        reportedLoad,
+                        hadFirstEvent
+                                ? attempt.ownRequestsAtFirstEvent()
+                                : engine.load().ownRequests(),
+                        hadFirstEvent
+                                ? attempt.ownPrefillingAtFirstEvent()
+                                : engine.load().ownPrefilling(),
+                        attempt.service().meanPrefillTokens(),
+                        engine.speed(),
+                        hadFirstEvent ? attempt.firstEventNanos() : nowNanos);
     }
 
-    /** A first event has taught already. What never arrived takes its offer back. */
-    private static void reportToAdmission(
-            RouteRequest request, InFlightAttempt flight, AttemptOutcome outcome, long nowNanos) {
-        if (!flight.fetch || flight.hasBegun()) {
-            return;
-        }
-        long elapsed = nowNanos - flight.sentNanos;
-        boolean late = elapsed > request.route().targetLatencyMillis() * 1_000_000L;
+    /**
+     * Whether a misdirected attempt is explained by a wrong weights version. If a response has not corrected the
+     * version yet, it returns to the announced one.
+     */
+    private static boolean correctVersion(RouteRequest request, InFlightAttempt attempt) {
+        Engine engine = attempt.engine();
+        if (engine.version(request.model()) == attempt.versionAtPlanning()) {
+            engine.distrustVersion(request.model());
+        }
+        return engine.version(request.model()) != attempt.versionAtPlanning();
+    }
+
+    /** Reports a fetch that ended without a first event. Its offer is taken back if it did not reach an instance. */
+    private static void reportFetchOutcome(
+            RouteRequest request, InFlightAttempt attempt, AttemptOutcome outcome, long nowNanos) {
+        long elapsedNanos = nowNanos - attempt.sentNanos();
+        boolean missedTarget = elapsedNanos > request.route().targetLatencyMillis() * 1_000_000L;
         switch (outcome) {
-            case ANSWERED -> flight.service.admission.onOutcome(flight.sentNanos, 0, true, nowNanos);
-            case NOT_CONNECTED, MISDIRECTED -> flight.service.admission.withdraw(request, elapsed);
+            case ANSWERED -> attempt.service().admission().onOutcome(attempt.sentNanos(), 0, true, nowNanos);
+            case NOT_CONNECTED, MISDIRECTED -> attempt.service().admission().withdraw(request, elapsedNanos);
             case CANCELLED -> {
-                if (late) {
-                    flight.service.admission.onOutcome(flight.sentNanos, 1, false, nowNanos);
+                if (missedTarget) {
+                    attempt.service().admission().onOutcome(attempt.sentNanos(), 1, false, nowNanos);
                 }
             }
-            default -> flight.service.admission.onOutcome(flight.sentNanos, 1, false, nowNanos);
+            default -> attempt.service().admission().onOutcome(attempt.sentNanos(), 1, false, nowNanos);
         }
     }
 }
--- a/routing/src/main/java/burlarch/routing/planner/KvTransferPlanner.java
+++ b/routing/src/main/java/burlarch/routing/planner/KvTransferPlanner.java
@@ -15,32 +15,49 @@
 import java.util.Map;
 import java.util.Set;
 
-/** Which kept parts are moved between engines and stores. */
+/**
+ * Plans the transfers of cached segments between engines and stores: from where the chosen engine fetches what
+ * it does not cache, and to which store it saves the shared segments.
+ *
+ * <p>A source is <em>suspect</em> after several consecutive late transfers, for a while, or while its store is
+ * unresponsive. Nothing is fetched from a suspect source, because engines would wait for it.
+ */
 final class KvTransferPlanner {
-    /** A source from which so many moves in turn took this much longer than they should is taken for dead. */
-    private static final long UNRESPONSIVE_NANOS = 200_000_000L;
+    /** A transfer that ends so much later than expected counts as late. */
+    private static final long LATE_NANOS = 200_000_000L;
+
+    /** Consecutive late transfers from one source after which it is suspect. */
+    private static final int MAX_LATE_TRANSFERS = 2;
 
-    private static final int UNRESPONSIVE_TRANSFERS = 2;
     private static final long SUSPECT_NANOS = 3_000_000_000L;
+    /** Bound of the sources with late transfers that are remembered. */
     private static final int MAX_LATE_SOURCES = 256;
 
-    /** A source that was found. {@code gainedTokens} tokens beyond those that the engine keeps itself. */
+    /**
+     * The source of a transfer.
+     *
+     * @param address of the engine or store
+     * @param gainedTokens tokens beyond those that the receiving engine caches; 0 for a store that is only probed
+     * @param nanos expected time of the transfer
+     */
     record TransferSource(String address, int gainedTokens, long nanos) {}
 
     private final PlannerSettings settings;
     private final PrefixCacheIndex index;
     private final List<Service> stores = new ArrayList<>();
-    /** By address. */
+    /** By address of the store. */
     private final Map<String, StoreLivenessMonitor> monitors = new HashMap<>();
-
+    /** Consecutive late transfers by address. */
     private final Map<String, Integer> lateTransfers = new HashMap<>();
-    private final Map<String, Long> suspectUntil = new HashMap<>();
+    /** Until when a source is suspect, by address. */
+    private final Map<String, Long> suspectUntilNanos = new HashMap<>();
 
     KvTransferPlanner(PlannerSettings settings, PrefixCacheIndex index) {
         this.settings = settings;
         this.index = index;
     }
 
+    /** Replaces the stores by those among the configured services. */
     void configure(List<Service> services) {
         stores.clear();
         Set<String> addresses = new HashSet<>();
@@ -55,7 +72,7 @@
         monitors.keySet().retainAll(addresses);
     }
 
-    /** Names of the stores' services, which are sources of the index. */
+    /** Names of the stores' services, by which they are sources of the index. */
     List<String> storeNames() {
         List<String> names = new ArrayList<>(stores.size());
         for (Service store : stores) {
@@ -64,43 +81,49 @@
         return names;
     }
 
-    /** From where the engine best takes what it does not keep, null where reading is no slower. */
+    /**
+     * The source from which the chosen engine gains most, or null where prefilling is not slower. A store that
+     * may cache the segments without the index knowing is probed if there is no better source.
+     */
     TransferSource chooseSource(
             RouteRequest request,
             ServiceState service,
             SchedulingChoice choice,
             RequestCacheSalt salts,
             long nowNanos) {
-        List<PromptSegment> parts = request.segments();
-        long salt = salts.hash(choice.engine);
-        if (PromptScheduler.promptTokens(request) - choice.cachedTokens < CostModel.MIN_TRANSFER_TOKENS
-                || parts.isEmpty()
-                || choice.engine.version(request.model()) == 0) {
+        List<PromptSegment> segments = request.segments();
+        long saltHash = salts.hash(choice.engine());
+        if (request.totalPromptTokens() - choice.cachedTokens() < CostModel.MIN_TRANSFER_TOKENS
+                || segments.isEmpty()
+                || choice.engine().version(request.model()) == 0) {
             return null;
         }
-        long aimLeft = CostModel.latencyTargetLeftNanos(request, nowNanos);
+        long targetLeftNanos = request.latencyTargetLeftNanos(nowNanos);
+        List<Engine> engines = service.engines();
         TransferSource best = null;
-        double bestGain = 0;
-        for (int i = 0; i < stores.size() + service.engines.size(); i++) {
+        double bestGainNanos = 0;
+        for (int i = 0; i < stores.size() + engines.size(); i++) {
             TransferSource source = i < stores.size()
-                    ? fromStore(stores.get(i), service, choice, salt, parts, nowNanos)
-                    : fromEngine(service.engines.get(i - stores.size()), service, choice, salt, request, nowNanos);
+                    ? fromStore(stores.get(i), service, choice, saltHash, segments, nowNanos)
+                    : fromEngine(engines.get(i - stores.size()), service, choice, saltHash, request, nowNanos);
             if (source == null || isSuspect(source.address(), nowNanos)) {
                 continue;
             }
-            double read = choice.engine.speed.prefillNanos(source.gainedTokens());
-            double gain = read * CostModel.REDUNDANT_PREFILL_WEIGHT - source.nanos() * CostModel.TRANSFER_WEIGHT;
-            if (gain > bestGain && CostModel.isTransferWorthwhile(source.nanos(), read, aimLeft)) {
+            double prefillNanos = choice.engine().speed().prefillNanos(source.gainedTokens());
+            double gainNanos =
+                    prefillNanos * CostModel.REDUNDANT_PREFILL_WEIGHT - source.nanos() * CostModel.TRANSFER_WEIGHT;
+            if (gainNanos > bestGainNanos
+                    && CostModel.isTransferWorthwhile(source.nanos(), prefillNanos, targetLeftNanos)) {
                 best = source;
-                bestGain = gain;
+                bestGainNanos = gainNanos;
             }
         }
-        return best == null ? storeWorthProbing(parts, nowNanos) : best;
+        return best == null ? storeToProbe(request, nowNanos) : best;
     }
 
-    /** A store that may have got the parts just now, or whose events went missing: a miss costs little. */
-    private TransferSource storeWorthProbing(List<PromptSegment> parts, long nowNanos) {
-        if (PromptScheduler.sharedTokens(parts) >= CostModel.MIN_STORE_PROBE_TOKENS) {
+    /** A store that may just have saved the segments, or whose events were lost; a miss there costs little. */
+    private TransferSource storeToProbe(RouteRequest request, long nowNanos) {
+        if (request.sharedTokens() >= CostModel.MIN_STORE_PROBE_TOKENS) {
             for (int i = 0; i < stores.size(); i++) {
                 if (index.size(stores.get(i).name()) > 0
                         && !isSuspect(stores.get(i).kvStore(), nowNanos)) {
@@ -111,14 +134,14 @@
         return null;
     }
 
-    /** Tokens of the shared parts that some store keeps under the salt. */
-    int storedPrefixTokens(long salt, List<PromptSegment> parts, long nowNanos) {
+    /** Tokens of the longest prefix that a store which is not suspect caches under the salt. */
+    int storedPrefixTokens(long saltHash, List<PromptSegment> segments, long nowNanos) {
         int most = 0;
         for (int i = 0; i < stores.size(); i++) {
             if (isSuspect(stores.get(i).kvStore(), nowNanos)) {
                 continue;
             }
-            most = Math.max(most, index.confirmedPrefixTokens(stores.get(i).name(), salt, parts, nowNanos));
+            most = Math.max(most, index.confirmedPrefixTokens(stores.get(i).name(), saltHash, segments, nowNanos));
         }
         return most;
     }
@@ -127,31 +150,33 @@
             Service store,
             ServiceState service,
             SchedulingChoice choice,
-            long salt,
-            List<PromptSegment> parts,
+            long saltHash,
+            List<PromptSegment> segments,
             long nowNanos) {
-        int gained = index.confirmedPrefixTokens(store.name(), salt, parts, nowNanos) - choice.cachedTokens;
-        double link = store.linkMbps() > 0 ? Math.min(store.linkMbps(), service.linkMbps()) : service.linkMbps();
-        return sourceIfWorthwhile(store.kvStore(), store.zone(), gained, link, service, choice, nowNanos);
+        int gainedTokens =
+                index.confirmedPrefixTokens(store.name(), saltHash, segments, nowNanos) - choice.cachedTokens();
+        double linkMbps = store.linkMbps() > 0 ? Math.min(store.linkMbps(), service.linkMbps()) : service.linkMbps();
+        return sourceIfWorthwhile(store.kvStore(), store.zone(), gainedTokens, linkMbps, service, choice, nowNanos);
     }
 
     private TransferSource fromEngine(
             Engine engine,
             ServiceState service,
             SchedulingChoice choice,
-            long salt,
+            long saltHash,
             RouteRequest request,
             long nowNanos) {
-        if (engine == choice.engine
-                || engine.health.isOutlier()
-                || engine.version(request.model()) != choice.engine.version(request.model())) {
+        if (engine == choice.engine()
+                || engine.health().isOutlier()
+                || engine.version(request.model()) != choice.engine().version(request.model())) {
             return null;
         }
-        int gained = index.confirmedPrefixTokens(engine.id, salt, request.segments(), nowNanos) - choice.cachedTokens;
+        int gainedTokens = index.confirmedPrefixTokens(engine.id(), saltHash, request.segments(), nowNanos)
+                - choice.cachedTokens();
         return sourceIfWorthwhile(
                 engine.instance().address(),
                 engine.instance().zone(),
-                gained,
+                gainedTokens,
                 service.linkMbps(),
                 service,
                 choice,
@@ -161,58 +186,64 @@
     private TransferSource sourceIfWorthwhile(
             String address,
             String zone,
-            int gained,
-            double link,
+            int gainedTokens,
+            double linkMbps,
             ServiceState service,
             SchedulingChoice choice,
             long nowNanos) {
-        if (gained < CostModel.MIN_TRANSFER_TOKENS) {
+        if (gainedTokens < CostModel.MIN_TRANSFER_TOKENS) {
             return null;
         }
-        double distance = settings.distance(zone, choice.engine.instance().zone());
+        double distance = settings.distance(zone, choice.engine().instance().zone());
+        double slowness = choice.engine().transferSpeed().slowness(nowNanos);
         return new TransferSource(
                 address,
-                gained,
-                CostModel.transferNanos(
-                        gained, service.tokenBytes(), link, distance, choice.engine.transferSpeed.slowness(nowNanos)));
+                gainedTokens,
+                CostModel.transferNanos(gainedTokens, service.tokenBytes(), linkMbps, distance, slowness));
     }
 
-    /** Address of the store that is to get the shared parts: those that are read again and it lacks. */
+    /**
+     * Address of the store that is to save the shared segments of a request: the nearest one, or null if a store
+     * caches them already, if they are too short, or if the salt is unique to one engine.
+     */
     String storeToSaveTo(RouteRequest request, String salt, long nowNanos) {
-        List<PromptSegment> parts = request.segments();
-        int shared = PromptScheduler.sharedTokens(parts);
-        if (stores.isEmpty() || shared < CostModel.MIN_SAVE_TOKENS || salt.indexOf('?') >= 0) {
+        int shared = request.sharedTokens();
+        if (stores.isEmpty() || shared < CostModel.MIN_SAVE_TOKENS || CacheSalt.isOfUnknownVersion(salt)) {
             return null;
         }
         long saltHash = CacheSalt.hash(salt);
-        List<PromptSegment> sharedParts = parts.subList(0, parts.size() - 1);
+        List<PromptSegment> sharedSegments = sharedSegments(request);
         Service nearest = null;
         for (int i = 0; i < stores.size(); i++) {
             Service store = stores.get(i);
-            int kept = index.cachedPrefixTokens(store.name(), saltHash, sharedParts, nowNanos);
-            if (kept + CostModel.MIN_FETCH_TOKENS >= shared) {
+            int cached = index.cachedPrefixTokens(store.name(), saltHash, sharedSegments, nowNanos);
+            if (cached + CostModel.MIN_FETCH_TOKENS >= shared) {
                 return null;
             }
-            nearest = nearest == null
-                            || settings.distance(store.zone(), settings.zone())
-                                    < settings.distance(nearest.zone(), settings.zone())
-                    ? store
-                    : nearest;
+            nearest = nearest == null || distanceTo(store) < distanceTo(nearest) ? store : nearest;
         }
         return nearest.kvStore();
     }
 
-    /** Notes that the store at that address was told to take the shared parts. */
+    private double distanceTo(Service store) {
+        return settings.distance(store.zone(), settings.zone());
+    }
+
+    private static List<PromptSegment> sharedSegments(RouteRequest request) {
+        List<PromptSegment> segments = request.segments();
+        return segments.subList(0, segments.size() - 1);
+    }
+
+    /** An engine was told to save the shared segments of a request to the store at that address. */
     void onSaved(String address, RouteRequest request, String salt, long nowNanos) {
         for (int i = 0; i < stores.size(); i++) {
             if (stores.get(i).kvStore().equals(address)) {
-                List<PromptSegment> parts = request.segments();
-                index.expectCached(stores.get(i).name(), salt, parts.subList(0, parts.size() - 1), nowNanos);
+                index.expectCached(stores.get(i).name(), salt, sharedSegments(request), nowNanos);
             }
         }
     }
 
-    /** Events or a list of that source came, which may be a store's service. */
+    /** Events or a complete list of a source arrived; has an effect if the source is a store's service. */
     void onEventsReceived(String source) {
         for (int i = 0; i < stores.size(); i++) {
             if (stores.get(i).name().equals(source)) {
@@ -221,36 +252,36 @@
         }
     }
 
-    /** An engine has read what it was told to save at that address. */
+    /** An engine has prefilled what it was told to save to the store at that address. */
     void onSaveDue(String address, long nowNanos) {
-        StoreLivenessMonitor watch = monitors.get(address);
-        if (watch != null) {
-            watch.onSaveDue(nowNanos);
+        StoreLivenessMonitor monitor = monitors.get(address);
+        if (monitor != null) {
+            monitor.onSaveDue(nowNanos);
         }
     }
 
-    /** A move from that address ended so much later than it should have, even if it brought nothing. */
+    /** A transfer from that address ended so much later than explained even if it brought nothing. */
     void onTransferEnded(String address, double lateNanos, long nowNanos) {
-        if (lateNanos <= UNRESPONSIVE_NANOS) {
+        if (lateNanos <= LATE_NANOS) {
             lateTransfers.remove(address);
             return;
         }
         if (lateTransfers.size() >= MAX_LATE_SOURCES) {
             lateTransfers.clear();
         }
-        if (lateTransfers.merge(address, 1, Integer::sum) >= UNRESPONSIVE_TRANSFERS) {
+        if (lateTransfers.merge(address, 1, Integer::sum) >= MAX_LATE_TRANSFERS) {
             lateTransfers.remove(address);
-            suspectUntil.values().removeIf(until -> until - nowNanos < 0);
-            suspectUntil.put(address, nowNanos + SUSPECT_NANOS);
+            suspectUntilNanos.values().removeIf(until -> until - nowNanos < 0);
+            suspectUntilNanos.put(address, nowNanos + SUSPECT_NANOS);
         }
     }
 
     private boolean isSuspect(String address, long nowNanos) {
-        StoreLivenessMonitor watch = monitors.get(address);
-        if (watch != null && watch.isUnresponsive(nowNanos)) {
+        StoreLivenessMonitor monitor = monitors.get(address);
+        if (monitor != null && monitor.isUnresponsive(nowNanos)) {
             return true;
         }
-        Long until = suspectUntil.get(address);
+        Long until = suspectUntilNanos.get(address);
         return until != null && nowNanos - until < 0;
     }
 }
--- a/routing/src/main/java/burlarch/routing/planner/PromptScheduler.java
+++ b/routing/src/main/java/burlarch/routing/planner/PromptScheduler.java
@@ -12,31 +12,40 @@
 import java.util.List;
 
 /**
- * Weighs engines for a prompt: what they keep of it, what they have to read first, their memory. A request
- * whose shared parts no engine keeps goes to its engine by rendezvous, so that all routers build one copy.
+ * Schedules requests with a prompt: compares engines by what they cache of it, by what they have to prefill
+ * before, and by their memory. A fetch, a request whose shared segments no engine caches, goes to the engine
+ * that rendezvous hashing assigns to its segments, so that all routers build one copy at the same engine.
+ *
+ * <p>The arrays hold a value for each candidate of the current call, by its index; they are reused.
  */
 final class PromptScheduler {
+    /** Factor by which a transfer's distance is assumed while its source is not chosen: within the region. */
+    private static final double ASSUMED_DISTANCE = 2;
+
+    private static final double MAX_MEMORY_WAITS = 2;
+
     private final PlannerSettings settings;
     private final PrefixCacheIndex index;
     private final KvTransferPlanner transfers;
     private final SchedulingChoice choice = new SchedulingChoice();
+    /** Tokens of the prompt that the candidate caches. */
     private int[] cachedTokens = new int[16];
-    /** Tokens that anyone keeps or reads just now under the salt of each candidate. */
+    /** Tokens of the prompt that anyone caches or is prefilling under the salt of the candidate. */
     private int[] knownTokens = new int[16];
-    /** Those of them that can be moved: what is only just being read can not. */
+    /** Those of them that can be transferred: what is still being prefilled cannot. */
     private int[] transferableTokens = new int[16];
 
     private long[] saltHashes = new long[16];
     private double[] predictedNanos = new double[16];
     private double[] costs = new double[16];
 
-    PromptScheduler(PlannerSettings settings, PrefixCacheIndex index, KvTransferPlanner moves) {
+    PromptScheduler(PlannerSettings settings, PrefixCacheIndex index, KvTransferPlanner transfers) {
         this.settings = settings;
         this.index = index;
-        this.transfers = moves;
+        this.transfers = transfers;
     }
 
-    /** The best of the candidates, of which there is at least one. */
+    /** Chooses the best of the candidates, which must not be empty. */
     SchedulingChoice choose(
             RouteRequest request,
             ServiceState service,
@@ -44,144 +53,122 @@
             RequestCacheSalt salts,
             long nowNanos) {
         int size = candidates.size();
-        ensureRoom(size);
-        List<PromptSegment> parts = request.segments();
-        int shared = sharedTokens(parts);
-        int best = 0;
+        ensureCapacity(size);
+        List<PromptSegment> segments = request.segments();
+        int shared = request.sharedTokens();
+        int mostCached = 0;
         for (int i = 0; i < size; i++) {
-            cachedTokens[i] = parts.isEmpty() ? 0 : cachedTokensOf(candidates.get(i), salts, parts, nowNanos);
-            best = Math.max(best, cachedTokens[i]);
+            cachedTokens[i] = segments.isEmpty() ? 0 : cachedTokensOf(candidates.get(i), salts, segments, nowNanos);
+            mostCached = Math.max(mostCached, cachedTokens[i]);
         }
-        int known = lookUpKnownTokens(candidates, salts, parts, nowNanos);
+        int known = lookUpKnownTokens(candidates, salts, segments, nowNanos);
         for (int i = 0; i < size; i++) {
             estimateCost(request, service, candidates.get(i), i, nowNanos);
         }
-        boolean fetch = shared - Math.min(best, shared) >= CostModel.MIN_FETCH_TOKENS;
+        boolean fetch = shared - Math.min(mostCached, shared) >= CostModel.MIN_FETCH_TOKENS;
         int chosen = fetch ? chooseByRendezvous(placementKey(request, known), candidates) : cheapest(size);
-        choice.engine = candidates.get(chosen);
-        choice.cachedTokens = cachedTokens[chosen];
-        choice.predictedNanos = predictedNanos[chosen];
-        choice.fetch = fetch;
+        choice.set(candidates.get(chosen), predictedNanos[chosen], cachedTokens[chosen], fetch);
         return choice;
     }
 
-    /** Fills in what anyone keeps under each candidate's salt, and returns the most of it. */
+    private int cachedTokensOf(Engine engine, RequestCacheSalt salts, List<PromptSegment> segments, long nowNanos) {
+        int tokens = index.cachedPrefixTokens(engine.id(), salts.hash(engine), segments, nowNanos);
+        return index.isUncertain(engine.id()) ? (int) (tokens * CostModel.UNCERTAIN_FACTOR) : tokens;
+    }
+
+    /**
+     * Fills in what anyone caches under each candidate's salt, and returns the most of it. Candidates of one
+     * salt have the same values: they are collected at the first of them, and copied to the others.
+     */
     private int lookUpKnownTokens(
-            List<Engine> candidates, RequestCacheSalt salts, List<PromptSegment> parts, long nowNanos) {
-        int most = 0;
-        int size = parts.isEmpty() ? 0 : candidates.size();
+            List<Engine> candidates, RequestCacheSalt salts, List<PromptSegment> segments, long nowNanos) {
+        int mostKnown = 0;
+        int size = segments.isEmpty() ? 0 : candidates.size();
         Arrays.fill(knownTokens, 0, candidates.size(), 0);
         Arrays.fill(transferableTokens, 0, candidates.size(), 0);
         for (int i = 0; i < size; i++) {
             saltHashes[i] = salts.hash(candidates.get(i));
-            int before = 0;
-            while (saltHashes[before] != saltHashes[i]) {
-                before++;
-            }
-            if (before == i) {
-                transferableTokens[i] = transfers.storedPrefixTokens(saltHashes[i], parts, nowNanos);
+            int first = firstOfSameSalt(i);
+            if (first == i) {
+                transferableTokens[i] = transfers.storedPrefixTokens(saltHashes[i], segments, nowNanos);
             }
             int confirmed = cachedTokens[i] == 0
                     ? 0
                     : Math.min(
                             cachedTokens[i],
-                            index.confirmedPrefixTokens(candidates.get(i).id, saltHashes[i], parts, nowNanos));
-            transferableTokens[before] = Math.max(transferableTokens[before], confirmed);
-            knownTokens[before] = Math.max(knownTokens[before], Math.max(cachedTokens[i], transferableTokens[before]));
-            most = Math.max(most, knownTokens[before]);
+                            index.confirmedPrefixTokens(candidates.get(i).id(), saltHashes[i], segments, nowNanos));
+            transferableTokens[first] = Math.max(transferableTokens[first], confirmed);
+            knownTokens[first] = Math.max(knownTokens[first], Math.max(cachedTokens[i], transferableTokens[first]));
+            mostKnown = Math.max(mostKnown, knownTokens[first]);
         }
         for (int i = 0; i < size; i++) {
-            int first = 0;
-            while (saltHashes[first] != saltHashes[i]) {
-                first++;
-            }
+            int first = firstOfSameSalt(i);
             knownTokens[i] = knownTokens[first];
             transferableTokens[i] = transferableTokens[first];
         }
-        return most;
+        return mostKnown;
     }
 
-    /** Tokens of all parts but the last, which is the request's or its session's own. */
-    static int sharedTokens(List<PromptSegment> parts) {
-        int sum = 0;
-        for (int i = 0; i < parts.size() - 1; i++) {
-            sum += parts.get(i).tokens();
+    private int firstOfSameSalt(int i) {
+        int first = 0;
+        while (saltHashes[first] != saltHashes[i]) {
+            first++;
         }
-        return sum;
-    }
-
-    static int promptTokens(RouteRequest request) {
-        List<PromptSegment> parts = request.segments();
-        int sum = parts.isEmpty()
-                ? 0
-                : sharedTokens(parts) + parts.get(parts.size() - 1).tokens();
-        return Math.max(sum, request.promptTokens());
-    }
-
-    /** Memory that the request takes while it runs, beyond what it shares with others. */
-    static double memoryTokens(RouteRequest request, int keptThere) {
-        int prompt = promptTokens(request);
-        int shares = Math.min(keptThere, prompt);
-        return prompt
-                - shares * CostModel.CACHED_TOKENS_MEMORY_FRACTION
-                + request.maxOutputTokens() * CostModel.EXPECTED_OUTPUT_FRACTION;
-    }
-
-    private int cachedTokensOf(Engine engine, RequestCacheSalt salts, List<PromptSegment> parts, long nowNanos) {
-        int tokens = index.cachedPrefixTokens(engine.id, salts.hash(engine), parts, nowNanos);
-        return index.isUncertain(engine.id) ? (int) (tokens * CostModel.UNCERTAIN_FACTOR) : tokens;
+        return first;
     }
 
+    /** Sets the expected time to the first event and the cost of candidate {@code i}. */
     private void estimateCost(RouteRequest request, ServiceState service, Engine engine, int i, long nowNanos) {
-        int missingTokens = Math.max(0, transferableTokens[i] - cachedTokens[i]);
-        double prefillMissingNanos = engine.speed.prefillNanos(missingTokens);
-        double transferNanos = missingTokens < CostModel.MIN_TRANSFER_TOKENS
+        int cached = cachedTokens[i];
+        int missing = Math.max(0, transferableTokens[i] - cached);
+        double transferNanos = missing < CostModel.MIN_TRANSFER_TOKENS
                 ? Double.MAX_VALUE
                 : CostModel.transferNanos(
-                        missingTokens,
+                        missing,
                         service.tokenBytes(),
                         service.linkMbps(),
-                        2,
-                        engine.transferSpeed.slowness(nowNanos));
-        boolean transferPays = CostModel.isTransferWorthwhile(
-                transferNanos, prefillMissingNanos, CostModel.latencyTargetLeftNanos(request, nowNanos));
-        int tokensToPrefill = Math.max(0, promptTokens(request) - cachedTokens[i] - (transferPays ? missingTokens : 0));
-        double memoryWaitNanos = memoryWaitNanos(request, service, engine, cachedTokens[i], nowNanos);
-        double firstEventNanos = engine.speed.baseNanos()
+                        ASSUMED_DISTANCE,
+                        engine.transferSpeed().slowness(nowNanos));
+        long targetLeftNanos = request.latencyTargetLeftNanos(nowNanos);
+        boolean transferPays =
+                CostModel.isTransferWorthwhile(transferNanos, engine.speed().prefillNanos(missing), targetLeftNanos);
+        int tokensToPrefill = Math.max(0, request.totalPromptTokens() - cached - (transferPays ? missing : 0));
+        double memoryWaitNanos = memoryWaitNanos(request, service, engine, cached, nowNanos);
+        double firstEventNanos = engine.speed().baseNanos()
                 + queueNanos(engine, nowNanos)
                 + memoryWaitNanos
-                + engine.speed.prefillNanos(tokensToPrefill)
+                + engine.speed().prefillNanos(tokensToPrefill)
                 + (transferPays ? transferNanos : 0);
         predictedNanos[i] = engine.isWarmingUp() ? firstEventNanos * CostModel.WARM_UP_FACTOR : firstEventNanos;
-        int redundantTokens =
-                knownTokens[i] - (transferPays ? Math.max(cachedTokens[i], transferableTokens[i]) : cachedTokens[i]);
-        double wasteNanos = engine.speed.prefillNanos(redundantTokens) * (CostModel.REDUNDANT_PREFILL_WEIGHT - 1)
+        int redundantTokens = knownTokens[i] - (transferPays ? Math.max(cached, transferableTokens[i]) : cached);
+        double wasteNanos = engine.speed().prefillNanos(redundantTokens) * (CostModel.REDUNDANT_PREFILL_WEIGHT - 1)
                 + (transferPays ? transferNanos * (CostModel.TRANSFER_WEIGHT - 1) : 0);
-        costs[i] = CostModel.firstEventCost(predictedNanos[i], CostModel.latencyTargetLeftNanos(request, nowNanos))
+        costs[i] = CostModel.firstEventCost(predictedNanos[i], targetLeftNanos)
                 + wasteNanos
                 + memoryWaitNanos * CostModel.MEMORY_WEIGHT
-                + engine.load.requests(nowNanos) * CostModel.RUNNING_REQUEST_NANOS
+                + engine.load().requests(nowNanos) * CostModel.RUNNING_REQUEST_NANOS
                 + (settings.distance(settings.zone(), engine.instance().zone()) > 1 ? CostModel.OTHER_ZONE_NANOS : 0);
     }
 
     private static double queueNanos(Engine engine, long nowNanos) {
-        EngineLoad load = engine.load;
+        EngineLoad load = engine.load();
         double ahead = Math.max(0, load.requests(nowNanos) + 1 - load.slots());
-        double reading = engine.speed.prefillNanos(load.backlogTokens(engine.speed, nowNanos));
-        return reading
-                + Math.max(engine.prefillLoad.waitNanos(nowNanos), load.waitNanos(nowNanos))
-                + engine.speed.serviceNanos() * ahead / load.slots();
+        double backlogNanos = engine.speed().prefillNanos(load.backlogTokens(engine.speed(), nowNanos));
+        return backlogNanos
+                + Math.max(engine.prefillLoad().waitNanos(nowNanos), load.waitNanos(nowNanos))
+                + engine.speed().serviceNanos() * ahead / load.slots();
     }
 
-    /** Running requests free memory evenly over the time that one takes. */
+    /** Expected wait for memory, as running requests release it evenly over the time that one takes. */
     private static double memoryWaitNanos(
-            RouteRequest request, ServiceState service, Engine engine, int keptThere, long nowNanos) {
-        double used = engine.load.memoryTokens(service.meanMemoryTokens(), nowNanos);
-        double over = used + memoryTokens(request, keptThere) - service.kvCapacity();
-        if (service.kvCapacity() <= 0 || over <= 0 || used <= 0) {
+            RouteRequest request, ServiceState service, Engine engine, int cached, long nowNanos) {
+        double usedTokens = engine.load().memoryTokens(service.meanMemoryTokens(), nowNanos);
+        double lackingTokens = usedTokens + CostModel.memoryTokens(request, cached) - service.kvCapacity();
+        if (service.kvCapacity() <= 0 || lackingTokens <= 0 || usedTokens <= 0) {
             return 0;
         }
-        return Math.min(2, over / used) * engine.speed.serviceNanos();
+        return Math.min(MAX_MEMORY_WAITS, lackingTokens / usedTokens)
+                * engine.speed().serviceNanos();
     }
 
     private int cheapest(int size) {
@@ -192,40 +179,46 @@
         return best;
     }
 
-    /** Highest weight among engines that cost not far more than the best: routers mostly agree on one. */
+    /**
+     * The candidate of the highest weight among those that cost little more than the best one. Routers mostly
+     * choose the same, because their views differ by less than the slack.
+     */
     private int chooseByRendezvous(long key, List<Engine> candidates) {
         int size = candidates.size();
-        double least = costs[cheapest(size)];
+        double lowestCost = costs[cheapest(size)];
         int chosen = -1;
-        long highest = 0;
+        long highestWeight = 0;
         for (int i = 0; i < size; i++) {
-            long weight = RendezvousHash.weight(key, candidates.get(i).idHash);
-            if (costs[i] <= least + CostModel.RENDEZVOUS_SLACK_NANOS
-                    && (chosen < 0 || Long.compareUnsigned(weight, highest) > 0)) {
+            long weight = RendezvousHash.weight(key, candidates.get(i).idHash());
+            if (costs[i] <= lowestCost + CostModel.RENDEZVOUS_SLACK_NANOS
+                    && (chosen < 0 || Long.compareUnsigned(weight, highestWeight) > 0)) {
                 chosen = i;
-                highest = weight;
+                highestWeight = weight;
             }
         }
         return chosen;
     }
 
     /**
-     * Model, wall and the first shared part that nobody keeps, whatever the weights: a part that is not there
-     * yet is read by one engine only, and a new version leaves prompts in place.
+     * The key by which a fetch is assigned to an engine: model, isolated tenant and the first shared segment that
+     * nobody caches. So requests that lack the same segment meet at one engine, which prefills it once. The
+     * weights version is not part of the key: new weights leave the assignment as it is.
+     *
+     * @param known tokens of the prompt that anyone caches
      */
     static long placementKey(RouteRequest request, int known) {
-        List<PromptSegment> parts = request.segments();
-        long part = 0;
+        List<PromptSegment> segments = request.segments();
+        long segment = 0;
         int end = 0;
-        for (int i = 0; i < parts.size() - 1 && (i == 0 || end - known < CostModel.MIN_FETCH_TOKENS); i++) {
-            part = parts.get(i).id();
-            end += parts.get(i).tokens();
+        for (int i = 0; i < segments.size() - 1 && (i == 0 || end - known < CostModel.MIN_FETCH_TOKENS); i++) {
+            segment = segments.get(i).id();
+            end += segments.get(i).tokens();
         }
         String salt = CacheSalt.of(request.model(), 1, request.tenant(), "");
-        return CacheSalt.key(CacheSalt.hash(salt), part);
+        return CacheSalt.key(CacheSalt.hash(salt), segment);
     }
 
-    private void ensureRoom(int size) {
+    private void ensureCapacity(int size) {
         if (cachedTokens.length < size) {
             cachedTokens = new int[size * 2];
             knownTokens = new int[size * 2];
--- a/routing/src/main/java/burlarch/routing/planner/RequestCacheSalt.java
+++ b/routing/src/main/java/burlarch/routing/planner/RequestCacheSalt.java
@@ -5,38 +5,45 @@
 import burlarch.routing.RouteRequest;
 import burlarch.routing.instance.Engine;
 
-/** The salts of one request, made anew only where the weights version of the next engine differs. */
+/**
+ * The cache salt of the current request at each engine. Most engines have the same weights version and thus
+ * the same salt; it is recomputed only when the version differs from the one asked for before.
+ */
 final class RequestCacheSalt {
+    private static final long NOT_COMPUTED = -1;
+    private static final long UNKNOWN_VERSION = 0;
+
     private RouteRequest request;
-    private long version = -1;
+    private long version = NOT_COMPUTED;
     private String text;
     private long hash;
 
-    /** Starts with another request. */
+    /** Begins with another request. */
     void begin(RouteRequest next) {
         request = next;
-        version = -1;
+        version = NOT_COMPUTED;
     }
 
-    /** The salt at an engine as text. */
+    /** The salt at an engine. */
     String text(Engine engine) {
-        prepare(engine);
+        compute(engine);
         return text;
     }
 
-    /** The salt at an engine as one number. */
+    /** The {@link CacheSalt#hash} of the salt at an engine. */
     long hash(Engine engine) {
-        prepare(engine);
+        compute(engine);
         return hash;
     }
 
-    private void prepare(Engine engine) {
-        long wanted = engine.version(request.model());
-        if (wanted != version || wanted == 0) {
+    private void compute(Engine engine) {
+        long engineVersion = engine.version(request.model());
+        // Of unknown version the salt is unique to the engine.
+        if (engineVersion != version || engineVersion == UNKNOWN_VERSION) {
             Tenant tenant = request.tenant();
-            text = CacheSalt.of(request.model(), wanted, tenant, engine.id);
+            text = CacheSalt.of(request.model(), engineVersion, tenant, engine.id());
             hash = CacheSalt.hash(text);
-            version = wanted;
+            version = engineVersion;
         }
     }
 }
--- a/routing/src/main/java/burlarch/routing/planner/ServiceState.java
+++ b/routing/src/main/java/burlarch/routing/planner/ServiceState.java
@@ -10,18 +10,20 @@
 import java.util.List;
 import java.util.Map;
 
-/** One service: its instances and what its requests have shown on average. */
+/**
+ * One service: its configuration, its instances, the newest weights versions that were seen, and averages over
+ * its requests. {@link FleetState} owns it and sets its instances.
+ */
 final class ServiceState {
     private static final double MEAN_GAIN = 0.02;
     private static final double FETCH_GAIN = 0.1;
 
     private record SeenVersion(long version, long sinceNanos) {}
 
-    final String name;
-    final EngineSpeed speed = new EngineSpeed();
-    final List<Engine> engines = new ArrayList<>();
-    final RetryBudget budget;
-    final FetchAdmission admission;
+    private final EngineSpeed speed = new EngineSpeed();
+    private final List<Engine> engines = new ArrayList<>();
+    private final RetryBudget budget;
+    private final FetchAdmission admission;
     private final Map<String, SeenVersion> newestVersions = new HashMap<>(2);
     private Service service;
     private double meanPrefillTokens = 1_000;
@@ -29,7 +31,6 @@
     private double meanMemoryTokens = 2_000;
 
     ServiceState(Service service, RetryBudget budget, FetchAdmission admission) {
-        this.name = service.name();
         this.service = service;
         this.budget = budget;
         this.admission = admission;
@@ -39,49 +40,74 @@
         service = configured;
     }
 
+    /** Average speed of its instances. */
+    EngineSpeed speed() {
+        return speed;
+    }
+
+    /** Its instances in any state; the list itself, which {@link FleetState} changes. */
+    List<Engine> engines() {
+        return engines;
+    }
+
+    RetryBudget budget() {
+        return budget;
+    }
+
+    FetchAdmission admission() {
+        return admission;
+    }
+
+    /** Whether its instances are model engines, with a prefix cache. */
     boolean isModelService() {
         return service.engine() != null;
     }
 
-    /** Memory of each engine in tokens, 0 if not told. */
+    /** KV cache of each engine in tokens, 0 if not configured. */
     long kvCapacity() {
         return service.engine() == null ? 0 : service.engine().kvCapacity();
     }
 
+    /** Bytes of KV cache for each token. Only for model services. */
     long tokenBytes() {
         return service.engine().kvTokenBytes();
     }
 
+    /** Nominal link speed of its engines in Mbit/s. Only for model services. */
     double linkMbps() {
         return service.engine().linkMbps();
     }
 
+    /** Mean number of tokens that a request leaves to prefill. */
     double meanPrefillTokens() {
         return meanPrefillTokens;
     }
 
+    /** Mean KV cache that a request uses, in tokens. */
     double meanMemoryTokens() {
         return meanMemoryTokens;
     }
 
-    /** Fetches a second that all ready engines together can read. */
+    /** Fetches that all ready engines together can prefill in a second. */
     double sustainableFetchesPerSecond() {
         double tokensPerSecond = 0;
         for (int i = 0; i < engines.size(); i++) {
             Engine engine = engines.get(i);
-            tokensPerSecond += engine.isReady() ? engine.speed.tokensPerNano() * 1e9 : 0;
+            tokensPerSecond += engine.isReady() ? engine.speed().tokensPerNano() * 1e9 : 0;
         }
         return tokensPerSecond / Math.max(1, meanFetchTokens);
     }
 
-    void onSent(InFlightAttempt flight) {
-        if (flight.fetch) {
-            meanFetchTokens += (flight.tokensToPrefill - meanFetchTokens) * FETCH_GAIN;
+    /** An attempt of a request to this service was sent. */
+    void onSent(InFlightAttempt attempt) {
+        if (attempt.isFetch()) {
+            meanFetchTokens += (attempt.tokensToPrefill() - meanFetchTokens) * FETCH_GAIN;
         }
-        meanPrefillTokens += (flight.tokensToPrefill - meanPrefillTokens) * MEAN_GAIN;
-        meanMemoryTokens += (flight.memoryTokens - meanMemoryTokens) * MEAN_GAIN;
+        meanPrefillTokens += (attempt.tokensToPrefill() - meanPrefillTokens) * MEAN_GAIN;
+        meanMemoryTokens += (attempt.memoryTokens() - meanMemoryTokens) * MEAN_GAIN;
     }
 
+    /** An instance has that weights version. */
     void onVersion(String model, long version, long nowNanos) {
         SeenVersion seen = newestVersions.get(model);
         if (seen == null || version > seen.version()) {
@@ -89,24 +115,24 @@
         }
     }
 
-    /** The version below which an engine gets nothing any more: newer ones have had time to come to all. */
+    /** The newest weights version once it has been known for {@code graceNanos}, so that all can have it; before, 0. */
     long minVersion(String model, long graceNanos, long nowNanos) {
         SeenVersion seen = newestVersions.get(model);
         return seen == null || nowNanos - seen.sinceNanos() < graceNanos ? 0 : seen.version();
     }
 
-    /** Whether places are free for sure: under half of them taken, and nothing told to wait. */
+    /** Whether there are certainly free slots: under half of them in use, and no instance with a known queue. */
     boolean hasSpareSlots(long nowNanos) {
         double requests = 0;
         double slots = 0;
         for (int i = 0; i < engines.size(); i++) {
             Engine engine = engines.get(i);
             if (engine.isReady()) {
-                if (engine.load.hasQueue(nowNanos)) {
+                if (engine.load().hasQueue(nowNanos)) {
                     return false;
                 }
-                requests += engine.load.requests(nowNanos);
-                slots += engine.load.slots();
+                requests += engine.load().requests(nowNanos);
+                slots += engine.load().slots();
             }
         }
         return requests < slots / 2;
