--- a/controller/src/main/java/burlarch/controller/ControllerProgram.java
+++ b/controller/src/main/java/burlarch/controller/ControllerProgram.java
@@ -5,7 +5,7 @@
 import burlarch.controller.api.ControlService;
 import burlarch.controller.peers.ProcessIncarnations;
 import burlarch.controller.register.RegisterStorage;
-import burlarch.coordination.membership.SwimSettings;
+import burlarch.coordination.membership.swim.SwimSettings;
 import burlarch.engine.EngineClient;
 import burlarch.engine.EngineHttpClientFactory;
 import burlarch.node.MembershipService;
--- a/coordination/src/main/java/burlarch/coordination/membership/MemberState.java
+++ b/coordination/src/main/java/burlarch/coordination/membership/MemberState.java
@@ -6,7 +6,7 @@
  * <p>Of two updates of one process with one incarnation the one of the later constant overrides the other, so the
  * declaration order is part of the protocol.
  *
- * <p>{@link MemberTable#apply} makes every transition. "Higher incarnation" is a refutation by the member itself.
+ * <p>{@code MemberTable.apply} makes every transition. "Higher incarnation" is a refutation by the member itself.
  *
  * <pre>
  * from              event                                                   to
--- a/coordination/src/main/java/burlarch/coordination/membership/MemberUpdate.java
+++ b/coordination/src/main/java/burlarch/coordination/membership/MemberUpdate.java
@@ -4,7 +4,7 @@
  * One membership update: the state of a member at one of its incarnations, as members send it to each other.
  *
  * <p>Invariant <em>own incarnation</em>: only the member itself raises its incarnation, when it refutes what others say
- * of it ({@link MembershipView}). An update of a higher incarnation therefore always comes from the member.
+ * of it ({@code MembershipView}). An update of a higher incarnation therefore always comes from the member.
  *
  * @param info the member's process
  * @param incarnation the member's refutation counter; 0 to {@link #MAX_INCARNATION}
@@ -33,7 +33,7 @@
      *       hears of its name; with equal incarnations by the higher process id, so that all members decide alike.
      * </ul>
      */
-    boolean overrides(MemberUpdate known) {
+    public boolean overrides(MemberUpdate known) {
         if (isOfSameProcess(known)) {
             return incarnation > known.incarnation
                     || incarnation == known.incarnation && state.compareTo(known.state) > 0;
@@ -47,11 +47,13 @@
         return incarnation == known.incarnation && info.processId() > known.info.processId();
     }
 
-    boolean isOfSameProcess(MemberUpdate other) {
+    /** Whether both are about one process. */
+    public boolean isOfSameProcess(MemberUpdate other) {
         return info.processId() == other.info.processId();
     }
 
-    MemberUpdate withState(MemberState other) {
+    /** This update with another state. */
+    public MemberUpdate withState(MemberState other) {
         return other == state ? this : new MemberUpdate(info, incarnation, other);
     }
 }
--- a/coordination/src/main/java/burlarch/coordination/membership/SwimCodec.java
+++ b/coordination/src/main/java/burlarch/coordination/membership/SwimCodec.java
@@ -37,14 +37,14 @@
     private static final int PORT_MASK = 0xFFFF;
     private static final int BYTE_MASK = 0xFF;
     /** Bytes of any message without its updates, at most. */
-    static final int FRAME_BYTES = 2 + 2 * Long.BYTES + Integer.BYTES + Long.BYTES + ADDRESS_BYTES + CHECK_BYTES;
+    public static final int FRAME_BYTES = 2 + 2 * Long.BYTES + Integer.BYTES + Long.BYTES + ADDRESS_BYTES + CHECK_BYTES;
     /** Bytes of an update without its texts. */
     private static final int UPDATE_BYTES = 1 + 2 * Long.BYTES + ADDRESS_BYTES + 3;
 
     private SwimCodec() {}
 
     /** Bytes that the update takes in a datagram. */
-    static int sizeOf(MemberUpdate update) {
+    public static int sizeOf(MemberUpdate update) {
         MemberInfo info = update.info();
         return UPDATE_BYTES + utf8(info.name()).length + utf8(info.role()).length + utf8(info.zone()).length;
     }
--- a/coordination/src/main/java/burlarch/coordination/membership/package-info.java
+++ b/coordination/src/main/java/burlarch/coordination/membership/package-info.java
@@ -1,23 +1,7 @@
 /**
- * Group membership by SWIM (Das, Gupta and Motivala, 2002) with the extensions of Lifeguard (local health) and of
- * push-pull anti-entropy.
+ * Group membership: what members say of each other, and its form in datagrams. The protocol that exchanges it is in
+ * {@link burlarch.coordination.membership.swim}.
  *
- * <p>Job: each process knows which other processes live. {@link burlarch.coordination.membership.Swim} is the entry; it
- * wires four parts that share one {@code MembershipView}:
- *
- * <ul>
- *   <li>failure detection: {@code FailureDetector}, {@code ProbeTargetSelector}, {@code IndirectProbes}, {@code
- *       LocalHealth};
- *   <li>dissemination: {@code GossipQueue}, {@code OutgoingDatagrams};
- *   <li>anti-entropy: {@code AntiEntropy}, {@code Reconnector}, {@code ContactPoints};
- *   <li>local view: {@code MembershipView}, {@code MemberTable}, {@code MemberRecord}.
- * </ul>
- *
- * <p>Thread: none of its own, no I/O and no clock. All calls on one {@code Swim} come from one thread (the node's event
- * loop); times are nanoseconds of a monotonic clock that the caller passes in, and datagrams leave as values.
- *
- * <p>Owner of the state: each {@code Swim} owns its view. {@code MemberTable.apply} is the only place where the state of
- * another member changes, {@code MembershipView.refute} and {@code MembershipView.leave} the only ones where the own
- * update changes. Nothing is kept on disk; a restarted process learns the members anew.
+ * <p>Records and pure functions alone: no state, no thread, no I/O and no clock.
  */
 package burlarch.coordination.membership;
--- a/coordination/src/main/java/burlarch/coordination/membership/AntiEntropy.java
+++ b/coordination/src/main/java/burlarch/coordination/membership/swim/AntiEntropy.java
@@ -1,4 +1,7 @@
-package burlarch.coordination.membership;
+package burlarch.coordination.membership.swim;
+
+import burlarch.coordination.membership.MemberUpdate;
+import burlarch.coordination.membership.SwimMessage;
 
 /**
  * Anti-entropy: requests another member's whole table at the start, and where digests differ although no gossip is under
--- a/coordination/src/main/java/burlarch/coordination/membership/FailureDetector.java
+++ b/coordination/src/main/java/burlarch/coordination/membership/swim/FailureDetector.java
@@ -1,5 +1,8 @@
-package burlarch.coordination.membership;
+package burlarch.coordination.membership.swim;
 
+import burlarch.coordination.membership.MemberState;
+import burlarch.coordination.membership.MemberUpdate;
+import burlarch.coordination.membership.SwimMessage;
 import java.util.Random;
 
 /**
--- a/coordination/src/main/java/burlarch/coordination/membership/GossipQueue.java
+++ b/coordination/src/main/java/burlarch/coordination/membership/swim/GossipQueue.java
@@ -1,5 +1,7 @@
-package burlarch.coordination.membership;
+package burlarch.coordination.membership.swim;
 
+import burlarch.coordination.membership.MemberUpdate;
+import burlarch.coordination.membership.SwimCodec;
 import java.util.ArrayList;
 import java.util.Comparator;
 import java.util.List;
--- a/coordination/src/main/java/burlarch/coordination/membership/IndirectProbes.java
+++ b/coordination/src/main/java/burlarch/coordination/membership/swim/IndirectProbes.java
@@ -1,4 +1,4 @@
-package burlarch.coordination.membership;
+package burlarch.coordination.membership.swim;
 
 import java.util.ArrayDeque;
 import java.util.Deque;
--- a/coordination/src/main/java/burlarch/coordination/membership/LocalHealth.java
+++ b/coordination/src/main/java/burlarch/coordination/membership/swim/LocalHealth.java
@@ -1,4 +1,4 @@
-package burlarch.coordination.membership;
+package burlarch.coordination.membership.swim;
 
 /**
  * Lifeguard's local health multiplier: signs that this member itself is slow or partitioned make its time-outs longer,
--- a/coordination/src/main/java/burlarch/coordination/membership/MemberRecord.java
+++ b/coordination/src/main/java/burlarch/coordination/membership/swim/MemberRecord.java
@@ -1,4 +1,8 @@
-package burlarch.coordination.membership;
+package burlarch.coordination.membership.swim;
+
+import burlarch.coordination.membership.MemberInfo;
+import burlarch.coordination.membership.MemberState;
+import burlarch.coordination.membership.MemberUpdate;
 
 /**
  * One entry of a {@link MemberTable}, or the own one of a {@link MembershipView}. Mutable: the table changes update and
--- a/coordination/src/main/java/burlarch/coordination/membership/MemberTable.java
+++ b/coordination/src/main/java/burlarch/coordination/membership/swim/MemberTable.java
@@ -1,5 +1,8 @@
-package burlarch.coordination.membership;
+package burlarch.coordination.membership.swim;
 
+import burlarch.coordination.membership.MemberChange;
+import burlarch.coordination.membership.MemberState;
+import burlarch.coordination.membership.MemberUpdate;
 import java.util.ArrayList;
 import java.util.Collection;
 import java.util.HashMap;
--- a/coordination/src/main/java/burlarch/coordination/membership/MembershipLifecycle.java
+++ b/coordination/src/main/java/burlarch/coordination/membership/swim/MembershipLifecycle.java
@@ -1,4 +1,4 @@
-package burlarch.coordination.membership;
+package burlarch.coordination.membership.swim;
 
 /**
  * How far this member's own membership is. {@link #on} is the only transition.
--- a/coordination/src/main/java/burlarch/coordination/membership/MembershipView.java
+++ b/coordination/src/main/java/burlarch/coordination/membership/swim/MembershipView.java
@@ -1,5 +1,10 @@
-package burlarch.coordination.membership;
+package burlarch.coordination.membership.swim;
 
+import burlarch.coordination.membership.MemberChange;
+import burlarch.coordination.membership.MemberInfo;
+import burlarch.coordination.membership.MemberState;
+import burlarch.coordination.membership.MemberUpdate;
+import burlarch.coordination.membership.SwimMessage;
 import java.util.ArrayList;
 import java.util.List;
 
--- a/coordination/src/main/java/burlarch/coordination/membership/MessageHandler.java
+++ b/coordination/src/main/java/burlarch/coordination/membership/swim/MessageHandler.java
@@ -1,4 +1,7 @@
-package burlarch.coordination.membership;
+package burlarch.coordination.membership.swim;
+
+import burlarch.coordination.membership.MemberUpdate;
+import burlarch.coordination.membership.SwimMessage;
 
 /** Handles the messages of other members: applies their updates, then responds by the kind of message. */
 final class MessageHandler {
--- a/coordination/src/main/java/burlarch/coordination/membership/ProbeTargetSelector.java
+++ b/coordination/src/main/java/burlarch/coordination/membership/swim/ProbeTargetSelector.java
@@ -1,5 +1,6 @@
-package burlarch.coordination.membership;
+package burlarch.coordination.membership.swim;
 
+import burlarch.coordination.membership.MemberState;
 import java.util.ArrayList;
 import java.util.Collections;
 import java.util.List;
--- a/coordination/src/main/java/burlarch/coordination/membership/Reconnector.java
+++ b/coordination/src/main/java/burlarch/coordination/membership/swim/Reconnector.java
@@ -1,5 +1,7 @@
-package burlarch.coordination.membership;
+package burlarch.coordination.membership.swim;
 
+import burlarch.coordination.membership.MemberInfo;
+import burlarch.coordination.membership.MemberState;
 import java.util.List;
 import java.util.Random;
 
--- a/coordination/src/main/java/burlarch/coordination/membership/SwimSettings.java
+++ b/coordination/src/main/java/burlarch/coordination/membership/swim/SwimSettings.java
@@ -1,4 +1,4 @@
-package burlarch.coordination.membership;
+package burlarch.coordination.membership.swim;
 
 /**
  * Times and bounds of {@link Swim}.
--- a/coordination/src/test/java/burlarch/coordination/membership/GossipQueueTest.java
+++ b/coordination/src/test/java/burlarch/coordination/membership/swim/GossipQueueTest.java
@@ -1,8 +1,11 @@
-package burlarch.coordination.membership;
+package burlarch.coordination.membership.swim;
 
-import static burlarch.coordination.membership.MemberNetwork.info;
+import static burlarch.coordination.membership.swim.MemberNetwork.info;
 import static org.assertj.core.api.Assertions.assertThat;
 
+import burlarch.coordination.membership.MemberState;
+import burlarch.coordination.membership.MemberUpdate;
+import burlarch.coordination.membership.SwimCodec;
 import java.util.ArrayList;
 import java.util.List;
 import org.junit.jupiter.api.Test;
--- a/coordination/src/test/java/burlarch/coordination/membership/MemberNetwork.java
+++ b/coordination/src/test/java/burlarch/coordination/membership/swim/MemberNetwork.java
@@ -1,5 +1,7 @@
-package burlarch.coordination.membership;
+package burlarch.coordination.membership.swim;
 
+import burlarch.coordination.membership.MemberChange;
+import burlarch.coordination.membership.MemberInfo;
 import java.util.ArrayDeque;
 import java.util.ArrayList;
 import java.util.Deque;
--- a/coordination/src/test/java/burlarch/coordination/membership/SwimTest.java
+++ b/coordination/src/test/java/burlarch/coordination/membership/swim/SwimTest.java
@@ -1,9 +1,15 @@
-package burlarch.coordination.membership;
+package burlarch.coordination.membership.swim;
 
-import static burlarch.coordination.membership.MemberNetwork.address;
-import static burlarch.coordination.membership.MemberNetwork.info;
+import static burlarch.coordination.membership.swim.MemberNetwork.address;
+import static burlarch.coordination.membership.swim.MemberNetwork.info;
 import static org.assertj.core.api.Assertions.assertThat;
 
+import burlarch.coordination.membership.MemberChange;
+import burlarch.coordination.membership.MemberInfo;
+import burlarch.coordination.membership.MemberState;
+import burlarch.coordination.membership.MemberUpdate;
+import burlarch.coordination.membership.SwimCodec;
+import burlarch.coordination.membership.SwimMessage;
 import java.util.List;
 import java.util.Optional;
 import org.junit.jupiter.api.Test;
--- /dev/null
+++ b/coordination/src/test/java/burlarch/coordination/membership/swim/TableDigestGoldenTest.java
@@ -0,0 +1,29 @@
+package burlarch.coordination.membership.swim;
+
+import static org.assertj.core.api.Assertions.assertThat;
+
+import burlarch.coordination.membership.MemberInfo;
+import burlarch.coordination.membership.MemberState;
+import burlarch.coordination.membership.MemberUpdate;
+import burlarch.golden.GoldenFiles;
+import java.util.ArrayList;
+import java.util.List;
+import org.junit.jupiter.api.Test;
+
+/** Digests of tables as the release before made them: nodes of both run in one fleet. */
+class TableDigestGoldenTest {
+    private static final GoldenFiles DATAGRAMS = new GoldenFiles("datagrams");
+
+    /** Two members compare digests of their tables; of one table, both releases must have the same. */
+    @Test
+    void theDigestOfATableIsThatOfTheReleaseBefore() {
+        MemberTable table = new MemberTable(10, 3);
+        for (String name : List.of("a", "b", "c")) {
+            MemberInfo info = new MemberInfo(name, "10.0.0.1:1", "router", "north", name.hashCode());
+            table.apply(new MemberUpdate(info, 0, MemberState.ALIVE), 1, new ArrayList<>());
+        }
+
+        assertThat(Long.toHexString(table.digest()))
+                .isEqualTo(DATAGRAMS.lines("table-digest.txt").get(0));
+    }
+}
--- a/node/src/test/java/burlarch/node/MembershipServiceTest.java
+++ b/node/src/test/java/burlarch/node/MembershipServiceTest.java
@@ -5,7 +5,7 @@
 import burlarch.coordination.membership.MemberChange;
 import burlarch.coordination.membership.MemberInfo;
 import burlarch.coordination.membership.MemberState;
-import burlarch.coordination.membership.SwimSettings;
+import burlarch.coordination.membership.swim.SwimSettings;
 import burlarch.transport.SelectorEventLoop;
 import java.io.IOException;
 import java.net.InetAddress;
--- a/router/src/main/java/burlarch/router/RouterProgram.java
+++ b/router/src/main/java/burlarch/router/RouterProgram.java
@@ -2,7 +2,7 @@
 
 import burlarch.configuration.IndexedRouteTable;
 import burlarch.coordination.budget.BudgetSettings;
-import burlarch.coordination.membership.SwimSettings;
+import burlarch.coordination.membership.swim.SwimSettings;
 import burlarch.engine.EngineClient;
 import burlarch.engine.KvEventSubscriber;
 import burlarch.node.MembershipService;
--- a/simulation/src/main/java/burlarch/simulation/membership/MembershipFigures.java
+++ b/simulation/src/main/java/burlarch/simulation/membership/MembershipFigures.java
@@ -1,6 +1,6 @@
 package burlarch.simulation.membership;
 
-import burlarch.coordination.membership.SwimSettings;
+import burlarch.coordination.membership.swim.SwimSettings;
 import burlarch.simulation.NetworkSettings;
 import burlarch.simulation.SimulatedNetwork;
 import burlarch.simulation.Simulation;
--- a/simulation/src/main/java/burlarch/simulation/membership/MembershipFleet.java
+++ b/simulation/src/main/java/burlarch/simulation/membership/MembershipFleet.java
@@ -2,8 +2,8 @@
 
 import burlarch.coordination.membership.MemberChange;
 import burlarch.coordination.membership.MemberState;
-import burlarch.coordination.membership.Swim;
-import burlarch.coordination.membership.SwimSettings;
+import burlarch.coordination.membership.swim.Swim;
+import burlarch.coordination.membership.swim.SwimSettings;
 import burlarch.simulation.NetworkSettings;
 import burlarch.simulation.SimulatedNode;
 import burlarch.simulation.Simulation;
--- a/simulation/src/main/java/burlarch/simulation/membership/SwimNode.java
+++ b/simulation/src/main/java/burlarch/simulation/membership/SwimNode.java
@@ -2,9 +2,9 @@
 
 import burlarch.coordination.membership.MemberChange;
 import burlarch.coordination.membership.MemberInfo;
-import burlarch.coordination.membership.Swim;
-import burlarch.coordination.membership.SwimSettings;
-import burlarch.coordination.membership.SwimStep;
+import burlarch.coordination.membership.swim.Swim;
+import burlarch.coordination.membership.swim.SwimSettings;
+import burlarch.coordination.membership.swim.SwimStep;
 import burlarch.simulation.NodeContext;
 import burlarch.simulation.SimulatedNode;
 import java.util.List;
--- a/simulation/src/test/java/burlarch/simulation/membership/MembershipSizesTest.java
+++ b/simulation/src/test/java/burlarch/simulation/membership/MembershipSizesTest.java
@@ -2,7 +2,7 @@
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-import burlarch.coordination.membership.SwimSettings;
+import burlarch.coordination.membership.swim.SwimSettings;
 import burlarch.simulation.NetworkSettings;
 import burlarch.simulation.Simulation;
 import org.junit.jupiter.params.ParameterizedTest;
