--- a/emulator/src/test/java/burlarch/emulator/layers/FleetLayersTest.java
+++ b/emulator/src/test/java/burlarch/emulator/layers/FleetLayersTest.java
@@ -164,6 +164,58 @@
     }
 
     /** Clients and instances are faced by packages that know neither each other nor who forwards between them. */
+    @Test
+    void dependenciesOfTheControllersPackagesRunOneWay() {
+        Architectures.layeredArchitecture()
+                .consideringOnlyDependenciesInLayers()
+                .layer("program")
+                .definedBy("burlarch.controller")
+                .layer("api")
+                .definedBy("burlarch.controller.api")
+                .layer("rollout")
+                .definedBy("burlarch.controller.rollout")
+                .layer("ownership")
+                .definedBy("burlarch.controller.ownership")
+                .layer("instances")
+                .definedBy("burlarch.controller.instances")
+                .layer("distribution")
+                .definedBy("burlarch.controller.distribution")
+                .layer("register")
+                .definedBy("burlarch.controller.register")
+                .layer("peers")
+                .definedBy("burlarch.controller.peers")
+                .layer("state")
+                .definedBy("burlarch.controller.state")
+                .layer("error")
+                .definedBy("burlarch.controller.error")
+                .whereLayer("program")
+                .mayNotBeAccessedByAnyLayer()
+                .whereLayer("api")
+                .mayOnlyBeAccessedByLayers("program")
+                .whereLayer("rollout")
+                .mayOnlyBeAccessedByLayers("program")
+                .whereLayer("ownership")
+                .mayOnlyBeAccessedByLayers("program", "rollout")
+                .whereLayer("instances")
+                .mayOnlyBeAccessedByLayers("program", "api")
+                .whereLayer("distribution")
+                .mayOnlyBeAccessedByLayers("program", "api", "rollout", "instances")
+                .whereLayer("register")
+                .mayOnlyBeAccessedByLayers("program", "api", "ownership", "instances", "distribution")
+                .whereLayer("peers")
+                .mayOnlyBeAccessedByLayers("program", "ownership", "instances", "register")
+                .whereLayer("state")
+                .mayOnlyBeAccessedByLayers("program", "api", "rollout", "ownership", "distribution", "register")
+                .whereLayer("error")
+                .mayOnlyBeAccessedByLayers("api", "register", "state")
+                .check(ALL);
+    }
+
+    @Test
+    void theControllersStateHasNoClockAndNoThread() {
+        noClockAndNoThread("burlarch.controller.state..").check(ALL);
+    }
+
     @Test
     void dependenciesOfTheRoutersPackagesRunOneWay() {
         Architectures.layeredArchitecture()
