--- a/cli/src/main/java/burlarch/cli/AuditCommand.java
+++ b/cli/src/main/java/burlarch/cli/AuditCommand.java
@@ -4,8 +4,8 @@
 import burlarch.audit.RecordFile;
 import burlarch.audit.Rules;
 import burlarch.audit.Verdict;
-import burlarch.settings.OperatorFile;
 import burlarch.settings.SettingsException;
+import burlarch.settings.SettingsFile;
 import burlarch.standins.fleet.FleetPlan;
 import java.io.IOException;
 import java.nio.file.Path;
@@ -32,7 +32,7 @@
 
     @Override
     public Integer call() throws IOException, SettingsException {
-        Rules rules = Rules.standard(FleetPlan.read(OperatorFile.load(fleet)).repeats());
+        Rules rules = Rules.standard(FleetPlan.read(SettingsFile.load(fleet)).repeats());
         Verdict verdict = Audit.of(RecordFile.read(files), rules);
         System.out.println(verdict.summary());
         verdict.breaches().forEach(System.out::println);
--- a/cli/src/main/java/burlarch/cli/FleetCommand.java
+++ b/cli/src/main/java/burlarch/cli/FleetCommand.java
@@ -2,7 +2,7 @@
 
 import burlarch.audit.FileSink;
 import burlarch.audit.Sink;
-import burlarch.settings.OperatorFile;
+import burlarch.settings.SettingsFile;
 import burlarch.standins.fleet.Control;
 import burlarch.standins.fleet.Fleet;
 import burlarch.standins.fleet.FleetPlan;
@@ -37,7 +37,7 @@
 
     @Override
     public Integer call() throws Exception {
-        FleetPlan plan = FleetPlan.read(OperatorFile.load(file));
+        FleetPlan plan = FleetPlan.read(SettingsFile.load(file));
         FileSink sink = records == null ? null : new FileSink(records);
         try (Fleet fleet = Fleet.start(plan, sink == null ? Sink.NONE : sink);
                 Control control = Control.start(fleet, plan.host(), plan.controlPort())) {
--- a/cli/src/main/java/burlarch/cli/LoadCommand.java
+++ b/cli/src/main/java/burlarch/cli/LoadCommand.java
@@ -5,8 +5,8 @@
 import burlarch.lab.load.Generator;
 import burlarch.lab.load.LoadPlan;
 import burlarch.lab.load.LoadResult;
-import burlarch.settings.Addresses;
-import burlarch.settings.OperatorFile;
+import burlarch.settings.LiteralAddresses;
+import burlarch.settings.SettingsFile;
 import burlarch.standins.fleet.FleetPlan;
 import com.fasterxml.jackson.core.JsonFactory;
 import com.fasterxml.jackson.core.JsonGenerator;
@@ -50,7 +50,7 @@
 
     @Override
     public Integer call() throws Exception {
-        OperatorFile settings = OperatorFile.load(file);
+        SettingsFile settings = SettingsFile.load(file);
         LoadPlan plan = LoadPlan.read(settings, FleetPlan.read(settings));
         Generator.warmUp(plan);
         FileSink sink = records == null ? null : new FileSink(records);
@@ -85,7 +85,7 @@
         List<Generator.Target> found = new ArrayList<>();
         for (String text : targets) {
             int equals = text.indexOf('=');
-            InetSocketAddress address = Addresses.parse(text.substring(equals + 1));
+            InetSocketAddress address = LiteralAddresses.parse(text.substring(equals + 1));
             if (!address.getAddress().isLoopbackAddress()) {
                 throw new IllegalArgumentException("--target " + text + ": only loopback addresses are loaded");
             }
--- a/cli/src/main/java/burlarch/cli/TraceCommand.java
+++ b/cli/src/main/java/burlarch/cli/TraceCommand.java
@@ -2,8 +2,8 @@
 
 import burlarch.lab.load.Generator;
 import burlarch.lab.load.LoadPlan;
-import burlarch.settings.OperatorFile;
 import burlarch.settings.SettingsException;
+import burlarch.settings.SettingsFile;
 import burlarch.standins.fleet.FleetPlan;
 import burlarch.trace.TraceReader;
 import burlarch.trace.TraceRecord;
@@ -27,7 +27,7 @@
             @Parameters(paramLabel = "FILE", description = "The load, as 'burlarch load' takes it.") Path file,
             @Parameters(paramLabel = "TRACE") Path trace)
             throws IOException, SettingsException {
-        OperatorFile settings = OperatorFile.load(file);
+        SettingsFile settings = SettingsFile.load(file);
         Generator.record(LoadPlan.read(settings, FleetPlan.read(settings)), trace);
         return show(trace, 0);
     }
--- a/configuration/src/main/java/burlarch/configuration/Configuration.java
+++ b/configuration/src/main/java/burlarch/configuration/Configuration.java
@@ -46,7 +46,7 @@
             @JsonProperty("public") boolean isPublic,
             @JsonProperty("session_affinity") boolean sessionAffinity,
             @JsonProperty("resumable") boolean resumable,
-            @JsonProperty("gap_aim_ms") long gapAimMillis) {
+            @JsonProperty("gap_aim_ms") long gapTargetMillis) {
         private static final int RETRIES_LEAST = 1;
 
         public Route {
--- a/configuration/src/main/java/burlarch/configuration/DeclaredConfiguration.java
+++ b/configuration/src/main/java/burlarch/configuration/ConfigurationConstraints.java
@@ -15,7 +15,7 @@
  * was declared, and so that processes that read checked configurations load no constraint.
  */
 @JsonIgnoreProperties(ignoreUnknown = true)
-record DeclaredConfiguration(
+record ConfigurationConstraints(
         @JsonProperty("config_version") @NotNull(message = MISSING) @Positive(message = FROM_1) Long version,
         @JsonProperty("routes") @NotNull(message = MISSING) List<@NotNull(message = MISSING) @Valid Route> routes,
         @JsonProperty("services") @NotNull(message = MISSING) List<@NotNull(message = MISSING) @Valid Service> services,
--- a/configuration/src/main/java/burlarch/configuration/ConfigurationDocument.java
+++ b/configuration/src/main/java/burlarch/configuration/ConfigurationDocument.java
@@ -32,48 +32,48 @@
      * Reads and checks a whole configuration. Whether its version may follow the one in force is
      * {@link #supersedes}.
      */
-    public static ConfigurationDocument read(byte[] json) throws InvalidConfiguration {
+    public static ConfigurationDocument parse(byte[] json) throws InvalidConfigurationException {
         return of(ConfigurationJson.readObject(json));
     }
 
     /** Checks a whole configuration. The tree is not kept. */
-    static ConfigurationDocument of(ObjectNode tree) throws InvalidConfiguration {
+    static ConfigurationDocument of(ObjectNode tree) throws InvalidConfigurationException {
         checkVersion(tree);
         byte[] json = ConfigurationJson.write(tree);
-        refuse(FieldChecks.check(ConfigurationJson.convert(tree, DeclaredConfiguration.class)));
+        refuse(ConstraintValidator.check(ConfigurationJson.convert(tree, ConfigurationConstraints.class)));
         Configuration configuration = ConfigurationJson.convert(tree, Configuration.class);
-        refuse(ConfigurationRules.check(configuration));
+        refuse(CrossReferenceValidator.check(configuration));
         return new ConfigurationDocument(json, configuration, CanonicalDigest.of(tree));
     }
 
     /** Versions are whole numbers: none may lose its fraction while it is read. */
-    static void checkVersion(JsonNode tree) throws InvalidConfiguration {
+    static void checkVersion(JsonNode tree) throws InvalidConfigurationException {
         JsonNode version = tree.path(VERSION);
         if (!version.canConvertToExactIntegral() || !version.canConvertToLong() || version.longValue() < 1) {
-            throw new InvalidConfiguration(VERSION, "must be a whole number from 1");
+            throw new InvalidConfigurationException(VERSION, "must be a whole number from 1");
         }
     }
 
-    private static void refuse(List<Problem> problems) throws InvalidConfiguration {
+    private static void refuse(List<ConfigurationProblem> problems) throws InvalidConfigurationException {
         if (!problems.isEmpty()) {
-            throw new InvalidConfiguration(problems);
+            throw new InvalidConfigurationException(problems);
         }
     }
 
     /**
      * Reads a configuration that a controller has checked. Cheap: no check starts.
      *
-     * @throws InvalidConfiguration if it can't be read whole
+     * @throws InvalidConfigurationException if it can't be read whole
      */
-    public static Configuration parseTrusted(byte[] json) throws InvalidConfiguration {
+    public static Configuration parseTrusted(byte[] json) throws InvalidConfigurationException {
         return ConfigurationJson.read(json, Configuration.class);
     }
 
     /** Reads a small example, so that classes load and the validator starts: for an idle moment. */
-    public static void prepareChecks() {
+    public static void warmUpValidation() {
         try {
-            read(EXAMPLE.getBytes(StandardCharsets.UTF_8));
-        } catch (InvalidConfiguration e) {
+            parse(EXAMPLE.getBytes(StandardCharsets.UTF_8));
+        } catch (InvalidConfigurationException e) {
             throw new AssertionError("the example is valid", e);
         }
     }
--- a/configuration/src/main/java/burlarch/configuration/ConfigurationJson.java
+++ b/configuration/src/main/java/burlarch/configuration/ConfigurationJson.java
@@ -33,7 +33,7 @@
 
     private ConfigurationJson() {}
 
-    static ObjectNode readObject(byte[] json) throws InvalidConfiguration {
+    static ObjectNode readObject(byte[] json) throws InvalidConfigurationException {
         JsonNode tree;
         try {
             tree = MAPPER.readTree(json);
@@ -43,10 +43,10 @@
         if (tree instanceof ObjectNode object) {
             return object;
         }
-        throw new InvalidConfiguration("", "not a JSON object");
+        throw new InvalidConfigurationException("", "not a JSON object");
     }
 
-    static <T> T read(byte[] json, Class<T> type) throws InvalidConfiguration {
+    static <T> T read(byte[] json, Class<T> type) throws InvalidConfigurationException {
         try {
             return whole(MAPPER.readValue(json, type));
         } catch (IOException e) {
@@ -54,7 +54,7 @@
         }
     }
 
-    static <T> T convert(JsonNode tree, Class<T> type) throws InvalidConfiguration {
+    static <T> T convert(JsonNode tree, Class<T> type) throws InvalidConfigurationException {
         try {
             return whole(MAPPER.treeToValue(tree, type));
         } catch (JsonProcessingException e) {
@@ -62,9 +62,9 @@
         }
     }
 
-    private static <T> T whole(T value) throws InvalidConfiguration {
+    private static <T> T whole(T value) throws InvalidConfigurationException {
         if (value == null) {
-            throw new InvalidConfiguration("", "not a JSON object");
+            throw new InvalidConfigurationException("", "not a JSON object");
         }
         return value;
     }
@@ -78,12 +78,12 @@
         }
     }
 
-    private static InvalidConfiguration unreadable(IOException e) {
+    private static InvalidConfigurationException unreadable(IOException e) {
         if (!(e instanceof JsonProcessingException told)) {
-            return new InvalidConfiguration("", "not JSON: " + e.getMessage());
+            return new InvalidConfigurationException("", "not JSON: " + e.getMessage());
         }
         String field = e instanceof JsonMappingException mapping ? path(mapping) : "";
-        return new InvalidConfiguration(field, told.getOriginalMessage());
+        return new InvalidConfigurationException(field, told.getOriginalMessage());
     }
 
     private static String path(JsonMappingException e) {
--- a/configuration/src/main/java/burlarch/configuration/ConfigurationPatch.java
+++ b/configuration/src/main/java/burlarch/configuration/ConfigurationPatch.java
@@ -27,7 +27,7 @@
     }
 
     /** Reads a patch and checks its form. What it makes of a configuration is checked by {@link #applyTo}. */
-    public static ConfigurationPatch read(byte[] json) throws InvalidConfiguration {
+    public static ConfigurationPatch parse(byte[] json) throws InvalidConfigurationException {
         ObjectNode tree = ConfigurationJson.readObject(json);
         ConfigurationDocument.checkVersion(tree);
         checkLists(tree, UPSERT);
@@ -35,31 +35,31 @@
         return new ConfigurationPatch(tree);
     }
 
-    private static void checkLists(ObjectNode tree, String change) throws InvalidConfiguration {
+    private static void checkLists(ObjectNode tree, String change) throws InvalidConfigurationException {
         JsonNode lists = tree.path(change);
         if (lists.isMissingNode() || lists.isNull()) {
             return;
         }
         if (!lists.isObject()) {
-            throw new InvalidConfiguration(change, "must be an object of lists");
+            throw new InvalidConfigurationException(change, "must be an object of lists");
         }
         for (Map.Entry<String, JsonNode> list : lists.properties()) {
             checkItems(change + "." + list.getKey(), list.getValue(), change.equals(UPSERT));
         }
     }
 
-    private static void checkItems(String field, JsonNode list, boolean whole) throws InvalidConfiguration {
+    private static void checkItems(String field, JsonNode list, boolean whole) throws InvalidConfigurationException {
         if (!list.isArray()) {
-            throw new InvalidConfiguration(field, "must be a list");
+            throw new InvalidConfigurationException(field, "must be a list");
         }
         Set<String> names = new HashSet<>();
         for (int i = 0; i < list.size(); i++) {
             JsonNode name = whole ? list.get(i).path(NAME) : list.get(i);
             if (!name.isTextual()) {
-                throw new InvalidConfiguration(field + "[" + i + "]", "must be or have a name");
+                throw new InvalidConfigurationException(field + "[" + i + "]", "must be or have a name");
             }
             if (!names.add(name.textValue()) && whole) {
-                throw new InvalidConfiguration(field + "[" + i + "]", "another item has this name");
+                throw new InvalidConfigurationException(field + "[" + i + "]", "another item has this name");
             }
         }
     }
@@ -79,7 +79,7 @@
     }
 
     /** The base with this change, checked as a whole. Neither of the two changes. */
-    public ConfigurationDocument applyTo(ConfigurationDocument base) throws InvalidConfiguration {
+    public ConfigurationDocument applyTo(ConfigurationDocument base) throws InvalidConfigurationException {
         ObjectNode changed = ConfigurationJson.readObject(base.json());
         for (Map.Entry<String, JsonNode> field : tree.properties()) {
             if (!field.getKey().equals(UPSERT) && !field.getKey().equals(DELETE)) {
@@ -97,7 +97,7 @@
         return ConfigurationDocument.of(changed);
     }
 
-    private static ArrayNode listOf(ObjectNode changed, String name) throws InvalidConfiguration {
+    private static ArrayNode listOf(ObjectNode changed, String name) throws InvalidConfigurationException {
         JsonNode list = changed.path(name);
         if (list.isMissingNode() || list.isNull()) {
             return changed.putArray(name);
@@ -105,7 +105,7 @@
         if (list instanceof ArrayNode array) {
             return array;
         }
-        throw new InvalidConfiguration(name, "has no named items");
+        throw new InvalidConfigurationException(name, "has no named items");
     }
 
     private static void upsert(ArrayNode list, JsonNode items) {
--- a/configuration/src/main/java/burlarch/configuration/FieldChecks.java
+++ b/configuration/src/main/java/burlarch/configuration/ConstraintValidator.java
@@ -17,16 +17,16 @@
 import org.hibernate.validator.spi.nodenameprovider.PropertyNodeNameProvider;
 
 /** Checks single fields by their constraints. The validator starts with the first check, never before. */
-final class FieldChecks {
-    private FieldChecks() {}
+final class ConstraintValidator {
+    private ConstraintValidator() {}
 
     /** All broken constraints, by the names of the document, in the order of fields' paths. */
-    static List<Problem> check(DeclaredConfiguration declared) {
-        List<Problem> problems = new ArrayList<>();
-        for (ConstraintViolation<DeclaredConfiguration> each : Started.VALIDATOR.validate(declared)) {
-            problems.add(new Problem(field(each.getPropertyPath()), each.getMessage()));
+    static List<ConfigurationProblem> check(ConfigurationConstraints declared) {
+        List<ConfigurationProblem> problems = new ArrayList<>();
+        for (ConstraintViolation<ConfigurationConstraints> each : Started.VALIDATOR.validate(declared)) {
+            problems.add(new ConfigurationProblem(field(each.getPropertyPath()), each.getMessage()));
         }
-        problems.sort(Comparator.comparing(Problem::field).thenComparing(Problem::reason));
+        problems.sort(Comparator.comparing(ConfigurationProblem::field).thenComparing(ConfigurationProblem::reason));
         return problems;
     }
 
--- a/configuration/src/main/java/burlarch/configuration/ConfigurationRules.java
+++ b/configuration/src/main/java/burlarch/configuration/CrossReferenceValidator.java
@@ -13,12 +13,12 @@
 import java.util.function.Function;
 
 /** How the parts of a configuration must fit together. Expects single fields to be sound. */
-final class ConfigurationRules {
+final class CrossReferenceValidator {
     private final Configuration configuration;
-    private final List<Problem> problems = new ArrayList<>();
+    private final List<ConfigurationProblem> problems = new ArrayList<>();
     private final Map<String, Service> services = new HashMap<>();
 
-    private ConfigurationRules(Configuration configuration) {
+    private CrossReferenceValidator(Configuration configuration) {
         this.configuration = configuration;
         for (Service service : configuration.services()) {
             services.putIfAbsent(service.name(), service);
@@ -26,8 +26,8 @@
     }
 
     /** All that doesn't fit; empty if the configuration is valid. */
-    static List<Problem> check(Configuration configuration) {
-        ConfigurationRules rules = new ConfigurationRules(configuration);
+    static List<ConfigurationProblem> check(Configuration configuration) {
+        CrossReferenceValidator rules = new CrossReferenceValidator(configuration);
         rules.checkNames("routes", configuration.routes(), Route::name);
         rules.checkNames("services", configuration.services(), Service::name);
         rules.checkNames("tenants", configuration.tenants(), Tenant::name);
@@ -38,7 +38,7 @@
     }
 
     private void add(String field, String reason) {
-        problems.add(new Problem(field, reason));
+        problems.add(new ConfigurationProblem(field, reason));
     }
 
     private <T> void checkNames(String list, List<T> items, Function<T, String> name) {
--- a/configuration/src/main/java/burlarch/configuration/DocumentDelta.java
+++ b/configuration/src/main/java/burlarch/configuration/DocumentDelta.java
@@ -23,7 +23,7 @@
     /** The base of a delta that holds the whole document. */
     public static final byte[] NO_BASE = {};
     /** The longest document. */
-    public static final int MOST_DOCUMENT_BYTES = 8 << 20;
+    public static final int MAX_DOCUMENT_BYTES = 8 << 20;
 
     private static final int DIGEST_BYTES = 16;
     private static final int STEPS_AT = 2 * DIGEST_BYTES;
@@ -34,7 +34,7 @@
     public static byte[] between(byte[] base, byte[] result) {
         ByteArrayOutputStream steps = new ByteArrayOutputStream();
         writeSteps(base, result, new DataOutputStream(steps));
-        byte[] compressed = CompressedBytes.compress(steps.toByteArray());
+        byte[] compressed = ZlibCompression.compress(steps.toByteArray());
         byte[] delta = Arrays.copyOf(digest(base), STEPS_AT + compressed.length);
         System.arraycopy(digest(result), 0, delta, DIGEST_BYTES, DIGEST_BYTES);
         System.arraycopy(compressed, 0, delta, STEPS_AT, compressed.length);
@@ -44,11 +44,11 @@
     /**
      * The result of a delta.
      *
-     * @throws DeltaMismatch where the base is another one, or what comes out is not the result that was meant
+     * @throws DeltaMismatchException where the base is another one, or what comes out is not the result that was meant
      */
-    public static byte[] apply(byte[] base, byte[] delta) throws DeltaMismatch {
+    public static byte[] apply(byte[] base, byte[] delta) throws DeltaMismatchException {
         if (delta.length < STEPS_AT) {
-            throw new DeltaMismatch("a delta of " + delta.length + " bytes", null);
+            throw new DeltaMismatchException("a delta of " + delta.length + " bytes", null);
         }
         requireDigest("base", base, delta, 0);
         byte[] result = result(base, delta);
@@ -56,23 +56,24 @@
         return result;
     }
 
-    private static void requireDigest(String which, byte[] document, byte[] delta, int offset) throws DeltaMismatch {
+    private static void requireDigest(String which, byte[] document, byte[] delta, int offset)
+            throws DeltaMismatchException {
         if (!Arrays.equals(digest(document), 0, DIGEST_BYTES, delta, offset, offset + DIGEST_BYTES)) {
-            throw new DeltaMismatch("the " + which + " has another digest", null);
+            throw new DeltaMismatchException("the " + which + " has another digest", null);
         }
     }
 
-    private static byte[] result(byte[] base, byte[] delta) throws DeltaMismatch {
+    private static byte[] result(byte[] base, byte[] delta) throws DeltaMismatchException {
         ByteArrayOutputStream result = new ByteArrayOutputStream(base.length);
         try {
-            byte[] steps = CompressedBytes.expand(delta, STEPS_AT, 2 * MOST_DOCUMENT_BYTES);
+            byte[] steps = ZlibCompression.decompress(delta, STEPS_AT, 2 * MAX_DOCUMENT_BYTES);
             DataInputStream in = new DataInputStream(new ByteArrayInputStream(steps));
             while (in.available() > 0) {
                 takeNewBytes(in, result);
                 takeCopy(in, base, result);
             }
         } catch (IOException | DataFormatException garbled) {
-            throw new DeltaMismatch("a garbled delta: " + garbled.getMessage(), garbled);
+            throw new DeltaMismatchException("a garbled delta: " + garbled.getMessage(), garbled);
         }
         return result.toByteArray();
     }
@@ -89,18 +90,18 @@
         int from = in.readInt();
         int length = in.readInt();
         boolean inside = from >= 0 && length >= 0 && from <= base.length - length;
-        if (!inside || result.size() + length > MOST_DOCUMENT_BYTES) {
+        if (!inside || result.size() + length > MAX_DOCUMENT_BYTES) {
             throw new IOException("a copy of " + length + " bytes from " + from);
         }
         result.write(base, from, length);
     }
 
     private static void writeSteps(byte[] base, byte[] result, DataOutputStream out) {
-        MatchFinder finder = new MatchFinder(base, result);
+        RollingHashMatcher finder = new RollingHashMatcher(base, result);
         int at = 0;
         try {
             while (at < result.length) {
-                MatchFinder.Match match = finder.next(at);
+                RollingHashMatcher.Match match = finder.next(at);
                 out.writeInt(match.resultStart() - at);
                 out.write(result, at, match.resultStart() - at);
                 out.writeInt(match.baseStart());
--- a/configuration/src/main/java/burlarch/configuration/MatchFinder.java
+++ b/configuration/src/main/java/burlarch/configuration/RollingHashMatcher.java
@@ -8,7 +8,7 @@
  * Finds pieces of a base in a result, as rsync does it: blocks of the base by hash, a window that rolls over
  * the result, matches made as long as they go in both directions. Time and space grow with the lengths.
  */
-final class MatchFinder {
+final class RollingHashMatcher {
     private static final int BLOCK_BYTES = 32;
     private static final int MULTIPLIER = 31;
     private static final int LAST_WEIGHT = lastWeight();
@@ -22,7 +22,7 @@
     /** A piece of the base that is found in the result. Its length is 0 at the end of the result. */
     record Match(int baseStart, int resultStart, int length) {}
 
-    MatchFinder(byte[] base, byte[] result) {
+    RollingHashMatcher(byte[] base, byte[] result) {
         this.base = base;
         this.result = result;
         for (int start = 0; start + BLOCK_BYTES <= base.length; start += BLOCK_BYTES) {
--- a/configuration/src/main/java/burlarch/configuration/WeightedSplit.java
+++ b/configuration/src/main/java/burlarch/configuration/TrafficSplitter.java
@@ -5,12 +5,12 @@
 import java.util.List;
 
 /** Shares a route's requests out over its services. */
-public final class WeightedSplit {
+public final class TrafficSplitter {
     private static final int DROPPED_BITS = 11;
     /** What is left of a hash, as a part of 1. */
     private static final double UNIT = 0x1p-53;
 
-    private WeightedSplit() {}
+    private TrafficSplitter() {}
 
     /**
      * The service that a request goes to. A split goes before the route's single service.
--- a/configuration/src/main/java/burlarch/configuration/CompressedBytes.java
+++ b/configuration/src/main/java/burlarch/configuration/ZlibCompression.java
@@ -9,12 +9,12 @@
  * Bytes in the zlib format, at the cheapest level: a configuration of hundreds of routes shrinks to a tenth
  * for some milliseconds of processor time. Equal bytes compress to equal bytes.
  */
-public final class CompressedBytes {
+public final class ZlibCompression {
     private static final int BUFFER_BYTES = 16 << 10;
 
-    private CompressedBytes() {}
+    private ZlibCompression() {}
 
-    /** The compressed form, which {@link #expand} turns back. */
+    /** The compressed form, which {@link #decompress} turns back. */
     public static byte[] compress(byte[] bytes) {
         Deflater deflater = new Deflater(Deflater.BEST_SPEED);
         try {
@@ -38,7 +38,7 @@
      * @param mostBytes the most that may come out, so that a garbled form can't fill the memory
      * @throws DataFormatException for what {@link #compress} didn't make, or made of more bytes
      */
-    public static byte[] expand(byte[] compressed, int offset, int mostBytes) throws DataFormatException {
+    public static byte[] decompress(byte[] compressed, int offset, int mostBytes) throws DataFormatException {
         Inflater inflater = new Inflater();
         try {
             inflater.setInput(compressed, offset, compressed.length - offset);
--- a/controller/src/main/java/burlarch/controller/ControllerProgram.java
+++ b/controller/src/main/java/burlarch/controller/ControllerProgram.java
@@ -92,7 +92,7 @@
             membership.start();
             serve(settings, service, membership);
         });
-        ConfigurationDocument.prepareChecks();
+        ConfigurationDocument.warmUpValidation();
     }
 
     private static ControllerSettings controllerSettings(
--- a/controller/src/main/java/burlarch/controller/api/ControlJson.java
+++ b/controller/src/main/java/burlarch/controller/api/ControlJson.java
@@ -1,6 +1,6 @@
 package burlarch.controller.api;
 
-import burlarch.configuration.Problem;
+import burlarch.configuration.ConfigurationProblem;
 import burlarch.controller.error.ControlException;
 import burlarch.controller.error.ErrorKind;
 import com.fasterxml.jackson.core.JsonProcessingException;
@@ -80,7 +80,7 @@
     static byte[] error(ControlException failure) {
         ObjectNode error = MAPPER.createObjectNode().put("error", failure.kind().code());
         ArrayNode problems = error.putArray("problems");
-        for (Problem problem : failure.problems()) {
+        for (ConfigurationProblem problem : failure.problems()) {
             if (problems.size() < MAX_PROBLEMS) {
                 problems.addObject().put("field", truncate(problem.field())).put("reason", truncate(problem.reason()));
             }
--- a/controller/src/main/java/burlarch/controller/api/OperatorService.java
+++ b/controller/src/main/java/burlarch/controller/api/OperatorService.java
@@ -2,7 +2,7 @@
 
 import burlarch.configuration.ConfigurationDocument;
 import burlarch.configuration.ConfigurationPatch;
-import burlarch.configuration.InvalidConfiguration;
+import burlarch.configuration.InvalidConfigurationException;
 import burlarch.controller.distribution.RouterPublisher;
 import burlarch.controller.error.ControlException;
 import burlarch.controller.error.ErrorKind;
@@ -64,8 +64,8 @@
     public CompletableFuture<Void> putConfiguration(byte[] body, long ifMatch) {
         ConfigurationDocument document;
         try {
-            document = ConfigurationDocument.read(body);
-        } catch (InvalidConfiguration invalid) {
+            document = ConfigurationDocument.parse(body);
+        } catch (InvalidConfigurationException invalid) {
             return CompletableFuture.failedFuture(rejection(invalid));
         }
         return changeConfiguration(
@@ -79,8 +79,8 @@
     public CompletableFuture<Void> patchConfiguration(byte[] body, long ifMatch) {
         ConfigurationPatch patch;
         try {
-            patch = ConfigurationPatch.read(body);
-        } catch (InvalidConfiguration invalid) {
+            patch = ConfigurationPatch.parse(body);
+        } catch (InvalidConfigurationException invalid) {
             return CompletableFuture.failedFuture(rejection(invalid));
         }
         return changeConfiguration(
@@ -90,7 +90,7 @@
                 state -> StateChanges.patchConfiguration(state, ifMatch, patch, patch.digest()));
     }
 
-    private static ControlException rejection(InvalidConfiguration invalid) {
+    private static ControlException rejection(InvalidConfigurationException invalid) {
         return new ControlException(ErrorKind.INVALID, invalid.problems());
     }
 
--- a/controller/src/main/java/burlarch/controller/error/ControlException.java
+++ b/controller/src/main/java/burlarch/controller/error/ControlException.java
@@ -1,6 +1,6 @@
 package burlarch.controller.error;
 
-import burlarch.configuration.Problem;
+import burlarch.configuration.ConfigurationProblem;
 import java.util.List;
 
 /**
@@ -11,7 +11,7 @@
     private static final long serialVersionUID = 1L;
 
     private final ErrorKind kind;
-    private final transient List<Problem> problems;
+    private final transient List<ConfigurationProblem> problems;
 
     /** A failure that its kind describes completely. */
     public ControlException(ErrorKind kind) {
@@ -20,11 +20,11 @@
 
     /** A failure with one problem in the content. */
     public ControlException(ErrorKind kind, String field, String reason) {
-        this(kind, List.of(new Problem(field, reason)));
+        this(kind, List.of(new ConfigurationProblem(field, reason)));
     }
 
     /** A failure with all problems that were found in the content. */
-    public ControlException(ErrorKind kind, List<Problem> problems) {
+    public ControlException(ErrorKind kind, List<ConfigurationProblem> problems) {
         super(kind + " " + problems, null, false, false);
         this.kind = kind;
         this.problems = List.copyOf(problems);
@@ -36,7 +36,7 @@
     }
 
     /** The problems in the content; empty where the kind says it all. */
-    public List<Problem> problems() {
+    public List<ConfigurationProblem> problems() {
         return problems;
     }
 }
--- a/controller/src/main/java/burlarch/controller/peers/ControllerPeers.java
+++ b/controller/src/main/java/burlarch/controller/peers/ControllerPeers.java
@@ -2,7 +2,7 @@
 
 import burlarch.coordination.register.acceptorset.AcceptorMember;
 import burlarch.coordination.register.acceptorset.AcceptorSetPlanner.Candidate;
-import burlarch.settings.Addresses;
+import burlarch.settings.LiteralAddresses;
 import burlarch.transport.EventLoop;
 import burlarch.transport.NodeMessage;
 import burlarch.transport.PeerConnection;
@@ -89,7 +89,7 @@
         for (String address : addresses) {
             if (!address.equals(ownAddress) && !peers.containsKey(address) && makeRoom()) {
                 peers.put(address, new Peer(loop.nanoTime()));
-                connections.connect(Addresses.parse(address));
+                connections.connect(LiteralAddresses.parse(address));
             }
         }
     }
@@ -117,7 +117,7 @@
             return false;
         }
         peers.remove(longest);
-        connections.disconnect(Addresses.parse(longest));
+        connections.disconnect(LiteralAddresses.parse(longest));
         return true;
     }
 
--- a/controller/src/main/java/burlarch/controller/state/ChangeResult.java
+++ b/controller/src/main/java/burlarch/controller/state/ChangeResult.java
@@ -1,6 +1,6 @@
 package burlarch.controller.state;
 
-import burlarch.configuration.Problem;
+import burlarch.configuration.ConfigurationProblem;
 import burlarch.controller.error.ControlException;
 import burlarch.controller.error.ErrorKind;
 import java.util.List;
@@ -20,13 +20,13 @@
      * @param reason why
      * @param problems the rules that the change breaks; empty unless the reason is {@link UnchangedReason#INVALID}
      */
-    record Unchanged(UnchangedReason reason, List<Problem> problems) implements ChangeResult {
+    record Unchanged(UnchangedReason reason, List<ConfigurationProblem> problems) implements ChangeResult {
         static final Unchanged ALREADY_APPLIED = new Unchanged(UnchangedReason.ALREADY_APPLIED, List.of());
         static final Unchanged CONFLICT = new Unchanged(UnchangedReason.CONFLICT, List.of());
         static final Unchanged UNCLEAR = new Unchanged(UnchangedReason.UNCLEAR, List.of());
 
         static Unchanged invalid(String field, String reason) {
-            return new Unchanged(UnchangedReason.INVALID, List.of(new Problem(field, reason)));
+            return new Unchanged(UnchangedReason.INVALID, List.of(new ConfigurationProblem(field, reason)));
         }
 
         /**
--- a/controller/src/main/java/burlarch/controller/state/StateChanges.java
+++ b/controller/src/main/java/burlarch/controller/state/StateChanges.java
@@ -2,7 +2,7 @@
 
 import burlarch.configuration.ConfigurationDocument;
 import burlarch.configuration.ConfigurationPatch;
-import burlarch.configuration.InvalidConfiguration;
+import burlarch.configuration.InvalidConfigurationException;
 import burlarch.controller.state.ChangeResult.Changed;
 import burlarch.controller.state.ChangeResult.Unchanged;
 import burlarch.controller.state.ChangeResult.UnchangedReason;
@@ -51,9 +51,9 @@
             return Unchanged.invalid("", "there is no configuration to change yet");
         }
         try {
-            ConfigurationDocument base = ConfigurationDocument.read(state.configuration());
+            ConfigurationDocument base = ConfigurationDocument.parse(state.configuration());
             return withConfiguration(state, change, patch.applyTo(base));
-        } catch (InvalidConfiguration invalid) {
+        } catch (InvalidConfigurationException invalid) {
             return new Unchanged(UnchangedReason.INVALID, invalid.problems());
         }
     }
--- a/controller/src/main/java/burlarch/controller/state/SystemStateCodec.java
+++ b/controller/src/main/java/burlarch/controller/state/SystemStateCodec.java
@@ -1,6 +1,6 @@
 package burlarch.controller.state;
 
-import burlarch.configuration.CompressedBytes;
+import burlarch.configuration.ZlibCompression;
 import com.fasterxml.jackson.annotation.JsonAutoDetect.Visibility;
 import com.fasterxml.jackson.annotation.PropertyAccessor;
 import com.fasterxml.jackson.core.JsonProcessingException;
@@ -33,7 +33,7 @@
     /** The bytes of a state. */
     public static byte[] encode(SystemState state) {
         try {
-            byte[] compressed = CompressedBytes.compress(MAPPER.writeValueAsBytes(state));
+            byte[] compressed = ZlibCompression.compress(MAPPER.writeValueAsBytes(state));
             byte[] payload = new byte[1 + compressed.length];
             payload[0] = COMPRESSED;
             System.arraycopy(compressed, 0, payload, 1, compressed.length);
@@ -53,7 +53,7 @@
             return SystemState.EMPTY;
         }
         try {
-            byte[] plain = payload[0] == COMPRESSED ? CompressedBytes.expand(payload, 1, MAX_STATE_BYTES) : payload;
+            byte[] plain = payload[0] == COMPRESSED ? ZlibCompression.decompress(payload, 1, MAX_STATE_BYTES) : payload;
             return MAPPER.readValue(plain, SystemState.class);
         } catch (DataFormatException broken) {
             throw new UncheckedIOException(new IOException(broken));
--- a/node/src/main/java/burlarch/node/NodeAddresses.java
+++ b/node/src/main/java/burlarch/node/NodeAddresses.java
@@ -1,6 +1,6 @@
 package burlarch.node;
 
-import burlarch.settings.Addresses;
+import burlarch.settings.LiteralAddresses;
 import java.net.InetSocketAddress;
 import java.util.List;
 
@@ -25,6 +25,6 @@
 
     /** An address IP:PORT as a socket address. */
     public static InetSocketAddress socket(String address) {
-        return Addresses.parse(address);
+        return LiteralAddresses.parse(address);
     }
 }
--- a/node/src/main/java/burlarch/node/NodeSettingsReader.java
+++ b/node/src/main/java/burlarch/node/NodeSettingsReader.java
@@ -4,10 +4,10 @@
 import burlarch.node.NodeSettings.Limits;
 import burlarch.node.NodeSettings.Listen;
 import burlarch.node.NodeSettings.PortRange;
-import burlarch.settings.Addresses;
-import burlarch.settings.OperatorFile;
-import burlarch.settings.Section;
-import burlarch.settings.SettingsCheck;
+import burlarch.settings.LiteralAddresses;
+import burlarch.settings.SettingsFile;
+import burlarch.settings.SettingsSection;
+import burlarch.settings.SettingsErrorCollector;
 import burlarch.settings.SettingsException;
 import java.net.InetSocketAddress;
 import java.nio.file.Path;
@@ -22,19 +22,19 @@
     private static final int MAX_COUNT = 1_000_000_000;
     private static final double MAX_MILLIS = 1e12;
 
-    private final SettingsCheck check = new SettingsCheck();
-    private final OperatorFile file;
+    private final SettingsErrorCollector check = new SettingsErrorCollector();
+    private final SettingsFile file;
     /** Has the file's name and no content: its tables stand for missing ones. */
-    private final OperatorFile blank;
+    private final SettingsFile blank;
 
-    private NodeSettingsReader(OperatorFile file, OperatorFile blank) {
+    private NodeSettingsReader(SettingsFile file, SettingsFile blank) {
         this.file = file;
         this.blank = blank;
     }
 
     static NodeSettings load(Path path) throws SettingsException {
-        OperatorFile blank = OperatorFile.parse(path.toString(), "");
-        return new NodeSettingsReader(OperatorFile.load(path), blank).read();
+        SettingsFile blank = SettingsFile.parse(path.toString(), "");
+        return new NodeSettingsReader(SettingsFile.load(path), blank).read();
     }
 
     private NodeSettings read() throws SettingsException {
@@ -105,7 +105,7 @@
 
     private static boolean isAddress(String text) {
         try {
-            return Addresses.parse(text) != null;
+            return LiteralAddresses.parse(text) != null;
         } catch (IllegalArgumentException e) {
             return false;
         }
--- a/operator-cli/src/main/java/burlarch/operator/ConfigCommand.java
+++ b/operator-cli/src/main/java/burlarch/operator/ConfigCommand.java
@@ -2,7 +2,7 @@
 
 import burlarch.configuration.ConfigurationDocument;
 import burlarch.configuration.ConfigurationPatch;
-import burlarch.configuration.InvalidConfiguration;
+import burlarch.configuration.InvalidConfigurationException;
 import java.io.IOException;
 import java.io.PrintStream;
 import java.nio.file.Files;
@@ -73,8 +73,8 @@
             byte[] json = Files.readAllBytes(file);
             long version;
             try {
-                version = ConfigurationPatch.read(json).version();
-            } catch (InvalidConfiguration invalid) {
+                version = ConfigurationPatch.parse(json).version();
+            } catch (InvalidConfigurationException invalid) {
                 throw RejectionMessages.toFailure(invalid);
             }
             send("PATCH", client(control), json, ifMatch);
@@ -96,8 +96,8 @@
 
     private static ConfigurationDocument valid(byte[] json) throws CommandFailure {
         try {
-            return ConfigurationDocument.read(json);
-        } catch (InvalidConfiguration invalid) {
+            return ConfigurationDocument.parse(json);
+        } catch (InvalidConfigurationException invalid) {
             throw RejectionMessages.toFailure(invalid);
         }
     }
--- a/operator-cli/src/main/java/burlarch/operator/RejectionMessages.java
+++ b/operator-cli/src/main/java/burlarch/operator/RejectionMessages.java
@@ -1,6 +1,6 @@
 package burlarch.operator;
 
-import burlarch.configuration.InvalidConfiguration;
+import burlarch.configuration.InvalidConfigurationException;
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.ObjectMapper;
 import java.io.IOException;
@@ -44,7 +44,7 @@
     }
 
     /** The failure that a local check found. */
-    static CommandFailure toFailure(InvalidConfiguration invalid) {
+    static CommandFailure toFailure(InvalidConfigurationException invalid) {
         List<String> lines = new ArrayList<>();
         invalid.problems().forEach(problem -> lines.add(line(problem.field(), problem.reason())));
         return new CommandFailure(CommandFailure.INVALID, String.join(System.lineSeparator(), lines));
--- a/proxy/src/main/java/burlarch/proxy/Features.java
+++ b/proxy/src/main/java/burlarch/proxy/Features.java
@@ -6,8 +6,8 @@
 import burlarch.proxy.status.StatusSettings;
 import burlarch.proxy.tls.TlsSettings;
 import burlarch.proxy.trace.TraceSettings;
-import burlarch.settings.OperatorFile;
 import burlarch.settings.SettingsException;
+import burlarch.settings.SettingsFile;
 import java.nio.file.Path;
 
 /** What the command line and the operator's file switch on; {@code hotList} is null without its flag. */
@@ -72,7 +72,7 @@
     }
 
     static Features load(Arguments arguments) throws SettingsException {
-        OperatorFile file = arguments.config() == null ? OperatorFile.none() : OperatorFile.load(arguments.config());
+        SettingsFile file = arguments.config() == null ? SettingsFile.empty() : SettingsFile.load(arguments.config());
         MultiGetSettings multiGet = MultiGetSettings.read(file.section("multiget"));
         // Read without its flag too: a mistake there should not wait for the day that it is wanted.
         HotListSettings hotList = HotListSettings.read(file.section("hotlist"));
@@ -80,7 +80,7 @@
         TlsSettings tls = TlsSettings.read(file.section("tls"));
         TraceSettings trace = TraceSettings.read(file.section("trace"));
         OwnLoadSettings ownLoad = OwnLoadSettings.read(file.section("own_load"));
-        file.refuseUnread();
+        file.rejectUnreadKeys();
         return new Features(multiGet, arguments.hotList() ? hotList : null, status, tls, trace, ownLoad);
     }
 }
--- a/proxy/src/main/java/burlarch/proxy/MembershipWatch.java
+++ b/proxy/src/main/java/burlarch/proxy/MembershipWatch.java
@@ -3,7 +3,7 @@
 import burlarch.decisions.Api.ListKind;
 import burlarch.decisions.Api.Server;
 import burlarch.decisions.Api.Stage;
-import burlarch.settings.Addresses;
+import burlarch.settings.LiteralAddresses;
 import burlarch.wire.Instance;
 import burlarch.wire.Json;
 import io.netty.bootstrap.Bootstrap;
@@ -206,7 +206,7 @@
 
     private static InetSocketAddress address(Json entry) throws IOException {
         try {
-            return Addresses.parse(entry.get("hostPort").text(""));
+            return LiteralAddresses.parse(entry.get("hostPort").text(""));
         } catch (IllegalArgumentException e) {
             throw new IOException(e.getMessage(), e);
         }
--- a/proxy/src/main/java/burlarch/proxy/ProxyConfig.java
+++ b/proxy/src/main/java/burlarch/proxy/ProxyConfig.java
@@ -1,6 +1,6 @@
 package burlarch.proxy;
 
-import burlarch.settings.Addresses;
+import burlarch.settings.LiteralAddresses;
 import burlarch.wire.Json;
 import burlarch.wire.WireHost;
 import java.io.IOException;
@@ -65,7 +65,7 @@
             throw new ConfigException(file + ": " + field + " is missing");
         }
         try {
-            return Addresses.parse(text);
+            return LiteralAddresses.parse(text);
         } catch (IllegalArgumentException e) {
             throw new ConfigException(file + ": " + field + " is not an address and a port: " + text);
         }
--- a/proxy/src/main/java/burlarch/proxy/hotlist/HotListSettings.java
+++ b/proxy/src/main/java/burlarch/proxy/hotlist/HotListSettings.java
@@ -1,7 +1,7 @@
 package burlarch.proxy.hotlist;
 
-import burlarch.settings.Section;
 import burlarch.settings.SettingsException;
+import burlarch.settings.SettingsSection;
 
 /** The hot list's figures: counters a class, the half-life of its rates, and the entries that are shown. */
 public record HotListSettings(int capacity, long halfLifeNanos, int show) {
@@ -11,10 +11,10 @@
     private static final double SECOND_NANOS = 1e9;
     private static final int DAY_S = 86_400;
 
-    public static HotListSettings read(Section section) throws SettingsException {
+    public static HotListSettings read(SettingsSection section) throws SettingsException {
         return new HotListSettings(
-                section.whole("capacity", 256, 1, CAPACITY_MOST),
+                section.integer("capacity", 256, 1, CAPACITY_MOST),
                 (long) (section.number("half_life_s", 60, 0.1, DAY_S) * SECOND_NANOS),
-                section.whole("show", 20, 1, CAPACITY_MOST));
+                section.integer("show", 20, 1, CAPACITY_MOST));
     }
 }
--- a/proxy/src/main/java/burlarch/proxy/tls/TlsSettings.java
+++ b/proxy/src/main/java/burlarch/proxy/tls/TlsSettings.java
@@ -1,7 +1,7 @@
 package burlarch.proxy.tls;
 
-import burlarch.settings.Section;
 import burlarch.settings.SettingsException;
+import burlarch.settings.SettingsSection;
 import java.net.InetSocketAddress;
 import java.nio.file.Path;
 import java.util.List;
@@ -16,19 +16,19 @@
      *
      * @throws SettingsException if a key is missing or its value is invalid
      */
-    public static TlsSettings read(Section section) throws SettingsException {
+    public static TlsSettings read(SettingsSection section) throws SettingsException {
         TlsSettings settings = new TlsSettings(
                 section.address("listen"),
                 section.path("cert_file"),
                 section.path("key_file"),
                 section.text("min_version", "1.2", List.of("1.2", "1.3")),
                 section.path("client_ca"),
-                section.whole("check_s", 30, 1, DAY_S));
+                section.integer("check_s", 30, 1, DAY_S));
         if (settings.listen != null && settings.certFile == null) {
-            throw section.wrong("cert_file", "is missing");
+            throw section.invalid("cert_file", "is missing");
         }
         if (settings.listen != null && settings.keyFile == null) {
-            throw section.wrong("key_file", "is missing");
+            throw section.invalid("key_file", "is missing");
         }
         return settings;
     }
--- a/router/src/main/java/burlarch/router/ControllerUpdateApplier.java
+++ b/router/src/main/java/burlarch/router/ControllerUpdateApplier.java
@@ -2,7 +2,7 @@
 
 import burlarch.configuration.Configuration;
 import burlarch.configuration.ConfigurationDocument;
-import burlarch.configuration.InvalidConfiguration;
+import burlarch.configuration.InvalidConfigurationException;
 import burlarch.coordination.registry.MergedInstanceView;
 import burlarch.router.control.ControllerLinks;
 import burlarch.router.control.RouterCountMonitor;
@@ -54,7 +54,7 @@
             configuration = newer;
             becomeReadyIfInformed();
             return true;
-        } catch (InvalidConfiguration invalid) {
+        } catch (InvalidConfigurationException invalid) {
             Logger.error("configuration unreadable: version={} error={}", version, invalid.getMessage());
             return false;
         }
--- a/router/src/main/java/burlarch/router/control/ConfigurationInForce.java
+++ b/router/src/main/java/burlarch/router/control/ConfigurationInForce.java
@@ -1,6 +1,6 @@
 package burlarch.router.control;
 
-import burlarch.configuration.DeltaMismatch;
+import burlarch.configuration.DeltaMismatchException;
 import burlarch.configuration.DocumentDelta;
 import burlarch.transport.NodeMessage.ConfigurationChange;
 
@@ -16,9 +16,9 @@
     /**
      * The configuration that results from applying a change to this one.
      *
-     * @throws DeltaMismatch if the change is based on another document, or does not yield the intended one
+     * @throws DeltaMismatchException if the change is based on another document, or does not yield the intended one
      */
-    ConfigurationInForce apply(ConfigurationChange change) throws DeltaMismatch {
+    ConfigurationInForce apply(ConfigurationChange change) throws DeltaMismatchException {
         byte[] base = change.carriesCompleteDocument() ? DocumentDelta.NO_BASE : document;
         return new ConfigurationInForce(change.version(), DocumentDelta.apply(base, change.delta()));
     }
--- a/router/src/main/java/burlarch/router/control/ControllerLinks.java
+++ b/router/src/main/java/burlarch/router/control/ControllerLinks.java
@@ -1,10 +1,10 @@
 package burlarch.router.control;
 
-import burlarch.configuration.DeltaMismatch;
+import burlarch.configuration.DeltaMismatchException;
 import burlarch.coordination.ownership.RendezvousAssignment;
 import burlarch.coordination.registry.Instance;
 import burlarch.coordination.registry.MergedInstanceView;
-import burlarch.settings.Addresses;
+import burlarch.settings.LiteralAddresses;
 import burlarch.transport.NodeMessage;
 import burlarch.transport.NodeMessage.ConfigurationAck;
 import burlarch.transport.NodeMessage.ConfigurationChange;
@@ -89,7 +89,7 @@
         for (String address : addresses) {
             if (!moveToEnd(address) && makeRoom(addresses)) {
                 controllers.add(address);
-                transport.connect(Addresses.parse(address));
+                transport.connect(LiteralAddresses.parse(address));
             }
         }
     }
@@ -110,7 +110,7 @@
         for (String address : controllers) {
             if (!needed.contains(address)) {
                 controllers.remove(address);
-                transport.disconnect(Addresses.parse(address));
+                transport.disconnect(LiteralAddresses.parse(address));
                 return true;
             }
         }
@@ -199,7 +199,7 @@
         }
         try {
             onConfiguration(connection, configuration.apply(change));
-        } catch (DeltaMismatch mismatch) {
+        } catch (DeltaMismatchException mismatch) {
             Logger.warn(
                     "configuration change rejected: controller={} base={} version={} inForce={} error={}",
                     connection.peerHello().nodeName(),
--- a/routing/src/main/java/burlarch/routing/planner/FleetPlanner.java
+++ b/routing/src/main/java/burlarch/routing/planner/FleetPlanner.java
@@ -1,7 +1,7 @@
 package burlarch.routing.planner;
 
 import burlarch.configuration.Configuration;
-import burlarch.configuration.WeightedSplit;
+import burlarch.configuration.TrafficSplitter;
 import burlarch.coordination.registry.Instance;
 import burlarch.routing.AttemptOutcome;
 import burlarch.routing.KvEvents;
@@ -107,7 +107,7 @@
 
     /** The service of the route, or one of its weighted services; the same for all attempts of a request. */
     private static String serviceOf(RouteRequest request) {
-        return WeightedSplit.pick(request.route(), RendezvousHash.hash(request.id()));
+        return TrafficSplitter.pick(request.route(), RendezvousHash.hash(request.id()));
     }
 
     private Placement planPlain(
--- a/settings/src/main/java/burlarch/settings/Addresses.java
+++ b/settings/src/main/java/burlarch/settings/LiteralAddresses.java
@@ -5,8 +5,8 @@
 import java.net.UnknownHostException;
 
 /** Addresses as they stand in files and lists. */
-public final class Addresses {
-    private Addresses() {}
+public final class LiteralAddresses {
+    private LiteralAddresses() {}
 
     /** A literal address and a port, as {@code 10.0.0.4:8081}: there is no DNS, and a look-up would block. */
     public static InetSocketAddress parse(String hostPort) {
--- a/settings/src/main/java/burlarch/settings/OperatorFile.java
+++ b/settings/src/main/java/burlarch/settings/SettingsFile.java
@@ -21,20 +21,20 @@
  * The operator's TOML file, read once at the start. Each feature reads its section; whatever nobody has read
  * by then is a mistake, most likely a misspelt name, and not to be passed over.
  */
-public final class OperatorFile {
+public final class SettingsFile {
     private final String name;
     private final Map<String, Object> values;
-    private final List<Section> sections = new ArrayList<>();
+    private final List<SettingsSection> sections = new ArrayList<>();
     private final Set<String> read = new HashSet<>();
 
-    private OperatorFile(String name, Map<String, Object> values) {
+    private SettingsFile(String name, Map<String, Object> values) {
         this.name = name;
         this.values = values;
     }
 
     /** Stands in for a file where none is given: all defaults. */
-    public static OperatorFile none() {
-        return new OperatorFile("", Map.of());
+    public static SettingsFile empty() {
+        return new SettingsFile("", Map.of());
     }
 
     /**
@@ -42,7 +42,7 @@
      *
      * @throws SettingsException if there is no such file, it can't be read, or it is no valid TOML
      */
-    public static OperatorFile load(Path file) throws SettingsException {
+    public static SettingsFile load(Path file) throws SettingsException {
         try {
             return parse(file.toString(), Files.readString(file));
         } catch (NoSuchFileException e) {
@@ -59,18 +59,18 @@
      * it. A table of its own adds to the base's and goes before it, key by key; a list of tables takes the
      * base's place.
      */
-    public static OperatorFile loadWithBase(Path file) throws SettingsException {
-        OperatorFile own = load(file);
+    public static SettingsFile loadWithBase(Path file) throws SettingsException {
+        SettingsFile own = load(file);
         Object base = own.values.get("base");
         if (base == null) {
             return own;
         }
         if (!(base instanceof String text) || text.isBlank()) {
-            throw own.wrong("base", "must be the name of a file beside this one");
+            throw own.invalid("base", "must be the name of a file beside this one");
         }
-        OperatorFile under = load(file.resolveSibling(text));
+        SettingsFile under = load(file.resolveSibling(text));
         if (under.values.containsKey("base")) {
-            throw under.wrong("base", "has no place in a file that is a base itself");
+            throw under.invalid("base", "has no place in a file that is a base itself");
         }
         Map<String, Object> merged = new LinkedHashMap<>(under.values);
         for (Map.Entry<String, Object> entry : own.values.entrySet()) {
@@ -85,13 +85,13 @@
             }
         }
         merged.remove("base");
-        return new OperatorFile(own.name, merged);
+        return new SettingsFile(own.name, merged);
     }
 
     /** @param name of the file, for messages */
-    public static OperatorFile parse(String name, String text) throws SettingsException {
+    public static SettingsFile parse(String name, String text) throws SettingsException {
         try {
-            return new OperatorFile(
+            return new SettingsFile(
                     name, new TomlParser().parse(new StringReader(text)).valueMap());
         } catch (ParsingException e) {
             throw new SettingsException(name + ": not TOML: "
@@ -104,35 +104,36 @@
     }
 
     /** What stands above all tables, and the tables themselves as values. For files whose keys may grow. */
-    public Section top() {
-        return new Section(name, "", values);
+    public SettingsSection top() {
+        return new SettingsSection(name, "", values);
     }
 
     /** The table of one feature, empty where the file has none. */
-    public Section section(String table) throws SettingsException {
+    public SettingsSection section(String table) throws SettingsException {
         Object value = values.get(table);
         read.add(table);
         if (value != null && !(value instanceof UnmodifiableConfig)) {
             throw new SettingsException(name + ": " + table + " must be a table");
         }
-        Section section = new Section(name, table, value == null ? Map.of() : ((UnmodifiableConfig) value).valueMap());
+        SettingsSection section =
+                new SettingsSection(name, table, value == null ? Map.of() : ((UnmodifiableConfig) value).valueMap());
         sections.add(section);
         return section;
     }
 
     /** The tables that the file repeats under one name, as {@code [[name]]}, in its order. */
-    public List<Section> sections(String table) throws SettingsException {
+    public List<SettingsSection> sections(String table) throws SettingsException {
         Object value = values.get(table);
         read.add(table);
         if (value == null) {
             return List.of();
         }
-        List<Section> found = new ArrayList<>();
+        List<SettingsSection> found = new ArrayList<>();
         for (Object one : value instanceof List<?> list ? list : List.of(value)) {
             if (!(one instanceof UnmodifiableConfig config) || !(value instanceof List<?>)) {
                 throw new SettingsException(name + ": " + table + " must be tables, each begun by [[" + table + "]]");
             }
-            found.add(new Section(name, table + "[" + found.size() + "]", config.valueMap()));
+            found.add(new SettingsSection(name, table + "[" + found.size() + "]", config.valueMap()));
         }
         sections.addAll(found);
         return found;
@@ -143,19 +144,19 @@
         return values.containsKey(table);
     }
 
-    public SettingsException wrong(String key, String what) {
+    public SettingsException invalid(String key, String what) {
         return new SettingsException(name + ": " + key + " " + what);
     }
 
     /** To be called once every feature has read its section. */
-    public void refuseUnread() throws SettingsException {
+    public void rejectUnreadKeys() throws SettingsException {
         for (String table : values.keySet()) {
             if (!read.contains(table)) {
                 throw new SettingsException(name + ": unknown key " + table);
             }
         }
-        for (Section section : sections) {
-            section.refuseUnread();
+        for (SettingsSection section : sections) {
+            section.rejectUnreadKeys();
         }
     }
 }
--- a/settings/src/main/java/burlarch/settings/Section.java
+++ b/settings/src/main/java/burlarch/settings/SettingsSection.java
@@ -12,7 +12,7 @@
 import java.util.Set;
 
 /** One table of the operator's file. Every getter names file and key when the value is not of its kind. */
-public final class Section {
+public final class SettingsSection {
     private static final int PORT_MOST = 65_535;
 
     private final String file;
@@ -20,7 +20,7 @@
     private final Map<String, Object> values;
     private final Set<String> read = new HashSet<>();
 
-    Section(String file, String table, Map<String, Object> values) {
+    SettingsSection(String file, String table, Map<String, Object> values) {
         this.file = file;
         this.table = table;
         this.values = values;
@@ -31,7 +31,7 @@
         return values.get(key);
     }
 
-    public SettingsException wrong(String key, String what) {
+    public SettingsException invalid(String key, String what) {
         return new SettingsException(file + ": " + (table.isEmpty() ? key : table + "." + key) + " " + what);
     }
 
@@ -40,7 +40,7 @@
      *
      * @throws SettingsException if it is no whole number or outside {@code least} to {@code most}
      */
-    public int whole(String key, int otherwise, int least, int most) throws SettingsException {
+    public int integer(String key, int otherwise, int least, int most) throws SettingsException {
         Object value = value(key);
         if (value == null) {
             return otherwise;
@@ -51,7 +51,7 @@
                 return (int) number;
             }
         }
-        throw wrong(key, "must be a whole number from " + least + " to " + most);
+        throw invalid(key, "must be a whole number from " + least + " to " + most);
     }
 
     /** One of some words. */
@@ -63,7 +63,7 @@
         if (value instanceof String text && words.contains(text)) {
             return text;
         }
-        throw wrong(key, "must be one of \"" + String.join("\", \"", words) + "\"");
+        throw invalid(key, "must be one of \"" + String.join("\", \"", words) + "\"");
     }
 
     /** Any text that is not empty. */
@@ -75,7 +75,7 @@
         if (value instanceof String text && !text.isBlank()) {
             return text;
         }
-        throw wrong(key, "must be a text");
+        throw invalid(key, "must be a text");
     }
 
     public boolean flag(String key, boolean otherwise) throws SettingsException {
@@ -86,7 +86,7 @@
         if (value instanceof Boolean flag) {
             return flag;
         }
-        throw wrong(key, "must be true or false");
+        throw invalid(key, "must be true or false");
     }
 
     /** A list of texts; empty where none is given. */
@@ -98,7 +98,7 @@
         if (value instanceof List<?> list && list.stream().allMatch(one -> one instanceof String)) {
             return list.stream().map(String.class::cast).toList();
         }
-        throw wrong(key, "must be a list of texts");
+        throw invalid(key, "must be a list of texts");
     }
 
     /** All of this table's keys with their texts, in the file's order. */
@@ -106,7 +106,7 @@
         Map<String, String> texts = new LinkedHashMap<>();
         for (Map.Entry<String, Object> entry : values.entrySet()) {
             if (!(value(entry.getKey()) instanceof String text)) {
-                throw wrong(entry.getKey(), "must be a text");
+                throw invalid(entry.getKey(), "must be a text");
             }
             texts.put(entry.getKey(), text);
         }
@@ -114,7 +114,7 @@
     }
 
     /** A list of whole numbers; empty where none is given. */
-    public List<Integer> wholes(String key, int least, int most) throws SettingsException {
+    public List<Integer> integers(String key, int least, int most) throws SettingsException {
         Object value = value(key);
         if (value == null) {
             return List.of();
@@ -124,7 +124,7 @@
             if (!(one instanceof Integer || one instanceof Long)
                     || ((Number) one).longValue() < least
                     || ((Number) one).longValue() > most) {
-                throw wrong(key, "must be a list of whole numbers from " + least + " to " + most);
+                throw invalid(key, "must be a list of whole numbers from " + least + " to " + most);
             }
             numbers.add(((Number) one).intValue());
         }
@@ -142,10 +142,10 @@
     }
 
     /** What must stand there, for getters that have no default. */
-    public Section need(String... keys) throws SettingsException {
+    public SettingsSection require(String... keys) throws SettingsException {
         for (String key : keys) {
             if (!values.containsKey(key)) {
-                throw wrong(key, "is missing");
+                throw invalid(key, "is missing");
             }
         }
         return this;
@@ -164,12 +164,12 @@
         } catch (InvalidPathException e) {
             // Said below, as for a value of another type.
         }
-        throw wrong(key, "must be a path");
+        throw invalid(key, "must be a path");
     }
 
     /** A port; null where none is given. */
     public Integer port(String key) throws SettingsException {
-        return value(key) == null ? null : Integer.valueOf(whole(key, 0, 1, PORT_MOST));
+        return value(key) == null ? null : Integer.valueOf(integer(key, 0, 1, PORT_MOST));
     }
 
     /** A whole or decimal number. */
@@ -181,7 +181,7 @@
         if (value instanceof Number number && number.doubleValue() >= least && number.doubleValue() <= most) {
             return number.doubleValue();
         }
-        throw wrong(key, "must be a number from " + least + " to " + most);
+        throw invalid(key, "must be a number from " + least + " to " + most);
     }
 
     /** A literal address and a port; null where none is given. */
@@ -192,15 +192,15 @@
         }
         try {
             if (value instanceof String text) {
-                return Addresses.parse(text);
+                return LiteralAddresses.parse(text);
             }
         } catch (IllegalArgumentException e) {
             // Said below, as for a value of another type.
         }
-        throw wrong(key, "must be a literal address and a port, as \"127.0.0.1:9001\"");
+        throw invalid(key, "must be a literal address and a port, as \"127.0.0.1:9001\"");
     }
 
-    void refuseUnread() throws SettingsException {
+    void rejectUnreadKeys() throws SettingsException {
         for (String key : values.keySet()) {
             if (!read.contains(key)) {
                 throw new SettingsException(file + ": unknown key " + table + "." + key);
--- a/simulation/src/main/java/burlarch/simulation/coordination/node/OperatorNode.java
+++ b/simulation/src/main/java/burlarch/simulation/coordination/node/OperatorNode.java
@@ -2,7 +2,7 @@
 
 import burlarch.configuration.ConfigurationDocument;
 import burlarch.configuration.ConfigurationPatch;
-import burlarch.configuration.InvalidConfiguration;
+import burlarch.configuration.InvalidConfigurationException;
 import burlarch.controller.state.AppliedChange;
 import burlarch.simulation.NodeContext;
 import burlarch.simulation.SimulatedNode;
@@ -155,9 +155,9 @@
         byte[] body = ConfigurationBodies.configuration(version, nextBodyTag());
         try {
             AppliedChange change = AppliedChange.put(
-                    ifMatch, version, ConfigurationDocument.read(body).digest());
+                    ifMatch, version, ConfigurationDocument.parse(body).digest());
             return new OperatorChange(new ControlAction.Put(body, ifMatch), change, ifMatch);
-        } catch (InvalidConfiguration invalid) {
+        } catch (InvalidConfigurationException invalid) {
             throw new IllegalStateException(invalid);
         }
     }
@@ -174,9 +174,9 @@
     private void patch(long ifMatch, long version, byte[] body) {
         try {
             AppliedChange change = AppliedChange.patch(
-                    ifMatch, version, ConfigurationPatch.read(body).digest());
+                    ifMatch, version, ConfigurationPatch.parse(body).digest());
             change(new OperatorChange(new ControlAction.Patch(body, ifMatch), change, ifMatch));
-        } catch (InvalidConfiguration invalid) {
+        } catch (InvalidConfigurationException invalid) {
             throw new IllegalStateException(invalid);
         }
     }
@@ -238,7 +238,7 @@
             long version = ConfigurationDocument.parseTrusted(response.body()).version();
             checkers.operators().onRead(version, response.body(), expected);
             shared.onRead(version, simulation.now());
-        } catch (InvalidConfiguration unreadable) {
+        } catch (InvalidConfigurationException unreadable) {
             checkers.operators().onUnreadable();
         }
     }
--- a/standins/src/main/java/burlarch/standins/fleet/Fleet.java
+++ b/standins/src/main/java/burlarch/standins/fleet/Fleet.java
@@ -1,9 +1,9 @@
 package burlarch.standins.fleet;
 
 import burlarch.audit.Sink;
-import burlarch.settings.OperatorFile;
-import burlarch.settings.Section;
 import burlarch.settings.SettingsException;
+import burlarch.settings.SettingsFile;
+import burlarch.settings.SettingsSection;
 import burlarch.standins.model.Catalog.Lifecycle;
 import burlarch.standins.model.Catalog.Member;
 import burlarch.standins.net.Transport;
@@ -181,10 +181,10 @@
      * @throws SettingsException naming the key that is wrong
      */
     public void inject(String toml) throws SettingsException {
-        OperatorFile file = OperatorFile.parse("fault", "[at]\n" + toml);
-        Section entry = file.section("at");
+        SettingsFile file = SettingsFile.parse("fault", "[at]\n" + toml);
+        SettingsSection entry = file.section("at");
         List<Fault.Timed> faults = FaultScript.entry(entry, 0, plan, (int) (System.nanoTime() & 0xffff));
-        file.refuseUnread();
+        file.rejectUnreadKeys();
         for (Fault.Timed timed : faults) {
             if (timed.atNanos() == 0) {
                 inject(timed.fault());
