--- a/controller/src/main/java/burlarch/controller/register/package-info.java
+++ b/controller/src/main/java/burlarch/controller/register/package-info.java
@@ -9,7 +9,7 @@
  * <table>
  * <caption>Who owns which state</caption>
  * <tr><th>state</th><th>owner</th><th>thread</th><th>recovery</th></tr>
- * <tr><td>what the acceptor has promised and accepted</td><td>{@code LocalAcceptor}</td><td>disk thread</td><td>from
+ * <tr><td>what the acceptor has prepared and accepted</td><td>{@code LocalAcceptor}</td><td>disk thread</td><td>from
  * the disk ({@link burlarch.controller.register.RegisterStorage})</td></tr>
  * <tr><td>the running proposal and the queue behind it</td><td>{@code ProposalExecutor}</td><td>event loop</td>
  * <td>lost; the caller's result is unclear</td></tr>
