--- a/node/src/main/java/burlarch/node/NodeSettingsReader.java
+++ b/node/src/main/java/burlarch/node/NodeSettingsReader.java
@@ -38,12 +38,12 @@
     }
 
     private NodeSettings read() throws SettingsException {
-        Section top = file.top();
+        SettingsSection top = file.top();
         List<String> serves = texts(top, "serves");
         Map<String, String> zones = zones();
         String zone = text(top, "zone", "");
         NodeSettings settings = new NodeSettings(
-                check.needed(top, "node_name", "", () -> top.text("node_name", "")),
+                check.required(top, "node_name", "", () -> top.text("node_name", "")),
                 text(top, "role", ""),
                 text(top, "machine_class", ""),
                 serves,
@@ -64,27 +64,27 @@
                 limits(),
                 faultTolerance(),
                 bounds());
-        check.refuseMistakes();
+        check.throwIfInvalid();
         return settings;
     }
 
-    private Section table(String name) {
-        Section empty = check.value(null, () -> blank.section(name));
+    private SettingsSection table(String name) {
+        SettingsSection empty = check.value(null, () -> blank.section(name));
         return check.optional(file.top(), name, empty, () -> file.section(name));
     }
 
     private Map<String, String> zones() {
-        Section table = table("zones");
+        SettingsSection table = table("zones");
         return check.value(Map.of(), table::allTexts);
     }
 
-    private String ip(Section top) {
-        String ip = check.needed(top, "ip", null, () -> top.text("ip", null));
+    private String ip(SettingsSection top) {
+        String ip = check.required(top, "ip", null, () -> top.text("ip", null));
         return check.valid(top, "ip", ip, text -> isAddress(text + ":1"), "must be a literal address");
     }
 
-    private PortRange portRange(Section top) {
-        List<Integer> ports = check.needed(top, "port_range", null, () -> top.wholes("port_range", MIN_PORT, MAX_PORT));
+    private PortRange portRange(SettingsSection top) {
+        List<Integer> ports = check.required(top, "port_range", null, () -> top.integers("port_range", MIN_PORT, MAX_PORT));
         check.valid(
                 top,
                 "port_range",
@@ -94,7 +94,7 @@
         return ports == null || ports.size() != 2 ? null : new PortRange(ports.get(0), ports.get(1));
     }
 
-    private List<String> seeds(Section top) {
+    private List<String> seeds(SettingsSection top) {
         return check.valid(
                 top,
                 "seeds",
@@ -112,21 +112,21 @@
     }
 
     private Listen listen(List<String> serves) {
-        Section table = table("listen");
+        SettingsSection table = table("listen");
         return new Listen(
                 address(table, "front", serves.contains("edge")),
                 address(table, "readiness", false),
                 address(table, "control", serves.contains("control_plane")));
     }
 
-    private InetSocketAddress address(Section table, String key, boolean needed) {
+    private InetSocketAddress address(SettingsSection table, String key, boolean needed) {
         return needed
-                ? check.needed(table, key, null, () -> table.address(key))
+                ? check.required(table, key, null, () -> table.address(key))
                 : check.optional(table, key, null, () -> table.address(key));
     }
 
     private Limits limits() {
-        Section table = table("limits");
+        SettingsSection table = table("limits");
         return new Limits(
                 number(table, "cpu_share", 1, 0.001, 1_024),
                 number(table, "cpu_cores", 1, 0.001, 1_024),
@@ -137,12 +137,12 @@
     }
 
     private FaultTolerance faultTolerance() {
-        Section table = table("fault_tolerance");
+        SettingsSection table = table("fault_tolerance");
         return new FaultTolerance(count(table, "machines", 1), count(table, "zones", 0), count(table, "regions", 0));
     }
 
     private NodeBounds bounds() {
-        Section table = table("bounds");
+        SettingsSection table = table("bounds");
         return new NodeBounds(
                 seconds(table, "seed_lag_s", 3),
                 seconds(table, "reuse_after_s", 2),
@@ -170,31 +170,31 @@
                 millis(table, "version_all_ms", 11_000));
     }
 
-    private String text(Section section, String key, String otherwise) {
+    private String text(SettingsSection section, String key, String otherwise) {
         return check.optional(section, key, otherwise, () -> section.text(key, otherwise));
     }
 
-    private List<String> texts(Section section, String key) {
+    private List<String> texts(SettingsSection section, String key) {
         return check.optional(section, key, List.of(), () -> section.texts(key));
     }
 
-    private boolean flag(Section section, String key, boolean otherwise) {
+    private boolean flag(SettingsSection section, String key, boolean otherwise) {
         return check.optional(section, key, otherwise, () -> section.flag(key, otherwise));
     }
 
-    private double number(Section section, String key, double otherwise, double least, double most) {
+    private double number(SettingsSection section, String key, double otherwise, double least, double most) {
         return check.optional(section, key, otherwise, () -> section.number(key, otherwise, least, most));
     }
 
-    private int count(Section section, String key, int otherwise) {
-        return check.optional(section, key, otherwise, () -> section.whole(key, otherwise, 0, MAX_COUNT));
+    private int count(SettingsSection section, String key, int otherwise) {
+        return check.optional(section, key, otherwise, () -> section.integer(key, otherwise, 0, MAX_COUNT));
     }
 
-    private long millis(Section section, String key, double otherwise) {
+    private long millis(SettingsSection section, String key, double otherwise) {
         return Math.round(number(section, key, otherwise, 0, MAX_MILLIS) * NANOS_PER_MILLI);
     }
 
-    private long seconds(Section section, String key, double otherwise) {
+    private long seconds(SettingsSection section, String key, double otherwise) {
         return Math.round(number(section, key, otherwise, 0, MAX_MILLIS / 1_000) * 1_000 * NANOS_PER_MILLI);
     }
 }
