--- a/controller/src/main/java/burlarch/controller/api/OperatorService.java
+++ b/controller/src/main/java/burlarch/controller/api/OperatorService.java
@@ -27,7 +27,7 @@
  *
  * <p>Without contact to a quorum every call fails at once with {@link ErrorKind#NO_QUORUM}, so that the caller turns to
  * another controller; an instance's announcement is put to use nevertheless. An instance that the full registry can't
- * take is told so by {@link ErrorKind#OVERLOADED}, because no router would ever hear of it.
+ * take is rejected with {@link ErrorKind#OVERLOADED}, because no router would ever hear of it.
  */
 public final class OperatorService implements ControlService {
     /** How long a change or a drain waits for the acknowledgements of routers; a disconnected router never sends one. */
--- a/controller/src/main/java/burlarch/controller/error/ControlException.java
+++ b/controller/src/main/java/burlarch/controller/error/ControlException.java
@@ -4,7 +4,7 @@
 import java.util.List;
 
 /**
- * A call of the control API failed for a reason that its caller is told. {@link #kind} says what went wrong and whether
+ * A call of the control API failed for a reason that is reported to its caller. {@link #kind} says what went wrong and whether
  * the same call may be retried. It has no stack trace, because it reports no fault of the program.
  */
 public final class ControlException extends RuntimeException {
--- a/operator-cli/src/main/java/burlarch/operator/CommandFailure.java
+++ b/operator-cli/src/main/java/burlarch/operator/CommandFailure.java
@@ -1,6 +1,6 @@
 package burlarch.operator;
 
-/** A command failed for a reason that its caller is told. The exit code says what the caller may do. */
+/** A command failed for a reason that is reported to its caller. The exit code says what the caller may do. */
 public final class CommandFailure extends Exception {
     /** No conclusive response: the change may be in force or not. The same command may be run again. */
     public static final int UNCLEAR = 1;
