--- a/fleet/src/main/java/burlarch/fleet/training/LoopbackFleetSettings.java
+++ b/fleet/src/main/java/burlarch/fleet/training/LoopbackFleetSettings.java
@@ -42,8 +42,8 @@
             int port = ThreadLocalRandom.current().nextInt(FIRST_PORT, LAST_PORT);
             try (ServerSocket free = new ServerSocket(port, 1)) {
                 return free.getLocalPort();
-            } catch (BindException taken) {
-                continue;
+            } catch (BindException portInUse) {
+                // Another process has it: the next attempt draws another port.
             }
         }
         throw new IOException("training run: no port is free");
--- a/lab/src/main/java/burlarch/lab/experiment/ProxyProcess.java
+++ b/lab/src/main/java/burlarch/lab/experiment/ProxyProcess.java
@@ -29,7 +29,13 @@
     /** As Linux counts CPU time in /proc. */
     private static final double TICKS_PER_SECOND = 100;
 
-    /** What a process has used. @param cpuS seconds since its start @param rssMb resident memory */
+    /**
+     * What a process has used.
+     *
+     * @param cpuS processor time since its start, in seconds
+     * @param rssMb resident memory, in megabytes
+     * @param threads that it has now
+     */
     record Usage(double cpuS, double rssMb, int threads) {}
 
     final String name;
--- a/lab/src/main/java/burlarch/lab/report/Compare.java
+++ b/lab/src/main/java/burlarch/lab/report/Compare.java
@@ -23,7 +23,7 @@
 
     private Compare() {}
 
-    /** @param means and spreads of two sets of repeats */
+    /** Means and spreads of one figure over two sets of repeats. */
     public record Line(
             String figure,
             double before,
--- a/standins/src/main/java/burlarch/standins/fleet/Discovery.java
+++ b/standins/src/main/java/burlarch/standins/fleet/Discovery.java
@@ -282,7 +282,9 @@
     // ---- changes
 
     /**
-     * From any thread: what is in the list after the notice time. @param addresses by vantage, null to keep
+     * From any thread: what is in the list after the notice time.
+     *
+     * @param addresses by vantage, null to keep
      */
     void put(Member member, Map<String, String> addresses, long delayNanos) {
         loop.schedule(
