--- a/engine-client/src/main/java/burlarch/engine/KvEventSubscriber.java
+++ b/engine-client/src/main/java/burlarch/engine/KvEventSubscriber.java
@@ -5,6 +5,7 @@
 import java.util.HashSet;
 import java.util.Iterator;
 import java.util.Map;
+import java.util.Optional;
 import java.util.Set;
 import java.util.concurrent.CompletableFuture;
 import java.util.concurrent.TimeUnit;
@@ -61,15 +62,15 @@
 
     /** Replaces the set of sources; new ones are read from their oldest event. */
     public void subscribe(Collection<Source> sources) {
-        subscribe(sources, source -> null);
+        subscribe(sources, source -> Optional.empty());
     }
 
     /**
      * Replaces the set of sources; those that stay are not interrupted.
      *
-     * @param offsets up to which offset the source of that name is known; null if it is unknown
+     * @param offsets up to which offset the source of that name is known; empty if it is unknown
      */
-    public synchronized void subscribe(Collection<Source> sources, Function<String, KvOffset> offsets) {
+    public synchronized void subscribe(Collection<Source> sources, Function<String, Optional<KvOffset>> offsets) {
         Set<Source> added = new HashSet<>(sources);
         for (Iterator<Subscription> all = subscriptions.values().iterator(); all.hasNext(); ) {
             Subscription subscription = all.next();
@@ -110,13 +111,11 @@
         private long startedNanos;
         private boolean callIsForSnapshot;
 
-        Subscription(Source source, KvOffset offset) {
+        Subscription(Source source, Optional<KvOffset> offset) {
             this.source = source;
             this.address = new EngineAddress(source.store() ? null : source.name(), source.address());
             this.state = new KvSubscriptionState(source.name(), random, clock.getAsLong());
-            if (offset != null) {
-                state.continueFrom(offset);
-            }
+            offset.ifPresent(state::continueFrom);
         }
 
         /** Starts the next call. */
--- a/router/src/main/java/burlarch/router/RouterProgram.java
+++ b/router/src/main/java/burlarch/router/RouterProgram.java
@@ -71,7 +71,7 @@
             membership.leaveWithinTimeout();
         });
         Logger.info(
-                "router started: node={} front={}",
+                "router listening: node={} front={}",
                 settings.nodeName(),
                 settings.listen().front());
     }
--- a/router/src/main/java/burlarch/router/prefixcache/PrefixIndexUpdater.java
+++ b/router/src/main/java/burlarch/router/prefixcache/PrefixIndexUpdater.java
@@ -3,6 +3,7 @@
 import burlarch.engine.KvOffset;
 import burlarch.engine.KvUpdate;
 import burlarch.routing.Planner;
+import java.util.Optional;
 import java.util.Set;
 
 /**
@@ -36,8 +37,8 @@
         }
     }
 
-    /** Up to which offset the source is known; null if it is unknown. */
-    KvOffset offsetOf(String source) {
+    /** Up to which offset the source is known; empty if it is unknown. */
+    Optional<KvOffset> offsetOf(String source) {
         synchronized (lock) {
             return offsets.offsetOf(source);
         }
--- a/router/src/main/java/burlarch/router/prefixcache/SourceOffsets.java
+++ b/router/src/main/java/burlarch/router/prefixcache/SourceOffsets.java
@@ -5,6 +5,7 @@
 import burlarch.routing.KvEvents;
 import java.util.HashMap;
 import java.util.Map;
+import java.util.Optional;
 import java.util.Set;
 
 /**
@@ -86,10 +87,10 @@
                 update.next());
     }
 
-    /** Up to which offset the source is known; null if it is unknown. */
-    public KvOffset offsetOf(String source) {
+    /** Up to which offset the source is known; empty if it is unknown. */
+    public Optional<KvOffset> offsetOf(String source) {
         SourceState state = sources.get(source);
-        return state == null ? null : new KvOffset(state.epoch, state.next);
+        return state == null ? Optional.empty() : Optional.of(new KvOffset(state.epoch, state.next));
     }
 
     /** Forgets all other sources. */
