--- a/simulation/src/test/java/burlarch/simulation/coordination/planted/PlantedFault.java
+++ b/simulation/src/test/java/burlarch/simulation/coordination/planted/PlantedFault.java
@@ -57,8 +57,8 @@
     /**
      * A fault.
      *
-     * @param firstSeed the seed at which its test starts: near one that finds the fault, where the first such seed is far
-     *     from 1
+     * @param firstSeed the seed at which its test starts: near one that finds the fault, where the first such seed is
+     *     far from 1
      */
     PlantedFault(long firstSeed, Supplier<ComponentOverrides> overrides, Rule... rules) {
         this.firstSeed = firstSeed;
