--- a/node/src/main/java/burlarch/node/MembershipService.java
+++ b/node/src/main/java/burlarch/node/MembershipService.java
@@ -32,6 +32,13 @@
 
     private static final long LEAVE_TIMEOUT_MILLIS = 300;
 
+    /** CREATED to RUNNING by {@link #start()}; any to CLOSED by {@link #close()} or {@link #leave()}; CLOSED is final. */
+    private enum Lifecycle {
+        CREATED,
+        RUNNING,
+        CLOSED
+    }
+
     private final SelectorEventLoop loop;
     private final DatagramEndpoint endpoint;
     private final Swim swim;
@@ -39,8 +46,7 @@
     private final Map<String, InetSocketAddress> sockets = new HashMap<>();
     private EventLoop.Timer timer;
     private long timerDueAtNanos;
-    private boolean started;
-    private boolean closed;
+    private Lifecycle lifecycle = Lifecycle.CREATED;
 
     /**
      * Who this process is among the members.
@@ -80,7 +86,9 @@
     /** Starts to look for the other members; may be called on any thread. */
     public void start() {
         loop.execute(() -> {
-            started = true;
+            if (lifecycle == Lifecycle.CREATED) {
+                lifecycle = Lifecycle.RUNNING;
+            }
             onTimer();
         });
     }
@@ -112,7 +120,7 @@
     public CompletableFuture<Void> leave() {
         CompletableFuture<Void> sent = new CompletableFuture<>();
         loop.execute(() -> {
-            if (!closed) {
+            if (lifecycle != Lifecycle.CLOSED) {
                 handle(swim.leave(loop.nanoTime()));
                 close();
             }
@@ -155,21 +163,21 @@
     }
 
     private void stopTimer() {
-        closed = true;
+        lifecycle = Lifecycle.CLOSED;
         if (timer != null) {
             timer.cancel();
         }
     }
 
     private void onDatagram(InetSocketAddress from, byte[] content) {
-        if (started && !closed) {
+        if (lifecycle == Lifecycle.RUNNING) {
             handle(swim.onDatagram(text(from), content, loop.nanoTime()));
         }
     }
 
     private void onTimer() {
         timer = null;
-        if (!closed) {
+        if (lifecycle != Lifecycle.CLOSED) {
             handle(swim.onTimer(loop.nanoTime()));
         }
     }
--- a/node/src/main/java/burlarch/node/NodeSettingsReader.java
+++ b/node/src/main/java/burlarch/node/NodeSettingsReader.java
@@ -5,10 +5,10 @@
 import burlarch.node.NodeSettings.Listen;
 import burlarch.node.NodeSettings.PortRange;
 import burlarch.settings.LiteralAddresses;
-import burlarch.settings.SettingsFile;
-import burlarch.settings.SettingsSection;
 import burlarch.settings.SettingsErrorCollector;
 import burlarch.settings.SettingsException;
+import burlarch.settings.SettingsFile;
+import burlarch.settings.SettingsSection;
 import java.net.InetSocketAddress;
 import java.nio.file.Path;
 import java.util.List;
@@ -84,7 +84,8 @@
     }
 
     private PortRange portRange(SettingsSection top) {
-        List<Integer> ports = check.required(top, "port_range", null, () -> top.integers("port_range", MIN_PORT, MAX_PORT));
+        List<Integer> ports =
+                check.required(top, "port_range", null, () -> top.integers("port_range", MIN_PORT, MAX_PORT));
         check.valid(
                 top,
                 "port_range",
