--- a/configuration/src/main/java/burlarch/configuration/ConfigurationPatch.java
+++ b/configuration/src/main/java/burlarch/configuration/ConfigurationPatch.java
@@ -19,6 +19,11 @@
     private static final String DELETE = "delete";
     private static final String NAME = "name";
 
+    /** Checks the form of one list of a patch. */
+    private interface ListCheck {
+        void check(String field, JsonNode list) throws InvalidConfigurationException;
+    }
+
     private final ObjectNode tree;
     private final String digest;
 
@@ -31,12 +36,13 @@
     public static ConfigurationPatch parse(byte[] json) throws InvalidConfigurationException {
         ObjectNode tree = ConfigurationJson.readObject(json);
         ConfigurationDocument.checkVersion(tree);
-        checkLists(tree, UPSERT);
-        checkLists(tree, DELETE);
+        checkLists(tree, UPSERT, ConfigurationPatch::checkUpserts);
+        checkLists(tree, DELETE, ConfigurationPatch::checkDeletes);
         return new ConfigurationPatch(tree);
     }
 
-    private static void checkLists(ObjectNode tree, String change) throws InvalidConfigurationException {
+    private static void checkLists(ObjectNode tree, String change, ListCheck check)
+            throws InvalidConfigurationException {
         JsonNode lists = tree.path(change);
         if (lists.isMissingNode() || lists.isNull()) {
             return;
@@ -45,26 +51,39 @@
             throw new InvalidConfigurationException(change, "must be an object of lists");
         }
         for (Map.Entry<String, JsonNode> list : lists.properties()) {
-            checkItems(change + "." + list.getKey(), list.getValue(), change.equals(UPSERT));
+            String field = change + "." + list.getKey();
+            if (!list.getValue().isArray()) {
+                throw new InvalidConfigurationException(field, "must be a list");
+            }
+            check.check(field, list.getValue());
         }
     }
 
-    private static void checkItems(String field, JsonNode list, boolean whole) throws InvalidConfigurationException {
-        if (!list.isArray()) {
-            throw new InvalidConfigurationException(field, "must be a list");
-        }
+    /** Items to upsert are objects with a name each, no two alike. */
+    private static void checkUpserts(String field, JsonNode items) throws InvalidConfigurationException {
         Set<String> names = new HashSet<>();
-        for (int i = 0; i < list.size(); i++) {
-            JsonNode name = whole ? list.get(i).path(NAME) : list.get(i);
-            if (!name.isTextual()) {
-                throw new InvalidConfigurationException(field + "[" + i + "]", "must be or have a name");
-            }
-            if (!names.add(name.textValue()) && whole) {
+        for (int i = 0; i < items.size(); i++) {
+            JsonNode name = items.get(i).path(NAME);
+            requireName(field, i, name);
+            if (!names.add(name.textValue())) {
                 throw new InvalidConfigurationException(field + "[" + i + "]", "another item has this name");
             }
         }
     }
 
+    /** Items to delete are names; a repeated one does no harm. */
+    private static void checkDeletes(String field, JsonNode names) throws InvalidConfigurationException {
+        for (int i = 0; i < names.size(); i++) {
+            requireName(field, i, names.get(i));
+        }
+    }
+
+    private static void requireName(String field, int index, JsonNode name) throws InvalidConfigurationException {
+        if (!name.isTextual()) {
+            throw new InvalidConfigurationException(field + "[" + index + "]", "must be or have a name");
+        }
+    }
+
     public long version() {
         return tree.get(ConfigurationDocument.VERSION).longValue();
     }
