--- a/simulation/src/main/java/burlarch/simulation/link/Packet.java
+++ b/simulation/src/main/java/burlarch/simulation/transport/Packet.java
@@ -1,4 +1,4 @@
-package burlarch.simulation.link;
+package burlarch.simulation.transport;
 
 /**
  * A packet of one connection on the simulated network.
--- a/simulation/src/main/java/burlarch/simulation/link/SimulatedLoop.java
+++ b/simulation/src/main/java/burlarch/simulation/transport/SimulatedEventLoop.java
@@ -1,4 +1,4 @@
-package burlarch.simulation.link;
+package burlarch.simulation.transport;
 
 import burlarch.simulation.NodeContext;
 import burlarch.transport.EventLoop;
@@ -13,7 +13,7 @@
  * <p>Invariant (task order): tasks run in the order of their due time, those of the same due time in the order in which
  * they were submitted.
  */
-public final class SimulatedLoop implements EventLoop {
+public final class SimulatedEventLoop implements EventLoop {
     private final NodeContext context;
     private final TreeSet<Task> tasks = new TreeSet<>();
     private long nowNanos;
@@ -48,7 +48,7 @@
     }
 
     /** Creates the loop of a process, without tasks. */
-    public SimulatedLoop(NodeContext context) {
+    public SimulatedEventLoop(NodeContext context) {
         this.context = context;
     }
 
--- a/simulation/src/main/java/burlarch/simulation/link/SimulatedMembership.java
+++ b/simulation/src/main/java/burlarch/simulation/transport/SimulatedMembership.java
@@ -1,4 +1,4 @@
-package burlarch.simulation.link;
+package burlarch.simulation.transport;
 
 import burlarch.coordination.membership.MemberChange;
 import burlarch.coordination.membership.MemberInfo;
--- a/simulation/src/main/java/burlarch/simulation/link/SimulatedLink.java
+++ b/simulation/src/main/java/burlarch/simulation/transport/SimulatedPeerConnection.java
@@ -1,4 +1,4 @@
-package burlarch.simulation.link;
+package burlarch.simulation.transport;
 
 import burlarch.simulation.Simulation;
 import burlarch.transport.MessageOrderValidator;
@@ -14,9 +14,9 @@
  * were sent, without loss and without duplicates. As in TCP, sequence numbers, cumulative acknowledgements and
  * retransmission with exponential backoff see to that.
  *
- * <p>Owned by {@link SimulatedLinks}; runs on the event loop of its process.
+ * <p>Owned by {@link SimulatedPeerConnections}; runs on the event loop of its process.
  */
-final class SimulatedLink implements PeerConnection {
+final class SimulatedPeerConnection implements PeerConnection {
     private static final long FIRST_RETRANSMIT_NANOS = 200 * Simulation.MILLISECOND;
     private static final long MAX_RETRANSMIT_NANOS = 1_600 * Simulation.MILLISECOND;
 
@@ -32,7 +32,7 @@
         }
     }
 
-    private final SimulatedLinks owner;
+    private final SimulatedPeerConnections owner;
     private final long key;
     private final String remote;
     private final Packet.Side side;
@@ -48,7 +48,7 @@
     private boolean open = true;
 
     /** @param side the side of the connection that this end is */
-    SimulatedLink(SimulatedLinks owner, long key, String remote, Packet.Side side, long now) {
+    SimulatedPeerConnection(SimulatedPeerConnections owner, long key, String remote, Packet.Side side, long now) {
         this.owner = owner;
         this.key = key;
         this.remote = remote;
@@ -165,7 +165,7 @@
         return open;
     }
 
-    /** Key of this end among the links of its process. */
+    /** Key of this end among the connections of its process. */
     long key() {
         return key;
     }
--- a/simulation/src/test/java/burlarch/simulation/coordination/ChangeTraffic.java
+++ b/simulation/src/test/java/burlarch/simulation/coordination/ChangeTraffic.java
@@ -1,7 +1,7 @@
 package burlarch.simulation.coordination;
 
 import burlarch.simulation.Simulation;
-import burlarch.simulation.link.Packet;
+import burlarch.simulation.transport.Packet;
 import burlarch.transport.FrameCodec;
 import burlarch.transport.NodeMessage;
 import java.util.Map;
