--- a/controller/src/main/java/burlarch/controller/api/OperatorService.java
+++ b/controller/src/main/java/burlarch/controller/api/OperatorService.java
@@ -26,7 +26,7 @@
  * the futures complete on the loop.
  *
  * <p>Without contact to a quorum every call fails at once with {@link ErrorKind#NO_QUORUM}, so that the caller turns to
- * another controller; an instance's announcement is put to use nevertheless. An instance that the full registry can't
+ * another controller; an instance's announcement is applied nevertheless. An instance that the full registry can't
  * take is rejected with {@link ErrorKind#OVERLOADED}, because no router would ever hear of it.
  */
 public final class OperatorService implements ControlService {
--- a/controller/src/main/java/burlarch/controller/distribution/RouterPublisher.java
+++ b/controller/src/main/java/burlarch/controller/distribution/RouterPublisher.java
@@ -39,7 +39,7 @@
     private static final long PEER_COMMIT_DELAY_NANOS = 150_000_000;
     /** Changes of the routers and controllers within this time are published together. */
     static final long FLEET_UPDATE_DELAY_NANOS = 50_000_000;
-    /** A router that has not said for so long which version it holds is sent the complete configuration. */
+    /** How long to wait for a new router's first acknowledgement before it is sent the complete document. */
     private static final long FIRST_ACK_TIMEOUT_NANOS = 100_000_000;
 
     private enum ConfigurationAccess {
--- a/controller/src/main/java/burlarch/controller/ownership/LeaseManager.java
+++ b/controller/src/main/java/burlarch/controller/ownership/LeaseManager.java
@@ -33,7 +33,7 @@
  * <tr><td>CLAIMING</td><td>wait for the register's result</td><td>AWAITING_EXPIRY, OWNED; UNCLAIMED if the claim
  * failed</td></tr>
  * <tr><td>AWAITING_EXPIRY, OWNED</td><td>there is work and confirmation is due: read the register</td><td>OWNED; LOST
- * if another holder is shown or no confirmation came for a lease; UNCLAIMED if an engine rejects the token</td></tr>
+ * if another holder is shown or a lease passed without confirmation; UNCLAIMED if an engine rejects the token</td></tr>
  * <tr><td>LOST</td><td>release, then as UNCLAIMED</td><td>UNCLAIMED</td></tr>
  * </table>
  *
--- a/coordination/src/main/java/burlarch/coordination/budget/RouterCountEstimate.java
+++ b/coordination/src/main/java/burlarch/coordination/budget/RouterCountEstimate.java
@@ -8,6 +8,9 @@
  * The fraction of a shared budget that this router may use, from a cautious count of the routers: it rises at once when a
  * router appears and falls only long after one was last seen.
  *
+ * <p>Of the results a router uses {@link #count} and {@link #isEstablished} alone, through {@code RouterCountTracker}:
+ * it divides the slack of its retry budget by a number of routers. Only tests call {@link #budgetFraction}.
+ *
  * <p>Invariant <em>budget bound</em>: in any window the fractions that all routers use sum to at most the whole.
  *
  * <p>Argument. Let W be {@link BudgetSettings#windowNanos}, C the contact time-out, and D the dissemination time, in which
--- a/coordination/src/main/java/burlarch/coordination/membership/swim/GossipQueue.java
+++ b/coordination/src/main/java/burlarch/coordination/membership/swim/GossipQueue.java
@@ -8,8 +8,8 @@
 
 /**
  * Updates that are still to be sent as gossip. Failures and refutations go before arrivals, which would crowd them out
- * when many members start at once; then goes what was sent least often. Bounded by the member table, as each record
- * stands in it once.
+ * when many members start at once; then the least often sent ones go first. Bounded by the member table, as it holds
+ * each record at most once.
  */
 final class GossipQueue {
     private static final Comparator<MemberRecord> URGENT_THEN_LEAST_SENT = (one, other) -> {
--- a/coordination/src/main/java/burlarch/coordination/membership/swim/MembershipLifecycle.java
+++ b/coordination/src/main/java/burlarch/coordination/membership/swim/MembershipLifecycle.java
@@ -1,7 +1,7 @@
 package burlarch.coordination.membership.swim;
 
 /**
- * How far this member's own membership is. {@link #on} is the only transition.
+ * The phase of this member's own membership. {@link #on} is the only transition.
  *
  * <pre>
  * from       event             to
@@ -15,9 +15,9 @@
 final class MembershipLifecycle {
     /** A phase of the own membership. */
     enum Phase {
-        /** No other member was heard of. */
+        /** No message of another member was received. */
         JOINING,
-        /** Some member was heard of, but not yet a table of several. */
+        /** A message was received, but no table that lists several members. */
         JOINED,
         /** Several members are known, and some were sent the own update. */
         ANNOUNCED,
@@ -25,11 +25,11 @@
         LEFT
     }
 
-    /** What may move it on. */
+    /** What may change the phase. */
     enum Event {
         /** A message of another process came. */
         MESSAGE_RECEIVED,
-        /** A page of another's table came that lists more than its sender. */
+        /** A page of another member's table was received, and it lists more than that member itself. */
         TABLE_RECEIVED,
         /** This process shuts down gracefully. */
         LEAVE_REQUESTED
--- a/coordination/src/main/java/burlarch/coordination/membership/swim/Swim.java
+++ b/coordination/src/main/java/burlarch/coordination/membership/swim/Swim.java
@@ -28,7 +28,7 @@
  * <p>Times are nanoseconds of one monotonic clock. Not thread-safe.
  */
 public final class Swim {
-    /** A period's length varies at random by up to this fraction, so that members don't probe in step. */
+    /** A period's length varies at random by up to this fraction, so that not all members probe at the same time. */
     private static final double JITTER = 0.1;
 
     private final SwimSettings settings;
--- a/coordination/src/main/java/burlarch/coordination/register/acceptorset/AcceptorSetPlanner.java
+++ b/coordination/src/main/java/burlarch/coordination/register/acceptorset/AcceptorSetPlanner.java
@@ -70,7 +70,7 @@
         this.minMembers = minMembers;
     }
 
-    /** The members to change to; empty when the present ones are right or nothing better can be had. */
+    /** The members to change to; empty if no change is needed or possible. */
     public Optional<List<AcceptorMember>> nextMembers(
             List<AcceptorMember> members, List<Candidate> candidates, long nowNanos) {
         forgetOldFailures(candidates, nowNanos);
--- a/coordination/src/main/java/burlarch/coordination/registry/RevisionIndex.java
+++ b/coordination/src/main/java/burlarch/coordination/registry/RevisionIndex.java
@@ -4,13 +4,13 @@
 import java.util.TreeMap;
 
 /**
- * The entries of a registry in the order of their last changes. Each change takes the next revision; an entry stands at
- * its newest one only.
+ * The entries of a registry in the order of their last changes. Each change takes the next revision; an entry is
+ * listed under its newest one only.
  */
 final class RevisionIndex {
     private final TreeMap<Long, RegistryEntry> byRevision = new TreeMap<>();
     private long revision;
-    /** The highest revision of an entry that was forgotten: from below it changes can't be told completely. */
+    /** The highest revision of an entry that was forgotten: the changes since a lower one are not all known. */
     private long forgottenRevision;
 
     /** Others are to see a change of the entry. */
--- a/coordination/src/main/java/burlarch/coordination/rollout/RolloutOwnership.java
+++ b/coordination/src/main/java/burlarch/coordination/rollout/RolloutOwnership.java
@@ -22,7 +22,7 @@
         HELD,
         /** The ownership ended; the same token may be acquired again. */
         ENDED,
-        /** A higher token is out: this one never counts again. */
+        /** An engine has seen a higher token: this token is never valid again. */
         FENCED
     }
 
--- a/transport/src/main/java/burlarch/transport/NodeTransport.java
+++ b/transport/src/main/java/burlarch/transport/NodeTransport.java
@@ -192,7 +192,7 @@
             }
         }
 
-        /** Has whoever opened the connection know that it is closed. */
+        /** Tells the part that opened the connection (acceptor or connector) that it is closed. */
         abstract void release(TcpPeerConnection connection);
 
         /** What the listener throws must not lose the frames behind this one. */
--- a/transport/src/main/java/burlarch/transport/OutboundConnector.java
+++ b/transport/src/main/java/burlarch/transport/OutboundConnector.java
@@ -118,7 +118,7 @@
         state = state.after(Event.ESTABLISHED);
     }
 
-    /** A port of the system's ephemeral range that nobody listens on may be given to the connecting end itself. */
+    /** If the target port is in the ephemeral range and unused, the system may choose it as the local port as well. */
     private static boolean isConnectedToItself(SocketChannel channel) throws IOException {
         return channel.getLocalAddress().equals(channel.getRemoteAddress());
     }
