--- a/emulator/src/main/java/burlarch/emulator/demo/BenchFleet.java
+++ b/emulator/src/main/java/burlarch/emulator/demo/BenchFleet.java
@@ -50,10 +50,10 @@
         return network.router(1) + ":" + LoopbackNetwork.FRONT;
     }
 
-    /** Starts the controllers; returns the last one's start, up to its first answer for all of them. */
+    /** Starts the controllers; returns the time of the last one until its first response that needs a quorum. */
     Start startControllers() throws IOException, InterruptedException {
         for (int i = 1; i <= CONTROLLERS; i++) {
-            Path file = NodeFile.controller(folder, "controller-" + i, network.controller(i), seeds(), true);
+            Path file = NodeSettingsFile.controller(folder, "controller-" + i, network.controller(i), seeds(), true);
             controllers.add(process("controller", file));
         }
         for (FleetProcess process : controllers.subList(0, CONTROLLERS - 1)) {
@@ -64,9 +64,9 @@
         return start(controllers.get(last), seeds().get(last), "/burlarch/config", false);
     }
 
-    /** Starts the router; returns what it took until it called itself ready. */
+    /** Starts the router; returns its time until it reports that it is ready. */
     Start startRouter() throws IOException, InterruptedException {
-        router = process("router", NodeFile.router(folder, "router-1", network.router(1), seeds()));
+        router = process("router", NodeSettingsFile.router(folder, "router-1", network.router(1), seeds()));
         return start(router, network.router(1) + ":" + LoopbackNetwork.READINESS, "/burlarch/readyz", true);
     }
 
@@ -83,7 +83,7 @@
     }
 
     private FleetProcess process(String role, Path file) throws IOException {
-        return new FleetProcess(RunLine.of(home, role), home, file, folder.resolve(role + ".log"));
+        return new FleetProcess(DeploymentCommand.of(home, role), home, file, folder.resolve(role + ".log"));
     }
 
     private Start start(FleetProcess process, String address, String path, boolean ready)
@@ -93,7 +93,7 @@
         while (true) {
             int status = status(address, path);
             if (ready ? status == 200 : status != 0) {
-                double cpu = ProcessFigures.cpuNanos(process.pid()) / 1e9;
+                double cpu = ProcessStatistics.cpuNanos(process.pid()) / 1e9;
                 return new Start(cpu, (System.nanoTime() - began) / 1e9);
             }
             if (!process.alive() || System.nanoTime() - began > START_NANOS) {
@@ -109,12 +109,12 @@
                 .build();
         try {
             return http.send(request, HttpResponse.BodyHandlers.discarding()).statusCode();
-        } catch (IOException noAnswer) {
+        } catch (IOException noResponse) {
             return 0;
         }
     }
 
-    /** Ends all at once, by force: nothing of them is needed any more. */
+    /** Kills all processes: nothing of them is needed any more. */
     @Override
     public void close() throws InterruptedException {
         if (router != null) {
--- a/emulator/src/main/java/burlarch/emulator/demo/DemoConfiguration.java
+++ b/emulator/src/main/java/burlarch/emulator/demo/DemoConfiguration.java
@@ -2,7 +2,7 @@
 
 import java.util.Locale;
 
-/** The configurations that the demo's operator sends. */
+/** The configurations that the operator of the demo submits. */
 final class DemoConfiguration {
     static final String HOST = "shop.demo";
     static final String READ = "/read/";
@@ -12,22 +12,22 @@
     static final String ENGINES = "engines";
     static final String SHOP = "shop";
     static final String SHOP_NEW = "shop-new";
-    /** Milliseconds within which an answer of the plain service, or a stream's first event, is in time. */
-    static final long AIM_MILLIS = 1_000;
+    /** Latency target of a plain response, or of a stream's first event. */
+    static final long TARGET_LATENCY_MILLIS = 1_000;
 
     static final long TIMEOUT_MILLIS = 4_000;
     static final String[] KEYS = {"key-of-red", "key-of-green"};
-    /** Open to all; there only since a version, so that a router shows which one it has. */
-    private static final String MARK = "/version-%d/";
+    /** A public route that exists in one version only, so that a router reveals which version it has in force. */
+    private static final String VERSION_PATH = "/version-%d/";
 
     private DemoConfiguration() {}
 
-    /** Path that is routed from that version on. */
-    static String mark(long version) {
-        return String.format(Locale.ROOT, MARK, version);
+    /** The path of the version's public route. */
+    static String versionPath(long version) {
+        return String.format(Locale.ROOT, VERSION_PATH, version);
     }
 
-    static String whole(long version, String storeAddress) {
+    static String initial(long version, String storeAddress) {
         return "{\"config_version\":" + version + ",\"routes\":["
                 + route("read", READ, "idempotent", SHOP, "") + ","
                 + route("write", WRITE, "non_idempotent", SHOP, "") + ","
@@ -38,7 +38,7 @@
                         ENGINES,
                         ",\"session_affinity\":true,\"resumable\":true,\"gap_aim_ms\":500")
                 + ","
-                + markRoute(version) + "],\"services\":[" + plain(SHOP) + "," + plain(SHOP_NEW) + ","
+                + versionRoute(version) + "],\"services\":[" + plain(SHOP) + "," + plain(SHOP_NEW) + ","
                 + "{\"name\":\"" + ENGINES + "\",\"health_check\":\"/healthz\",\"max_connections\":200,"
                 + "\"protocol\":\"h1\",\"tls\":false,\"engine\":{\"capacity\":16,\"kv_capacity\":65536,"
                 + "\"kv_token_bytes\":1024,\"link_mbps\":10000.0,\"stride\":1,\"max_in_flight\":8,"
@@ -51,7 +51,7 @@
                 + "{\"name\":\"green\",\"api_keys\":[\"" + KEYS[1] + "\"]}]}";
     }
 
-    /** One route of streams to engines that take so many at once. */
+    /** One streaming route to engines with so many slots. */
     static String bench(int slots) {
         return "{\"config_version\":1,\"routes\":[{\"name\":\"talk\",\"hostname\":\"" + HOST
                 + "\",\"path_prefix\":\"" + TALK + "\",\"route_type\":\"streaming\",\"timeout_ms\":60000,"
@@ -67,15 +67,15 @@
                 + "\"tenants\":[{\"name\":\"red\",\"api_keys\":[\"" + KEYS[0] + "\"],\"isolated\":true}]}";
     }
 
-    /** Sends the reads to another service, and marks the version. */
+    /** A patch that routes reads to another service and replaces the public route of the version. */
     static String patch(long version, long former, String readsGoTo) {
         return "{\"config_version\":" + version + ",\"upsert\":{\"routes\":["
-                + route("read", READ, "idempotent", readsGoTo, "") + "," + markRoute(version)
+                + route("read", READ, "idempotent", readsGoTo, "") + "," + versionRoute(version)
                 + "]},\"delete\":{\"routes\":[\"mark-" + former + "\"]}}";
     }
 
-    private static String markRoute(long version) {
-        return route("mark-" + version, mark(version), "idempotent", SHOP, ",\"public\":true");
+    private static String versionRoute(long version) {
+        return route("mark-" + version, versionPath(version), "idempotent", SHOP, ",\"public\":true");
     }
 
     private static String plain(String name) {
@@ -86,7 +86,7 @@
     private static String route(String name, String prefix, String type, String service, String more) {
         return "{\"name\":\"" + name + "\",\"hostname\":\"" + HOST + "\",\"path_prefix\":\"" + prefix
                 + "\",\"route_type\":\"" + type + "\",\"timeout_ms\":" + TIMEOUT_MILLIS
-                + ",\"target_latency_ms\":" + AIM_MILLIS + ",\"priority\":1,\"service\":\"" + service
+                + ",\"target_latency_ms\":" + TARGET_LATENCY_MILLIS + ",\"priority\":1,\"service\":\"" + service
                 + "\",\"retries\":2" + more + "}";
     }
 }
--- a/emulator/src/main/java/burlarch/emulator/demo/StandIns.java
+++ b/emulator/src/main/java/burlarch/emulator/demo/DemoInstances.java
@@ -1,12 +1,12 @@
 package burlarch.emulator.demo;
 
 import burlarch.emulator.model.EngineParameters;
-import burlarch.emulator.server.ControlCalls;
+import burlarch.emulator.server.ControllerClient;
+import burlarch.emulator.server.EmulatedInstance;
 import burlarch.emulator.server.EngineServer;
-import burlarch.emulator.server.InstanceInfo;
+import burlarch.emulator.server.ExecutionListener;
+import burlarch.emulator.server.InstanceIdentity;
 import burlarch.emulator.server.PlainServer;
-import burlarch.emulator.server.RunBook;
-import burlarch.emulator.server.StandIn;
 import burlarch.emulator.server.StoreServer;
 import java.io.IOException;
 import java.net.http.HttpClient;
@@ -15,34 +15,34 @@
 import java.util.List;
 import java.util.Map;
 
-/** The engines, the store and the plain instances of the demo. */
-final class StandIns implements AutoCloseable {
+/** The emulated engines, store and plain instances of the demo. */
+final class DemoInstances implements AutoCloseable {
     private static final int ENGINE_SLOTS = 16;
     private static final int PLAIN_SLOTS = 32;
     private static final long PLAIN_MILLIS = 15;
     private static final int MAX_IN_FLIGHT = 8;
     private static final int STORE_TOKENS = 200_000;
-    /** How much longer than agreed an instance serves that leaves. */
+    /** How long an instance that shuts down serves beyond the drain timeout. */
     private static final long LINGER_MILLIS = 500;
 
     private final LoopbackNetwork network;
-    private final RunBook book;
+    private final ExecutionListener executions;
     private final HttpClient http;
     private final List<String> controllers;
     private final List<EngineServer> engines = new ArrayList<>();
-    private final List<StandIn> others = new ArrayList<>();
+    private final List<EmulatedInstance> others = new ArrayList<>();
     private int started;
 
-    StandIns(LoopbackNetwork network, RunBook book, HttpClient http, List<String> controllers) {
+    DemoInstances(LoopbackNetwork network, ExecutionListener executions, HttpClient http, List<String> controllers) {
         this.network = network;
-        this.book = book;
+        this.executions = executions;
         this.http = http;
         this.controllers = controllers;
     }
 
-    private InstanceInfo next(String service, int capacity) {
+    private InstanceIdentity next(String service, int capacity) {
         started++;
-        return new InstanceInfo(
+        return new InstanceIdentity(
                 "i-" + service + "-" + started,
                 service,
                 network.instance(started),
@@ -51,16 +51,16 @@
                 capacity);
     }
 
-    private void begin(StandIn standIn) {
-        standIn.start();
-        standIn.register(new ControlCalls(http, controllers, started), NodeFile.HEARTBEAT_MILLIS);
+    private void begin(EmulatedInstance instance) {
+        instance.start();
+        instance.register(new ControllerClient(http, controllers, started), NodeSettingsFile.HEARTBEAT_MILLIS);
     }
 
     synchronized EngineServer engine(long weights) throws IOException {
-        InstanceInfo info = next(DemoConfiguration.ENGINES, ENGINE_SLOTS);
+        InstanceIdentity info = next(DemoConfiguration.ENGINES, ENGINE_SLOTS);
         EngineServer engine = new EngineServer(
                 info,
-                book,
+                executions,
                 EngineParameters.small(),
                 Map.of(DemoConfiguration.MODEL, weights),
                 MAX_IN_FLIGHT,
@@ -72,21 +72,21 @@
     }
 
     synchronized void plain(String service) throws IOException {
-        PlainServer plain = new PlainServer(next(service, PLAIN_SLOTS), book, PLAIN_MILLIS);
+        PlainServer plain = new PlainServer(next(service, PLAIN_SLOTS), executions, PLAIN_MILLIS);
         others.add(plain);
         begin(plain);
     }
 
-    /** Starts the store, which announces itself to nobody; returns its address. */
+    /** Starts the store, which is not announced to controllers; returns its address. */
     synchronized String store() throws IOException {
-        StoreServer store = new StoreServer(next("store", 1), book, STORE_TOKENS, MAX_IN_FLIGHT, started);
+        StoreServer store = new StoreServer(next("store", 1), executions, STORE_TOKENS, MAX_IN_FLIGHT, started);
         others.add(store);
         store.start();
         return store.address();
     }
 
     /**
-     * Starts an engine in place of the first one, which leaves; returns whether its drain was acknowledged.
+     * Starts an engine as a replacement of the first one, which is drained; returns whether that was acknowledged.
      */
     boolean replaceEngine(long weights) throws IOException, InterruptedException {
         EngineServer leaving;
@@ -94,7 +94,7 @@
             leaving = engines.get(0);
         }
         engine(weights);
-        boolean acknowledged = leaving.leave(NodeFile.DRAIN_MILLIS, LINGER_MILLIS);
+        boolean acknowledged = leaving.shutDown(NodeSettingsFile.DRAIN_MILLIS, LINGER_MILLIS);
         synchronized (this) {
             engines.remove(leaving);
         }
@@ -112,7 +112,7 @@
 
     @Override
     public synchronized void close() {
-        engines.forEach(StandIn::close);
-        others.forEach(StandIn::close);
+        engines.forEach(EmulatedInstance::close);
+        others.forEach(EmulatedInstance::close);
     }
 }
--- a/emulator/src/main/java/burlarch/emulator/demo/DemoOperator.java
+++ b/emulator/src/main/java/burlarch/emulator/demo/DemoOperator.java
@@ -1,30 +1,30 @@
 package burlarch.emulator.demo;
 
-import burlarch.emulator.server.ControlCalls;
+import burlarch.emulator.server.ControllerClient;
 import java.time.Duration;
 import java.util.ArrayList;
 import java.util.List;
 
-/** The operator of the demo: sends configurations and names weights. */
+/** The operator of the demo: submits configurations and announces weights. */
 final class DemoOperator {
     private static final Duration LIMIT = Duration.ofSeconds(20);
 
-    private final ControlCalls calls;
+    private final ControllerClient calls;
     private final List<Long> sent = new ArrayList<>();
 
-    DemoOperator(ControlCalls calls) {
+    DemoOperator(ControllerClient calls) {
         this.calls = calls;
     }
 
-    /** Sends the first configuration. */
-    boolean found(long version, String storeAddress) throws InterruptedException {
+    /** Submits the first configuration; returns whether it was acknowledged. */
+    boolean createConfiguration(long version, String storeAddress) throws InterruptedException {
         sent.add(version);
-        return calls.call("PUT", "/burlarch/config", DemoConfiguration.whole(version, storeAddress), "0", LIMIT)
+        return calls.call("PUT", "/burlarch/config", DemoConfiguration.initial(version, storeAddress), "0", LIMIT)
                 .ok();
     }
 
-    /** Sends the reads to another service with a new version. */
-    boolean change(long version, String readsGoTo) throws InterruptedException {
+    /** Routes reads to another service with a new version; returns whether it was acknowledged. */
+    boolean changeConfiguration(long version, String readsGoTo) throws InterruptedException {
         long former = newest();
         sent.add(version);
         return calls.call(
@@ -36,7 +36,7 @@
                 .ok();
     }
 
-    /** Names new weights. */
+    /** Announces new weights; returns whether that was acknowledged. */
     boolean nameWeights(long version) throws InterruptedException {
         return calls.call(
                         "POST",
@@ -47,10 +47,10 @@
                 .ok();
     }
 
-    /** Whether the newest version is what can be read back. */
+    /** Whether a read returns the newest version. */
     boolean readsBack() throws InterruptedException {
-        ControlCalls.Answer answer = calls.call("GET", "/burlarch/config", null, null, LIMIT);
-        return answer.ok() && answer.body().contains("\"config_version\":" + newest() + ",");
+        ControllerClient.Response response = calls.call("GET", "/burlarch/config", null, null, LIMIT);
+        return response.ok() && response.body().contains("\"config_version\":" + newest() + ",");
     }
 
     long newest() {
--- a/emulator/src/main/java/burlarch/emulator/demo/RunLine.java
+++ b/emulator/src/main/java/burlarch/emulator/demo/DeploymentCommand.java
@@ -6,11 +6,11 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** Reads how the deployment starts a role. */
-final class RunLine {
+/** Reads the command by which the deployment starts a role. */
+final class DeploymentCommand {
     private static final String BEGIN = "run = \"";
 
-    private RunLine() {}
+    private DeploymentCommand() {}
 
     /** The command of a role in the folder's deploy/system.toml, with the running Java for "java". */
     static List<String> of(Path home, String role) throws IOException {
--- a/emulator/src/main/java/burlarch/emulator/demo/FleetDemo.java
+++ b/emulator/src/main/java/burlarch/emulator/demo/FleetDemo.java
@@ -1,6 +1,6 @@
 package burlarch.emulator.demo;
 
-import burlarch.emulator.server.ControlCalls;
+import burlarch.emulator.server.ControllerClient;
 import java.io.IOException;
 import java.io.PrintStream;
 import java.net.http.HttpClient;
@@ -13,7 +13,10 @@
 import java.util.concurrent.CompletableFuture;
 import java.util.concurrent.ExecutionException;
 
-/** The demo's script. What it starts it ends by its id, however it ends itself. */
+/**
+ * The script of the demo. It stops each process that it started by its process id, also when it is interrupted.
+ * Runs on the main thread; the replacement of an engine on another.
+ */
 final class FleetDemo {
     private static final int CONTROLLERS = 3;
     private static final int ROUTERS = 2;
@@ -28,12 +31,12 @@
     private final PrintStream output;
     private final List<FleetProcess> controllers = new ArrayList<>();
     private final List<FleetProcess> routers = new ArrayList<>();
-    private final Ledger ledger = new Ledger();
+    private final RequestLog log = new RequestLog();
     private final HttpClient http = HttpClient.newBuilder()
             .version(HttpClient.Version.HTTP_1_1)
             .connectTimeout(Duration.ofSeconds(1))
             .build();
-    private final Verdict verdict = new Verdict();
+    private final DemoReport report = new DemoReport();
     private long began;
 
     FleetDemo(Main.DemoOptions options, PrintStream output) {
@@ -41,7 +44,7 @@
         this.output = output;
     }
 
-    /** Plays the demo; returns whether the verdict is good. */
+    /** Runs the demo; returns whether all requirements are met. */
     boolean run() throws Exception {
         Path jar = options.jar().toAbsolutePath();
         if (!Files.isRegularFile(jar)) {
@@ -51,23 +54,23 @@
         Path logs = options.logs() == null ? folder : Files.createDirectories(options.logs());
         Thread atExit = new Thread(() -> abandon(folder), "end-of-demo");
         Runtime.getRuntime().addShutdownHook(atExit);
-        try (LoopbackNetwork network = LoopbackNetwork.take()) {
+        try (LoopbackNetwork network = LoopbackNetwork.reserve()) {
             prepare(network, jar, folder, logs.toAbsolutePath());
             play(network);
         } finally {
             endAll();
             leave(atExit, folder);
         }
-        output.println(verdict.table());
-        return verdict.passes();
+        output.println(report.table());
+        return report.passes();
     }
 
     private static void leave(Thread atExit, Path folder) throws IOException {
         try {
             Runtime.getRuntime().removeShutdownHook(atExit);
-            DemoFolder.delete(folder);
+            TemporaryDirectory.delete(folder);
         } catch (IllegalStateException interrupted) {
-            // The process is ending already, and the hook does the rest.
+            // The process is ending already, and the shutdown hook deletes the directory.
         }
     }
 
@@ -75,16 +78,16 @@
         List<String> seeds = controlAddresses(network);
         for (int i = 1; i <= CONTROLLERS; i++) {
             String name = "controller-" + i;
-            Path file = NodeFile.controller(folder, name, network.controller(i), seeds, true);
+            Path file = NodeSettingsFile.controller(folder, name, network.controller(i), seeds, true);
             controllers.add(new FleetProcess("controller", jar, file, logs.resolve(name + ".log")));
         }
         for (int i = 1; i <= ROUTERS; i++) {
             String name = "router-" + i;
-            Path file = NodeFile.router(folder, name, network.router(i), seeds);
+            Path file = NodeSettingsFile.router(folder, name, network.router(i), seeds);
             routers.add(new FleetProcess("router", jar, file, logs.resolve(name + ".log")));
         }
         began = System.nanoTime();
-        tell(CONTROLLERS + " controllers and " + ROUTERS + " routers start");
+        print(CONTROLLERS + " controllers and " + ROUTERS + " routers start");
         for (FleetProcess process : all()) {
             process.start();
         }
@@ -100,73 +103,74 @@
 
     private void play(LoopbackNetwork network) throws Exception {
         List<String> addresses = controlAddresses(network);
-        RouterList routerList = new RouterList(http, List.of(network.router(1), network.router(2)));
-        DemoOperator operator = new DemoOperator(new ControlCalls(http, addresses, 0));
-        try (StandIns standIns = new StandIns(network, ledger, http, addresses)) {
-            String store = standIns.store();
-            verdict.step("first configuration acknowledged", operator.found(FIRST, store));
+        RouterProbe routerProbe = new RouterProbe(http, List.of(network.router(1), network.router(2)));
+        DemoOperator operator = new DemoOperator(new ControllerClient(http, addresses, 0));
+        try (DemoInstances instances = new DemoInstances(network, log, http, addresses)) {
+            String store = instances.store();
+            report.step("first configuration acknowledged", operator.createConfiguration(FIRST, store));
             for (int i = 0; i < ENGINES; i++) {
-                standIns.engine(FIRST);
+                instances.engine(FIRST);
             }
-            standIns.plain(DemoConfiguration.SHOP);
-            standIns.plain(DemoConfiguration.SHOP_NEW);
-            awaitReady(routerList);
-            traffic(operator, routerList, standIns);
+            instances.plain(DemoConfiguration.SHOP);
+            instances.plain(DemoConfiguration.SHOP_NEW);
+            awaitReady(routerProbe);
+            traffic(operator, routerProbe, instances);
         }
     }
 
-    private void awaitReady(RouterList routerList) throws InterruptedException, IOException {
+    private void awaitReady(RouterProbe routerProbe) throws InterruptedException, IOException {
         long end = System.nanoTime() + START_MILLIS * 1_000_000;
-        while (!routerList.allReady()) {
+        while (!routerProbe.allReady()) {
             if (System.nanoTime() - end > 0) {
                 throw new IOException("the routers are not ready after " + START_MILLIS / 1000 + " s");
             }
             Thread.sleep(POLL_MILLIS);
         }
-        tell("routers are ready");
+        print("routers are ready");
     }
 
-    private void traffic(DemoOperator operator, RouterList routerList, StandIns standIns) throws Exception {
+    private void traffic(DemoOperator operator, RouterProbe routerProbe, DemoInstances instances) throws Exception {
         long start = System.nanoTime();
-        try (Traffic traffic = new Traffic(new Tries(http, routerList, ledger), SEED)) {
+        try (OpenLoopTraffic traffic = new OpenLoopTraffic(new DemoClient(http, routerProbe, log), SEED)) {
             traffic.start();
-            tell("traffic starts");
-            troubles(operator, standIns, start);
+            print("traffic starts");
+            injectFaults(operator, instances, start);
             until(start, options.seconds());
             traffic.finish();
         }
-        Thread.sleep(NodeFile.CONFIGURATION_MILLIS);
-        judge(operator, routerList, standIns);
+        Thread.sleep(NodeSettingsFile.CONFIGURATION_MILLIS);
+        report(operator, routerProbe, instances);
     }
 
-    private void troubles(DemoOperator operator, StandIns standIns, long start) throws Exception {
+    private void injectFaults(DemoOperator operator, DemoInstances instances, long start) throws Exception {
         until(start, 2);
-        verdict.step("change acknowledged", operator.change(4, DemoConfiguration.SHOP_NEW));
-        tell("configuration 4 is acknowledged: reads go to another service");
+        report.step("change acknowledged", operator.changeConfiguration(4, DemoConfiguration.SHOP_NEW));
+        print("configuration 4 is acknowledged: reads go to another service");
         until(start, 3.5);
-        tell("an engine drains, another takes its place");
-        CompletableFuture<Boolean> replaced = CompletableFuture.supplyAsync(() -> replace(standIns));
+        print("an engine drains, another takes its place");
+        CompletableFuture<Boolean> replaced = CompletableFuture.supplyAsync(() -> replace(instances));
         until(start, 5);
         controllers.get(KILLED).kill();
-        tell("controller 2 is killed");
+        print("controller 2 is killed");
         until(start, 6);
-        verdict.step("change with a controller down acknowledged", operator.change(9, DemoConfiguration.SHOP));
-        tell("configuration 9 is acknowledged by the other two");
+        report.step(
+                "change with a controller down acknowledged", operator.changeConfiguration(9, DemoConfiguration.SHOP));
+        print("configuration 9 is acknowledged by the other two");
         until(start, 7);
         controllers.get(KILLED).start();
-        tell("controller 2 starts again");
-        verdict.step("drain acknowledged", replaced.get());
+        print("controller 2 starts again");
+        report.step("drain acknowledged", replaced.get());
         until(start, 8);
-        verdict.step("new weights acknowledged", operator.nameWeights(2));
-        tell("weights 2 are named");
+        report.step("new weights acknowledged", operator.nameWeights(2));
+        print("weights 2 are named");
         until(start, 12);
-        verdict.step("last change acknowledged", operator.change(12, DemoConfiguration.SHOP_NEW));
-        tell("configuration 12 is acknowledged");
+        report.step("last change acknowledged", operator.changeConfiguration(12, DemoConfiguration.SHOP_NEW));
+        print("configuration 12 is acknowledged");
     }
 
-    private static boolean replace(StandIns standIns) {
+    private static boolean replace(DemoInstances instances) {
         try {
-            return standIns.replaceEngine(FIRST);
+            return instances.replaceEngine(FIRST);
         } catch (IOException | InterruptedException e) {
             return false;
         }
@@ -179,20 +183,20 @@
         }
     }
 
-    private void judge(DemoOperator operator, RouterList routerList, StandIns standIns)
+    private void report(DemoOperator operator, RouterProbe routerProbe, DemoInstances instances)
             throws InterruptedException, ExecutionException {
-        verdict.step("newest configuration read back", operator.readsBack());
-        verdict.requests(ledger.askedSoFar(), ledger.servedSoFar(), ledger.lateSoFar(), ledger.failedSoFar());
-        verdict.none("requests that ran twice", ledger.doubleRuns());
-        verdict.none("requests that ran after a promise not to", ledger.brokenPromises());
-        verdict.none("requests to a drained instance", ledger.toDrained());
-        verdict.versions("configuration", routerList.versions(operator.versions()), operator.newest());
-        verdict.versions("weights", standIns.weights(), 2);
-        verdict.none("processes that ended by themselves", (int)
+        report.step("newest configuration read back", operator.readsBack());
+        report.requests(log.requestCount(), log.servedCount(), log.lateCount(), log.failedCount());
+        report.none("requests that ran twice", log.duplicateExecutions());
+        report.none("requests that ran after a promise not to", log.executedAfterReport());
+        report.none("requests to a drained instance", log.requestsAfterDrain());
+        report.versions("configuration", routerProbe.versions(operator.versions()), operator.newest());
+        report.versions("weights", instances.weights(), 2);
+        report.none("processes that ended by themselves", (int)
                 all().stream().filter(process -> !process.alive()).count());
     }
 
-    private void tell(String what) {
+    private void print(String what) {
         output.printf(Locale.ROOT, "%6.1f s  %s%n", (System.nanoTime() - began) / 1e9, what);
     }
 
@@ -209,13 +213,13 @@
         }
     }
 
-    /** The demo is interrupted: nothing of it stays. */
+    /** The demo is interrupted: stops all processes and deletes the directory. */
     private void abandon(Path folder) {
         try {
             for (FleetProcess process : all()) {
                 process.killForGood();
             }
-            DemoFolder.delete(folder);
+            TemporaryDirectory.delete(folder);
         } catch (IOException | InterruptedException e) {
             output.println("burlarch: left behind: " + folder);
         }
--- a/emulator/src/main/java/burlarch/emulator/demo/FleetProcess.java
+++ b/emulator/src/main/java/burlarch/emulator/demo/FleetProcess.java
@@ -5,16 +5,16 @@
 import java.util.List;
 import java.util.concurrent.TimeUnit;
 
-/** One process of the fleet: started, killed and ended by its own id. */
+/** A router or controller process, started and stopped by its own process id. Thread-safe. */
 final class FleetProcess {
-    private static final long GRACE_SECONDS = 5;
+    private static final long SHUTDOWN_TIMEOUT_SECONDS = 5;
 
     private final List<String> command;
     private final Path directory;
     private final Path settings;
     private final Path log;
     private Process process;
-    private boolean over;
+    private boolean closed;
 
     FleetProcess(String role, Path jar, Path settings, Path log) {
         this(
@@ -42,7 +42,7 @@
     }
 
     synchronized void start() throws IOException {
-        if (over) {
+        if (closed) {
             throw new IOException("the demo is over");
         }
         ProcessBuilder builder = new ProcessBuilder(command).directory(directory.toFile());
@@ -51,15 +51,15 @@
         process = builder.start();
     }
 
-    /** Kills it at once, as a loss of power would. */
+    /** Kills it, as a power failure would. */
     synchronized void kill() throws InterruptedException {
         process.destroyForcibly();
         process.waitFor();
     }
 
-    /** Kills it if it runs, and lets it never start again. */
+    /** Kills it if it runs; it can not be started again. */
     synchronized void killForGood() throws InterruptedException {
-        over = true;
+        closed = true;
         if (process != null) {
             kill();
         }
@@ -74,18 +74,18 @@
         return process.pid();
     }
 
-    /** Asks it to end. */
+    /** Sends it a termination signal. */
     synchronized void terminate() {
         if (process != null) {
             process.destroy();
         }
     }
 
-    /** Ends it: asked first, by force when it takes too long. */
+    /** Stops it gracefully, or kills it after a time-out. */
     synchronized void end() throws InterruptedException {
         if (process != null) {
             process.destroy();
-            if (!process.waitFor(GRACE_SECONDS, TimeUnit.SECONDS)) {
+            if (!process.waitFor(SHUTDOWN_TIMEOUT_SECONDS, TimeUnit.SECONDS)) {
                 process.destroyForcibly();
                 process.waitFor();
             }
--- a/emulator/src/main/java/burlarch/emulator/demo/LoopbackNetwork.java
+++ b/emulator/src/main/java/burlarch/emulator/demo/LoopbackNetwork.java
@@ -6,8 +6,8 @@
 import java.net.ServerSocket;
 
 /**
- * A part of 127.0.0.0/8 that no other demo uses: machines have an address each, and ports are alike on all of
- * them. It is held by a listening socket.
+ * A subnet of 127.0.0.0/8 that no other demo uses: each machine has an address of its own, with the same ports on
+ * all. A listening socket reserves it.
  */
 final class LoopbackNetwork implements AutoCloseable {
     static final int FRONT = 8_782;
@@ -20,14 +20,14 @@
     private static final int LAST = 127;
 
     private final int number;
-    private final ServerSocket held;
+    private final ServerSocket reservation;
 
     private LoopbackNetwork(int number, ServerSocket held) {
         this.number = number;
-        this.held = held;
+        this.reservation = held;
     }
 
-    static LoopbackNetwork take() throws IOException {
+    static LoopbackNetwork reserve() throws IOException {
         for (int number = FIRST; number <= LAST; number++) {
             ServerSocket socket = new ServerSocket();
             try {
@@ -54,6 +54,6 @@
 
     @Override
     public void close() throws IOException {
-        held.close();
+        reservation.close();
     }
 }
--- a/emulator/src/main/java/burlarch/emulator/demo/Main.java
+++ b/emulator/src/main/java/burlarch/emulator/demo/Main.java
@@ -54,7 +54,7 @@
 
     /** Runs a command and ends the process. */
     public static void main(String[] arguments) {
-        // Clients choose the host that they ask for, and nothing is sent twice behind their backs.
+        // Clients set the Host header, and the HTTP client must not retry a request on its own.
         System.setProperty("jdk.httpclient.allowRestrictedHeaders", "host,connection");
         System.setProperty("jdk.httpclient.disableRetryConnect", "true");
         System.setProperty("sun.net.httpserver.nodelay", "true");
@@ -90,11 +90,11 @@
     interface Command {
         boolean help();
 
-        /** Runs it; returns whether all bars are cleared. */
+        /** Runs it; returns whether all requirements are met. */
         boolean run(PrintStream output) throws Exception;
     }
 
-    /** What the bench is told. Public, as args4j makes it. */
+    /** Options of the bench. Public because args4j creates it. */
     public static final class BenchOptions implements Command {
         private static final int LEAST_SECONDS = 5;
 
@@ -118,7 +118,7 @@
         }
     }
 
-    /** What the demo is told. Public, as args4j makes it. */
+    /** Options of the demo. Public because args4j creates it. */
     public static final class DemoOptions implements Command {
         private static final int LEAST_SECONDS = 15;
 
--- a/emulator/src/main/java/burlarch/emulator/demo/NodeFile.java
+++ b/emulator/src/main/java/burlarch/emulator/demo/NodeSettingsFile.java
@@ -6,18 +6,18 @@
 import java.util.List;
 import java.util.stream.Collectors;
 
-/** Writes the settings file of a process of the fleet. */
-final class NodeFile {
-    /** How long a drained instance may still get requests, in the bounds that the file tells. */
+/** Writes the settings file of a router or controller process. */
+final class NodeSettingsFile {
+    /** How long a draining instance may still receive requests; written as a bound of the settings. */
     static final long DRAIN_MILLIS = 2_000;
     /** How often instances announce themselves. */
     static final long HEARTBEAT_MILLIS = 500;
-    /** How long routers may take to put a configuration into force. */
+    /** Within which routers must have a configuration in force. */
     static final long CONFIGURATION_MILLIS = 2_000;
-    /** Within which requests run on newly named weights. */
+    /** Within which requests must be executed with newly announced weights. */
     static final long WEIGHTS_MILLIS = 8_000;
 
-    private NodeFile() {}
+    private NodeSettingsFile() {}
 
     static Path controller(Path folder, String name, String ip, List<String> seeds, boolean first) throws IOException {
         Path data = Files.createDirectories(folder.resolve(name + "-data"));
--- a/emulator/src/main/java/burlarch/emulator/demo/Traffic.java
+++ b/emulator/src/main/java/burlarch/emulator/demo/OpenLoopTraffic.java
@@ -7,8 +7,8 @@
 import java.util.concurrent.TimeUnit;
 import java.util.function.Supplier;
 
-/** Open-loop clients: requests come at their times, whether or not earlier ones have their answers. */
-final class Traffic implements AutoCloseable {
+/** Open-loop clients: requests are sent at fixed rates, whether or not earlier ones have been served. */
+final class OpenLoopTraffic implements AutoCloseable {
     private static final int READS_PER_SECOND = 30;
     private static final int WRITES_PER_SECOND = 10;
     private static final int TALKS_PER_SECOND = 6;
@@ -18,49 +18,51 @@
     private static final int OWN_TOKENS = 50;
     private static final int OUT_TOKENS = 12;
 
-    private final Tries tries;
+    private final DemoClient client;
     private final Random random;
     private final ScheduledExecutorService clock = Executors.newSingleThreadScheduledExecutor();
     private final ExecutorService clients = Executors.newCachedThreadPool();
 
-    Traffic(Tries tries, long seed) {
-        this.tries = tries;
+    OpenLoopTraffic(DemoClient client, long seed) {
+        this.client = client;
         this.random = new Random(seed);
     }
 
     void start() {
         each(
                 READS_PER_SECOND,
-                () -> new Tries.Wish("GET", DemoConfiguration.READ + "item", true, false, "X-Credential", key()));
+                () -> new DemoClient.ClientRequest(
+                        "GET", DemoConfiguration.READ + "item", true, false, "X-Credential", key()));
         each(
                 WRITES_PER_SECOND,
-                () -> new Tries.Wish("POST", DemoConfiguration.WRITE + "item", false, false, "X-Credential", key()));
+                () -> new DemoClient.ClientRequest(
+                        "POST", DemoConfiguration.WRITE + "item", false, false, "X-Credential", key()));
         each(TALKS_PER_SECOND, this::talk);
     }
 
-    private void each(int perSecond, Supplier<Tries.Wish> wishes) {
+    private void each(int perSecond, Supplier<DemoClient.ClientRequest> requests) {
         clock.scheduleAtFixedRate(
                 () -> {
-                    Tries.Wish wish = wishes.get();
-                    clients.execute(() -> ask(wish));
+                    DemoClient.ClientRequest request = requests.get();
+                    clients.execute(() -> ask(request));
                 },
                 0,
                 TimeUnit.SECONDS.toMicros(1) / perSecond,
                 TimeUnit.MICROSECONDS);
     }
 
-    private void ask(Tries.Wish wish) {
+    private void ask(DemoClient.ClientRequest request) {
         try {
-            tries.ask(wish);
+            client.send(request);
         } catch (InterruptedException over) {
             Thread.currentThread().interrupt();
         }
     }
 
-    private Tries.Wish talk() {
-        String parts = "a0:" + SHARED_TOKENS + ",b" + random.nextInt(SUBJECTS) + ":" + SUBJECT_TOKENS + ","
+    private DemoClient.ClientRequest talk() {
+        String segments = "a0:" + SHARED_TOKENS + ",b" + random.nextInt(SUBJECTS) + ":" + SUBJECT_TOKENS + ","
                 + Long.toHexString(random.nextLong()) + ":" + OWN_TOKENS;
-        return new Tries.Wish(
+        return new DemoClient.ClientRequest(
                 "POST",
                 DemoConfiguration.TALK + "go",
                 true,
@@ -70,7 +72,7 @@
                 "X-Model",
                 DemoConfiguration.MODEL,
                 "X-Prefix-Hash",
-                parts,
+                segments,
                 "X-Token-Usage",
                 SHARED_TOKENS + SUBJECT_TOKENS + OWN_TOKENS + "," + OUT_TOKENS);
     }
@@ -79,7 +81,7 @@
         return DemoConfiguration.KEYS[random.nextInt(DemoConfiguration.KEYS.length)];
     }
 
-    /** No more requests; waits for those that are under way. */
+    /** Stops sending, and waits for requests in flight. */
     void finish() throws InterruptedException {
         clock.shutdownNow();
         clients.shutdown();
--- a/emulator/src/main/java/burlarch/emulator/demo/ProcessFigures.java
+++ b/emulator/src/main/java/burlarch/emulator/demo/ProcessStatistics.java
@@ -4,14 +4,14 @@
 import java.nio.file.Files;
 import java.nio.file.Path;
 
-/** What the system counts for a process. */
-final class ProcessFigures {
-    /** Linux tells processor time in ticks of 10 ms. */
+/** Statistics of a process that the kernel keeps in /proc. */
+final class ProcessStatistics {
+    /** Linux reports processor time in ticks of 10 ms. */
     private static final long TICK_NANOS = 10_000_000;
 
     private static final int USER_TICKS = 11;
 
-    private ProcessFigures() {}
+    private ProcessStatistics() {}
 
     /** Processor time of all its threads so far, user and system. */
     static long cpuNanos(long pid) throws IOException {
@@ -24,7 +24,7 @@
         return (Long.parseLong(fields[USER_TICKS]) + Long.parseLong(fields[USER_TICKS + 1])) * TICK_NANOS;
     }
 
-    /** The most memory that it ever held, in MB of 1000 kB. */
+    /** Peak resident memory, in MB of 1000 kB. */
     static double peakMegabytes(long pid) throws IOException {
         return peakMegabytes(Files.readString(Path.of("/proc", Long.toString(pid), "status")));
     }
--- a/emulator/src/main/java/burlarch/emulator/demo/RouterList.java
+++ b/emulator/src/main/java/burlarch/emulator/demo/RouterProbe.java
@@ -11,24 +11,24 @@
 import java.util.Map;
 import java.util.concurrent.ThreadLocalRandom;
 
-/** The routers as clients and the platform see them. */
-final class RouterList {
+/** Probes the routers from outside: readiness, and which configuration they have in force. */
+final class RouterProbe {
     private static final Duration PROBE = Duration.ofSeconds(1);
 
     private final HttpClient http;
     private final List<String> ips;
 
-    RouterList(HttpClient http, List<String> ips) {
+    RouterProbe(HttpClient http, List<String> ips) {
         this.http = http;
         this.ips = ips;
     }
 
-    /** Where a client connects to. */
+    /** The address of a random router, for a client to connect to. */
     String any() {
         return ips.get(ThreadLocalRandom.current().nextInt(ips.size())) + ":" + LoopbackNetwork.FRONT;
     }
 
-    /** Whether every router calls itself ready. */
+    /** Whether every router reports that it is ready. */
     boolean allReady() throws InterruptedException {
         for (String ip : ips) {
             if (status(ip + ":" + LoopbackNetwork.READINESS, "/burlarch/readyz") != 200) {
@@ -38,13 +38,13 @@
         return true;
     }
 
-    /** The newest of the versions that each router has in force, 0 where it shows none of them. */
+    /** The newest of the candidate versions that each router has in force, 0 for none, by its version route. */
     Map<String, Long> versions(List<Long> candidates) throws InterruptedException {
         Map<String, Long> found = new LinkedHashMap<>();
         for (String ip : ips) {
             long newest = 0;
             for (long version : candidates) {
-                String path = DemoConfiguration.mark(version);
+                String path = DemoConfiguration.versionPath(version);
                 if (status(ip + ":" + LoopbackNetwork.FRONT, path) == 200) {
                     newest = Math.max(newest, version);
                 }
@@ -65,7 +65,7 @@
                 .build();
         try {
             return http.send(request, HttpResponse.BodyHandlers.discarding()).statusCode();
-        } catch (IOException noAnswer) {
+        } catch (IOException noResponse) {
             return 0;
         }
     }
--- a/emulator/src/main/java/burlarch/emulator/demo/StreamCheck.java
+++ b/emulator/src/main/java/burlarch/emulator/demo/StreamVerifier.java
@@ -3,9 +3,10 @@
 import java.util.concurrent.Flow;
 
 /**
- * Follows the lines of an answer: events have to be numbered without a gap, up to the one that says the end.
+ * Verifies the lines of an event stream: events must be numbered without a gap, up to the one marked as the end.
+ * The HTTP client calls it on its threads, one call at a time; the results are read after the response.
  */
-final class StreamCheck implements Flow.Subscriber<String> {
+final class StreamVerifier implements Flow.Subscriber<String> {
     private volatile long firstNanos;
     private volatile boolean ended;
     private volatile boolean broken;
@@ -37,14 +38,14 @@
 
     @Override
     public void onComplete() {
-        // What counts is the event that says the end.
+        // Only the event that is marked as the end counts.
     }
 
     boolean complete() {
         return ended && !broken;
     }
 
-    /** When the first event came. */
+    /** When the first event arrived, 0 before. */
     long firstNanos() {
         return firstNanos;
     }
--- a/emulator/src/main/java/burlarch/emulator/demo/DemoFolder.java
+++ b/emulator/src/main/java/burlarch/emulator/demo/TemporaryDirectory.java
@@ -6,9 +6,9 @@
 import java.util.Comparator;
 import java.util.stream.Stream;
 
-/** The folder that goes with a demo or a bench. */
-final class DemoFolder {
-    private DemoFolder() {}
+/** Deletes the temporary directory of a demo or bench. */
+final class TemporaryDirectory {
+    private TemporaryDirectory() {}
 
     static void delete(Path folder) throws IOException {
         try (Stream<Path> files = Files.walk(folder)) {
--- a/emulator/src/main/java/burlarch/emulator/demo/StampedStreams.java
+++ b/emulator/src/main/java/burlarch/emulator/demo/TimestampedStreamClients.java
@@ -14,8 +14,8 @@
 import org.HdrHistogram.ConcurrentHistogram;
 import org.HdrHistogram.Histogram;
 
-/** Clients that read streams of stamped events at once, and note how old each event is when it comes. */
-final class StampedStreams {
+/** Clients that read streams of timestamped events concurrently, and record the age of each event on arrival. */
+final class TimestampedStreamClients {
     private static final long LONGEST_NANOS = 60_000_000_000L;
     private static final int DIGITS = 3;
 
@@ -24,18 +24,18 @@
     private final String[] headers;
     private final Histogram ages = new ConcurrentHistogram(LONGEST_NANOS, DIGITS);
     private final AtomicInteger begun = new AtomicInteger();
-    private final List<CompletableFuture<HttpResponse<Void>>> answers = new ArrayList<>();
+    private final List<CompletableFuture<HttpResponse<Void>>> responses = new ArrayList<>();
     private volatile long countFrom = Long.MAX_VALUE;
     private volatile long countTo = Long.MAX_VALUE;
 
     /** @param headers names and values in turn, more than all streams have */
-    StampedStreams(HttpClient http, String address, String... headers) {
+    TimestampedStreamClients(HttpClient http, String address, String... headers) {
         this.http = http;
         this.address = address;
         this.headers = headers;
     }
 
-    /** Opens streams of so many events each. */
+    /** Opens streams of {@code events} events each. */
     void open(int streams, int events, int deadlineMillis) throws InterruptedException {
         for (int i = 0; i < streams; i++) {
             String id = Long.toHexString(ThreadLocalRandom.current().nextLong());
@@ -50,12 +50,12 @@
                     .headers(headers)
                     .POST(HttpRequest.BodyPublishers.ofString("{}"))
                     .build();
-            answers.add(http.sendAsync(request, HttpResponse.BodyHandlers.fromLineSubscriber(new Ages())));
+            responses.add(http.sendAsync(request, HttpResponse.BodyHandlers.fromLineSubscriber(new Ages())));
             Thread.sleep(2);
         }
     }
 
-    /** Counts the events that are sent from now on, for so long. */
+    /** Records the ages of the events that are sent within the next {@code millis}. */
     Histogram count(long millis) throws InterruptedException {
         countFrom = System.nanoTime();
         countTo = countFrom + millis * 1_000_000;
@@ -63,16 +63,16 @@
         return ages;
     }
 
-    /** Streams of which an event has come. */
+    /** Streams of which an event has arrived. */
     int begun() {
         return begun.get();
     }
 
-    /** Waits for the end of all; returns how many ended well. */
+    /** Waits until all streams have ended; returns how many ended with status 200. */
     int finish() {
         int well = 0;
-        for (CompletableFuture<HttpResponse<Void>> answer : answers) {
-            well += answer.handle((end, failure) -> end != null && end.statusCode() == 200 ? 1 : 0)
+        for (CompletableFuture<HttpResponse<Void>> response : responses) {
+            well += response.handle((end, failure) -> end != null && end.statusCode() == 200 ? 1 : 0)
                     .join();
         }
         return well;
@@ -105,12 +105,12 @@
 
         @Override
         public void onError(Throwable failure) {
-            // The answer's future tells it.
+            // Reported by the response's future.
         }
 
         @Override
         public void onComplete() {
-            // The answer's future tells it.
+            // Reported by the response's future.
         }
     }
 }
--- a/emulator/src/main/java/burlarch/emulator/model/EngineParameters.java
+++ b/emulator/src/main/java/burlarch/emulator/model/EngineParameters.java
@@ -1,17 +1,17 @@
 package burlarch.emulator.model;
 
 /**
- * How fast and how large an engine is. Times are nanoseconds.
+ * Speed and capacity of an emulated engine. Times are nanoseconds.
  *
- * @param slots requests that run at once
- * @param queue requests that wait at most
- * @param stepNanos of one step of an empty batch
- * @param stepPerRequestNanos longer for each running request
- * @param promptTokenNanos for each token of a prompt that is read in a step
- * @param chunkTokens of prompts that one step reads at most
- * @param blockTokens memory is handed out in blocks of so many tokens
+ * @param slots maximum number of running requests
+ * @param queue maximum number of queued requests
+ * @param stepNanos duration of a step of an empty batch
+ * @param stepPerRequestNanos additional duration for each running request
+ * @param promptTokenNanos additional duration for each prefilled token
+ * @param chunkTokens maximum number of tokens that one step prefills
+ * @param blockTokens tokens in a block of memory
  * @param blocks of memory
- * @param loadNanos for which an order to load weights takes the engine up
+ * @param loadNanos time to load weights
  */
 public record EngineParameters(
         int slots,
@@ -24,12 +24,12 @@
         int blocks,
         long loadNanos) {
 
-    /** A small engine: a token each 10 ms or so, 20 tokens of a prompt read in a millisecond. */
+    /** A small engine: about 10 ms for each token, 20 prompt tokens prefilled in a millisecond. */
     public static EngineParameters small() {
         return new EngineParameters(16, 32, 8_000_000, 300_000, 50_000, 512, 16, 4_096, 400_000_000);
     }
 
-    /** Blocks that so many tokens take. */
+    /** Blocks that so many tokens need. */
     int blocksFor(int tokens) {
         return (tokens + blockTokens - 1) / blockTokens;
     }
--- a/emulator/src/main/java/burlarch/emulator/model/PromptPart.java
+++ b/emulator/src/main/java/burlarch/emulator/model/PromptSegment.java
@@ -4,31 +4,31 @@
 import java.util.List;
 
 /**
- * A part of a prompt.
+ * A segment of a prompt.
  *
  * @param id in hex
  * @param tokens its length
  */
-public record PromptPart(String id, int tokens) {
+public record PromptSegment(String id, int tokens) {
 
     /**
-     * The parts that a header tells, ID:TOKENS by commas; none where it is absent.
+     * Parses the X-Prefix-Hash header, ID:TOKENS separated by commas; empty if the header is absent.
      *
      * @throws IllegalArgumentException if the text is malformed
      */
-    public static List<PromptPart> parse(String text) {
-        List<PromptPart> parts = new ArrayList<>();
+    public static List<PromptSegment> parse(String text) {
+        List<PromptSegment> segments = new ArrayList<>();
         if (text != null && !text.isBlank()) {
             for (String item : text.split(",")) {
                 int colon = item.indexOf(':');
                 if (colon <= 0) {
                     throw new IllegalArgumentException("no part of a prompt: " + item);
                 }
-                parts.add(new PromptPart(
+                segments.add(new PromptSegment(
                         item.substring(0, colon).trim(),
                         Integer.parseInt(item.substring(colon + 1).trim())));
             }
         }
-        return List.copyOf(parts);
+        return List.copyOf(segments);
     }
 }
--- a/emulator/src/main/java/burlarch/emulator/model/RequestRules.java
+++ b/emulator/src/main/java/burlarch/emulator/model/RequestValidation.java
@@ -3,18 +3,18 @@
 import java.util.Map;
 import java.util.function.UnaryOperator;
 
-/** Which requests an instance turns away before it begins any work on them. */
-public final class RequestRules {
-    /** The request may run. */
-    public static final int RUN = 0;
+/** Which requests an instance rejects before it begins to execute them. */
+public final class RequestValidation {
+    /** The request may be executed. */
+    public static final int ACCEPTED = 0;
 
     private static final int NO_ID = 400;
     private static final int MISDIRECTED = 421;
 
-    private RequestRules() {}
+    private RequestValidation() {}
 
     /**
-     * The status that turns a request away, or {@link #RUN}.
+     * The status with which to reject a request, or {@link #ACCEPTED}.
      *
      * @param header value of a header by its name, null where it is absent
      * @param instance id of this one
@@ -34,6 +34,6 @@
         if (expected != null && versions.containsKey(model) && !expected.equals(Long.toString(versions.get(model)))) {
             return MISDIRECTED;
         }
-        return RUN;
+        return ACCEPTED;
     }
 }
--- a/emulator/src/main/java/burlarch/emulator/server/ControlCalls.java
+++ b/emulator/src/main/java/burlarch/emulator/server/ControllerClient.java
@@ -8,17 +8,17 @@
 import java.time.Duration;
 import java.util.List;
 
-/** Calls to controllers: one after the other is tried until one answers for good. */
-public final class ControlCalls {
-    private static final Duration PATIENCE = Duration.ofSeconds(1);
-    private static final long PAUSE_MILLIS = 100;
+/** Calls controllers: one after another, until one gives a final response. Calls of one client are sequential. */
+public final class ControllerClient {
+    private static final Duration CALL_TIMEOUT = Duration.ofSeconds(1);
+    private static final long RETRY_DELAY_MILLIS = 100;
 
     private final HttpClient http;
     private final List<String> controllers;
     private int next;
 
-    /** The answer that ended a call. */
-    public record Answer(int status, String body) {
+    /** The response that ended a call. */
+    public record Response(int status, String body) {
         /** Whether it acknowledges. */
         public boolean ok() {
             return status / 100 == 2;
@@ -26,42 +26,42 @@
     }
 
     /**
-     * A caller of its own.
+     * A client of these controllers.
      *
      * @param controllers addresses, IP:PORT
-     * @param first which of them it begins with
+     * @param first index of the one to begin with
      */
-    public ControlCalls(HttpClient http, List<String> controllers, int first) {
+    public ControllerClient(HttpClient http, List<String> controllers, int first) {
         this.http = http;
         this.controllers = List.copyOf(controllers);
         this.next = Math.floorMod(first, controllers.size());
     }
 
     /**
-     * Calls until an answer is clear: a 2xx, or a 4xx other than 408 and 429.
+     * Calls until a response is final: 2xx, or 4xx other than 408 and 429.
      *
      * @param ifMatch value of If-Match, null for none
-     * @param limit for all tries together
-     * @return the clear answer, or the last unclear one; status 0 where none came
+     * @param limit time for all attempts together
+     * @return the final response, or the last one when the time is over; status 0 if there was none
      */
-    public synchronized Answer call(String method, String path, String body, String ifMatch, Duration limit)
+    public synchronized Response call(String method, String path, String body, String ifMatch, Duration limit)
             throws InterruptedException {
         long end = System.nanoTime() + limit.toNanos();
-        Answer last = new Answer(0, "no answer");
+        Response last = new Response(0, "no answer");
         while (true) {
-            last = once(method, path, body, ifMatch);
+            last = attempt(method, path, body, ifMatch);
             boolean clear = last.ok() || last.status() / 100 == 4 && last.status() != 408 && last.status() != 429;
             if (clear || System.nanoTime() - end > 0) {
                 return last;
             }
             next = (next + 1) % controllers.size();
-            Thread.sleep(PAUSE_MILLIS);
+            Thread.sleep(RETRY_DELAY_MILLIS);
         }
     }
 
-    private Answer once(String method, String path, String body, String ifMatch) throws InterruptedException {
+    private Response attempt(String method, String path, String body, String ifMatch) throws InterruptedException {
         HttpRequest.Builder request = HttpRequest.newBuilder(URI.create("http://" + controllers.get(next) + path))
-                .timeout(PATIENCE)
+                .timeout(CALL_TIMEOUT)
                 .method(
                         method,
                         body == null ? HttpRequest.BodyPublishers.noBody() : HttpRequest.BodyPublishers.ofString(body));
@@ -72,10 +72,10 @@
             request.header("If-Match", ifMatch);
         }
         try {
-            HttpResponse<String> answer = http.send(request.build(), HttpResponse.BodyHandlers.ofString());
-            return new Answer(answer.statusCode(), answer.body());
+            HttpResponse<String> response = http.send(request.build(), HttpResponse.BodyHandlers.ofString());
+            return new Response(response.statusCode(), response.body());
         } catch (IOException failure) {
-            return new Answer(0, failure.toString());
+            return new Response(0, failure.toString());
         }
     }
 }
--- a/emulator/src/main/java/burlarch/emulator/server/StandIn.java
+++ b/emulator/src/main/java/burlarch/emulator/server/EmulatedInstance.java
@@ -1,6 +1,6 @@
 package burlarch.emulator.server;
 
-import burlarch.emulator.model.RequestRules;
+import burlarch.emulator.model.RequestValidation;
 import com.sun.net.httpserver.HttpExchange;
 import com.sun.net.httpserver.HttpServer;
 import java.io.IOException;
@@ -9,21 +9,26 @@
 import java.util.concurrent.ExecutorService;
 import java.util.concurrent.Executors;
 
-/** What all stand-ins have in common: a listening address, checks of what comes, and a life. */
-public abstract class StandIn implements AutoCloseable {
+/**
+ * An emulated instance: an HTTP server that validates and serves requests, announces itself to controllers and
+ * drains. Subclasses implement what is served.
+ *
+ * <p>Threads: each HTTP exchange has a thread of its own; {@link #shutDown} is called on any other.
+ */
+public abstract class EmulatedInstance implements AutoCloseable {
     private static final int BACKLOG = 128;
 
-    private final InstanceInfo info;
-    private final RunBook book;
+    private final InstanceIdentity info;
+    private final ExecutionListener executions;
     private final HttpServer server;
     private final ExecutorService threads;
-    private Registration registration;
+    private InstanceAnnouncer registration;
     private volatile boolean draining;
-    private volatile long noRequestsAfter = Long.MAX_VALUE;
+    private volatile long noRequestsAfterNanos = Long.MAX_VALUE;
 
-    StandIn(InstanceInfo info, RunBook book) throws IOException {
+    EmulatedInstance(InstanceIdentity info, ExecutionListener executions) throws IOException {
         this.info = info;
-        this.book = book;
+        this.executions = executions;
         this.server = HttpServer.create(new InetSocketAddress(info.ip(), info.port()), BACKLOG);
         this.threads = Executors.newCachedThreadPool(work -> {
             Thread thread = new Thread(work, info.id());
@@ -34,8 +39,8 @@
         server.createContext("/", this::handle);
     }
 
-    /** Who it is; the port is the one it listens at. */
-    public InstanceInfo info() {
+    /** Its identity, with the configured port. */
+    public InstanceIdentity info() {
         return info;
     }
 
@@ -44,22 +49,22 @@
         return info.ip() + ":" + server.getAddress().getPort();
     }
 
-    RunBook book() {
-        return book;
+    ExecutionListener executions() {
+        return executions;
     }
 
-    boolean draining() {
+    boolean isDraining() {
         return draining;
     }
 
-    /** Listens. */
+    /** Begins to listen. */
     public void start() {
         server.start();
     }
 
-    /** Announces itself from now on. */
-    public void register(ControlCalls calls, long heartbeatMillis) {
-        registration = new Registration(info, this::versions, calls, heartbeatMillis);
+    /** Begins to announce itself to the controllers. */
+    public void register(ControllerClient calls, long heartbeatMillis) {
+        registration = new InstanceAnnouncer(info, this::versions, calls, heartbeatMillis);
         registration.start();
     }
 
@@ -68,8 +73,8 @@
 
     abstract void serve(HttpExchange exchange) throws IOException, InterruptedException;
 
-    /** Answers a call of the system's own; returns false where there is no such call. */
-    boolean serveOwn(HttpExchange exchange, String path, byte[] body) throws IOException, InterruptedException {
+    /** Serves a call of a controller or router; false where there is no such call. */
+    boolean serveControlCall(HttpExchange exchange, String path, byte[] body) throws IOException, InterruptedException {
         return false;
     }
 
@@ -79,24 +84,24 @@
             String path = exchange.getRequestURI().getPath();
             if (path.equals("/healthz")) {
                 exchange.getResponseHeaders().set("X-Instance-Id", info.id());
-                Answers.whole(exchange, draining ? 503 : 200, "");
-            } else if (!path.startsWith("/burlarch/") || !serveOwn(exchange, path, body)) {
-                request(exchange);
+                Responses.send(exchange, draining ? 503 : 200, "");
+            } else if (!path.startsWith("/burlarch/") || !serveControlCall(exchange, path, body)) {
+                serveRequest(exchange);
             }
         } catch (InterruptedException over) {
             Thread.currentThread().interrupt();
         }
     }
 
-    private void request(HttpExchange exchange) throws IOException, InterruptedException {
-        int refusal = RequestRules.check(exchange.getRequestHeaders()::getFirst, info.id(), versions());
-        if (refusal != RequestRules.RUN) {
-            Answers.notExecuted(exchange, refusal);
+    private void serveRequest(HttpExchange exchange) throws IOException, InterruptedException {
+        int refusal = RequestValidation.check(exchange.getRequestHeaders()::getFirst, info.id(), versions());
+        if (refusal != RequestValidation.ACCEPTED) {
+            Responses.rejectUnexecuted(exchange, refusal);
             return;
         }
         String id = exchange.getRequestHeaders().getFirst("X-Request-Id");
-        if (System.nanoTime() - noRequestsAfter > 0 && noRequestsAfter != Long.MAX_VALUE) {
-            book.cameAfterDrain(id, info.id());
+        if (System.nanoTime() - noRequestsAfterNanos > 0 && noRequestsAfterNanos != Long.MAX_VALUE) {
+            executions.onRequestAfterDrain(id, info.id());
         }
         if (draining) {
             exchange.getResponseHeaders().set("Connection", "close");
@@ -104,7 +109,7 @@
         serve(exchange);
     }
 
-    /** Begins the head of an answer that is the stand-in's own. */
+    /** Sets the headers that prove which instance produced the response. */
     void sign(HttpExchange exchange) {
         String id = exchange.getRequestHeaders().getFirst("X-Request-Id");
         exchange.getResponseHeaders().set("X-Request-Id", id);
@@ -112,15 +117,15 @@
     }
 
     /**
-     * Leaves as planned: drains, serves on for a while, says that it is gone, and ends.
+     * Shuts down gracefully: announces that it drains, serves on for a while, announces that it is gone, and stops.
      *
      * @return whether the drain was acknowledged
      */
-    public boolean leave(long drainMillis, long lingerMillis) throws InterruptedException {
+    public boolean shutDown(long drainMillis, long lingerMillis) throws InterruptedException {
         draining = true;
         boolean acknowledged = registration.drain();
         if (acknowledged) {
-            noRequestsAfter = System.nanoTime() + drainMillis * 1_000_000;
+            noRequestsAfterNanos = System.nanoTime() + drainMillis * 1_000_000;
         }
         Thread.sleep(drainMillis + lingerMillis);
         registration.leave();
--- a/emulator/src/main/java/burlarch/emulator/server/EngineServer.java
+++ b/emulator/src/main/java/burlarch/emulator/server/EngineServer.java
@@ -1,11 +1,11 @@
 package burlarch.emulator.server;
 
-import burlarch.emulator.model.BatchModel;
+import burlarch.emulator.model.ContinuousBatchModel;
 import burlarch.emulator.model.EngineParameters;
-import burlarch.emulator.model.Job;
+import burlarch.emulator.model.GenerationRequest;
+import burlarch.emulator.model.KvCache;
 import burlarch.emulator.model.KvEventLog;
-import burlarch.emulator.model.KvMemory;
-import burlarch.emulator.model.PromptPart;
+import burlarch.emulator.model.PromptSegment;
 import burlarch.emulator.model.WeightsOrders;
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.ObjectMapper;
@@ -18,43 +18,43 @@
 import java.util.List;
 import java.util.Map;
 
-/** Stands in for an engine: streams of events, reports, orders, events of its memory. */
-public final class EngineServer extends StandIn {
-    /** Events of a memory that are held for readers. */
+/** Emulates a model engine: event streams, reports, weights orders and events of its KV cache. */
+public final class EngineServer extends EmulatedInstance {
+    /** Events of a KV cache that are retained for readers. */
     static final int EVENTS = 4_096;
 
     private static final ObjectMapper MAPPER = new ObjectMapper();
 
     private final EngineParameters parameters;
-    private final KvMemory memory;
-    private final BatchModel model;
+    private final KvCache cache;
+    private final ContinuousBatchModel model;
     private final WeightsOrders orders;
-    private final KvCalls kvCalls;
-    private final EngineWorker worker;
+    private final KvCacheEndpoints kvEndpoints;
+    private final BatchExecutor worker;
     private final HttpClient http;
 
     /**
      * @param versions of weights that it starts with, by model
-     * @param epoch of its memory, another one for each start
-     * @param http for parts that it takes from others
+     * @param epoch of its KV cache, different for each start
+     * @param http for segments that it fetches from other instances
      */
     public EngineServer(
-            InstanceInfo info,
-            RunBook book,
+            InstanceIdentity info,
+            ExecutionListener executions,
             EngineParameters parameters,
             Map<String, Long> versions,
             int maxInFlight,
             long epoch,
             HttpClient http)
             throws IOException {
-        super(info, book);
+        super(info, executions);
         this.parameters = parameters;
         this.http = http;
-        memory = new KvMemory(parameters.blockTokens(), parameters.blocks(), new KvEventLog(epoch, EVENTS));
-        model = new BatchModel(parameters, memory);
+        cache = new KvCache(parameters.blockTokens(), parameters.blocks(), new KvEventLog(epoch, EVENTS));
+        model = new ContinuousBatchModel(parameters, cache);
         orders = new WeightsOrders(versions, parameters.loadNanos());
-        kvCalls = new KvCalls(memory, maxInFlight);
-        worker = new EngineWorker(info.id(), memory, model, orders, kvCalls);
+        kvEndpoints = new KvCacheEndpoints(cache, maxInFlight);
+        worker = new BatchExecutor(info.id(), cache, model, orders, kvEndpoints);
     }
 
     @Override
@@ -66,26 +66,26 @@
     /** Versions of weights by model. */
     @Override
     public Map<String, Long> versions() {
-        synchronized (memory) {
-            worker.finishOrder();
+        synchronized (cache) {
+            worker.completeDueOrder();
             return orders.versions();
         }
     }
 
     @Override
-    boolean serveOwn(HttpExchange exchange, String path, byte[] body) throws IOException, InterruptedException {
+    boolean serveControlCall(HttpExchange exchange, String path, byte[] body) throws IOException, InterruptedException {
         if (path.equals("/burlarch/report") || path.equals("/burlarch/order")) {
             String target = exchange.getRequestHeaders().getFirst("X-Target-Instance");
             if (target != null && !target.equals(info().id())) {
-                Answers.notExecuted(exchange, 421);
+                Responses.rejectUnexecuted(exchange, 421);
             } else if (path.endsWith("report")) {
-                Answers.json(exchange, 200, report());
+                Responses.sendJson(exchange, 200, report());
             } else {
-                Answers.json(exchange, order(body), "{}");
+                Responses.sendJson(exchange, order(body), "{}");
             }
             return true;
         }
-        return kvCalls.serve(exchange, path);
+        return kvEndpoints.serve(exchange, path);
     }
 
     @Override
@@ -97,8 +97,8 @@
     private String report() {
         ObjectNode json = MAPPER.createObjectNode().put("stage", "hybrid");
         ArrayNode models = json.putArray("models");
-        synchronized (memory) {
-            worker.finishOrder();
+        synchronized (cache) {
+            worker.completeDueOrder();
             orders.versions().forEach((name, version) -> models.addObject()
                     .put("name", name)
                     .put("config_version", version)
@@ -107,8 +107,8 @@
                     .put("sequence", orders.sequence())
                     .put("queued", model.queued())
                     .put("running", model.running())
-                    .put("kv_used", memory.usedTokens())
-                    .put("kv_total", memory.totalTokens())
+                    .put("kv_used", cache.usedTokens())
+                    .put("kv_total", cache.totalTokens())
                     .put("handles", 0);
         }
         return json.toString();
@@ -121,9 +121,9 @@
         } catch (IOException unreadable) {
             return 400;
         }
-        synchronized (memory) {
-            worker.finishOrder();
-            return orders.take(
+        synchronized (cache) {
+            worker.completeDueOrder();
+            return orders.accept(
                     new WeightsOrders.Order(
                             json.path("op").asText(),
                             json.path("model").asText(),
@@ -139,77 +139,78 @@
     @Override
     void serve(HttpExchange exchange) throws IOException, InterruptedException {
         Headers headers = exchange.getRequestHeaders();
-        Job job;
+        GenerationRequest request;
         try {
-            job = job(headers);
+            request = request(headers);
         } catch (IllegalArgumentException malformed) {
-            Answers.notExecuted(exchange, 400);
+            Responses.rejectUnexecuted(exchange, 400);
             return;
         }
-        takeOver(headers, job);
-        EngineWorker.Stream stream = worker.offer(job);
+        fetchSegments(headers, request);
+        BatchExecutor.Stream stream = worker.offer(request);
         if (stream == null) {
-            Answers.notExecuted(exchange, 503);
+            Responses.rejectUnexecuted(exchange, 503);
             return;
         }
         try {
-            stream(exchange, job, stream);
+            stream(exchange, request, stream);
             String store = headers.getFirst("Kv-Save");
             if (store != null) {
-                KvCalls.save(http, store, job.salt(), headers.getFirst("X-Prefix-Hash"), job.model());
+                KvCacheEndpoints.save(http, store, request.salt(), headers.getFirst("X-Prefix-Hash"), request.model());
             }
         } finally {
-            worker.cancel(job);
+            worker.cancel(request);
         }
     }
 
-    private static Job job(Headers headers) {
+    private static GenerationRequest request(Headers headers) {
         String usage = headers.getFirst("X-Token-Usage");
         if (usage == null) {
             throw new IllegalArgumentException("no X-Token-Usage");
         }
         int out = Integer.parseInt(usage.substring(usage.indexOf(',') + 1).trim());
         String salt = headers.getFirst("Cache-Salt");
-        return new Job(
+        return new GenerationRequest(
                 headers.getFirst("X-Request-Id"),
                 headers.getFirst("X-Model"),
                 salt == null ? "" : salt,
-                PromptPart.parse(headers.getFirst("X-Prefix-Hash")),
-                (int) KvCalls.number(headers.getFirst("Last-Event-Id"), 0) + 1,
+                PromptSegment.parse(headers.getFirst("X-Prefix-Hash")),
+                (int) KvCacheEndpoints.number(headers.getFirst("Last-Event-Id"), 0) + 1,
                 Math.max(1, out),
-                (int) KvCalls.number(headers.getFirst("Priority"), 5));
+                (int) KvCacheEndpoints.number(headers.getFirst("Priority"), 5));
     }
 
-    private void takeOver(Headers headers, Job job) {
+    private void fetchSegments(Headers headers, GenerationRequest request) {
         String source = headers.getFirst("Kv-Fetch");
         if (source != null) {
-            List<PromptPart> found = KvCalls.fetch(http, source, job.salt(), headers.getFirst("X-Prefix-Hash"));
-            synchronized (memory) {
-                memory.keep(job.salt(), found, job.model());
-                kvCalls.changed();
+            List<PromptSegment> found =
+                    KvCacheEndpoints.fetch(http, source, request.salt(), headers.getFirst("X-Prefix-Hash"));
+            synchronized (cache) {
+                cache.cache(request.salt(), found, request.model());
+                kvEndpoints.onChanged();
             }
         }
     }
 
-    private void stream(HttpExchange exchange, Job job, EngineWorker.Stream stream)
+    private void stream(HttpExchange exchange, GenerationRequest request, BatchExecutor.Stream stream)
             throws IOException, InterruptedException {
-        BatchModel.Token token = stream.next();
-        book().ran(job.id(), info().id());
+        ContinuousBatchModel.Token token = stream.next();
+        executions().onExecuted(request.id(), info().id());
         sign(exchange);
         Headers head = exchange.getResponseHeaders();
         head.set("Content-Type", "text/event-stream");
-        synchronized (memory) {
+        synchronized (cache) {
             head.set("X-Server-Load", model.running() + "," + model.queued() + "," + parameters.slots());
         }
-        head.set("Versions", Long.toString(versions().getOrDefault(job.model(), 0L)));
+        head.set("Versions", Long.toString(versions().getOrDefault(request.model(), 0L)));
         exchange.sendResponseHeaders(200, 0);
-        EventWriter events =
-                new EventWriter(exchange.getResponseBody(), versions().get(job.model()));
+        EventStreamWriter events =
+                new EventStreamWriter(exchange.getResponseBody(), versions().get(request.model()));
         while (!token.last()) {
-            events.write(token, versions().get(job.model()));
+            events.write(token, versions().get(request.model()));
             token = stream.next();
         }
-        events.write(token, versions().get(job.model()));
+        events.write(token, versions().get(request.model()));
         exchange.getResponseBody().close();
     }
 }
--- a/emulator/src/main/java/burlarch/emulator/server/EventWriter.java
+++ b/emulator/src/main/java/burlarch/emulator/server/EventStreamWriter.java
@@ -1,16 +1,16 @@
 package burlarch.emulator.server;
 
-import burlarch.emulator.model.BatchModel.Token;
+import burlarch.emulator.model.ContinuousBatchModel.Token;
 import java.io.IOException;
 import java.io.OutputStream;
 import java.nio.charset.StandardCharsets;
 
-/** Writes the events of one stream. An event at which the weights' version changes tells the new one. */
-final class EventWriter {
+/** Writes the events of one stream. An event at which the weights version changes names the new one. */
+final class EventStreamWriter {
     private final OutputStream out;
     private Long version;
 
-    EventWriter(OutputStream out, Long version) {
+    EventStreamWriter(OutputStream out, Long version) {
         this.out = out;
         this.version = version;
     }
--- a/emulator/src/main/java/burlarch/emulator/server/Registration.java
+++ b/emulator/src/main/java/burlarch/emulator/server/InstanceAnnouncer.java
@@ -7,39 +7,40 @@
 import java.util.Map;
 import java.util.function.Supplier;
 
-/** Announces an instance to the controllers: by heartbeats, as draining, and as gone. */
-final class Registration implements AutoCloseable {
+/** Announces an instance to the controllers: by heartbeats on a thread of its own, as draining, and as gone. */
+final class InstanceAnnouncer implements AutoCloseable {
     private static final ObjectMapper MAPPER = new ObjectMapper();
-    private static final Duration HEARTBEAT_LIMIT = Duration.ofSeconds(2);
-    private static final Duration LEAVE_LIMIT = Duration.ofSeconds(4);
+    private static final Duration HEARTBEAT_TIMEOUT = Duration.ofSeconds(2);
+    private static final Duration LEAVE_TIMEOUT = Duration.ofSeconds(4);
 
-    private final InstanceInfo info;
+    private final InstanceIdentity info;
     private final Supplier<Map<String, Long>> versions;
-    private final ControlCalls calls;
+    private final ControllerClient calls;
     private final long heartbeatMillis;
-    private final Thread beats;
+    private final Thread heartbeatThread;
     private volatile boolean draining;
     private volatile boolean ended;
     private long sequence;
 
     /** @param versions of weights by model, empty for a plain service */
-    Registration(InstanceInfo info, Supplier<Map<String, Long>> versions, ControlCalls calls, long heartbeatMillis) {
+    InstanceAnnouncer(
+            InstanceIdentity info, Supplier<Map<String, Long>> versions, ControllerClient calls, long heartbeatMillis) {
         this.info = info;
         this.versions = versions;
         this.calls = calls;
         this.heartbeatMillis = heartbeatMillis;
-        this.beats = new Thread(this::beat, "heartbeat-" + info.id());
-        beats.setDaemon(true);
+        this.heartbeatThread = new Thread(this::sendHeartbeats, "heartbeat-" + info.id());
+        heartbeatThread.setDaemon(true);
     }
 
     void start() {
-        beats.start();
+        heartbeatThread.start();
     }
 
-    private void beat() {
+    private void sendHeartbeats() {
         try {
             while (!ended) {
-                announce(HEARTBEAT_LIMIT);
+                announce(HEARTBEAT_TIMEOUT);
                 Thread.sleep(heartbeatMillis);
             }
         } catch (InterruptedException over) {
@@ -52,16 +53,16 @@
                 && calls.call("PUT", path(), body(++sequence), null, limit).ok();
     }
 
-    /** Says that it drains; returns whether that was acknowledged. */
+    /** Announces that the instance drains; returns whether a controller acknowledged it. */
     boolean drain() throws InterruptedException {
         draining = true;
-        return announce(LEAVE_LIMIT);
+        return announce(LEAVE_TIMEOUT);
     }
 
-    /** Says that it is gone, and nothing afterwards; returns whether that was acknowledged. */
+    /** Announces that the instance is gone, and nothing more; returns whether a controller acknowledged it. */
     synchronized boolean leave() throws InterruptedException {
         ended = true;
-        return calls.call("DELETE", path(), null, null, LEAVE_LIMIT).ok();
+        return calls.call("DELETE", path(), null, null, LEAVE_TIMEOUT).ok();
     }
 
     private String path() {
@@ -90,6 +91,6 @@
     @Override
     public void close() {
         ended = true;
-        beats.interrupt();
+        heartbeatThread.interrupt();
     }
 }
--- a/emulator/src/main/java/burlarch/emulator/server/InstanceInfo.java
+++ b/emulator/src/main/java/burlarch/emulator/server/InstanceIdentity.java
@@ -1,16 +1,16 @@
 package burlarch.emulator.server;
 
 /**
- * Who a stand-in is.
+ * The identity of an emulated instance.
  *
- * @param id of this start
+ * @param id unique to this start
  * @param service its service's name
  * @param ip loopback address
  * @param port at that address
  * @param zone where it runs
- * @param capacity requests that it works on at once
+ * @param capacity requests that it executes at once
  */
-public record InstanceInfo(String id, String service, String ip, int port, String zone, int capacity) {
+public record InstanceIdentity(String id, String service, String ip, int port, String zone, int capacity) {
     /** IP:PORT. */
     public String address() {
         return ip + ":" + port;
--- a/emulator/src/main/java/burlarch/emulator/server/KvCalls.java
+++ b/emulator/src/main/java/burlarch/emulator/server/KvCacheEndpoints.java
@@ -1,8 +1,8 @@
 package burlarch.emulator.server;
 
+import burlarch.emulator.model.KvCache;
 import burlarch.emulator.model.KvEventLog;
-import burlarch.emulator.model.KvMemory;
-import burlarch.emulator.model.PromptPart;
+import burlarch.emulator.model.PromptSegment;
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.ObjectMapper;
 import com.fasterxml.jackson.databind.node.ArrayNode;
@@ -19,34 +19,34 @@
 import java.util.concurrent.Semaphore;
 
 /**
- * A memory's calls: its events, its list, and, between stand-ins only, the parts themselves. The memory is
- * touched under its own lock alone, and whoever changes it calls {@link #changed}.
+ * HTTP calls to a KV cache: its events, its complete list and, between emulated instances only, the segments
+ * themselves. The cache is used under its own lock, and whoever changes it calls {@link #onChanged}.
  */
-final class KvCalls {
+final class KvCacheEndpoints {
     private static final ObjectMapper MAPPER = new ObjectMapper();
-    private static final long LONGEST_WAIT_MILLIS = 1_000;
-    private static final Duration MOVE_LIMIT = Duration.ofMillis(500);
-    private static final String PARTS = "/burlarch/kv-parts";
+    private static final long MAX_WAIT_MILLIS = 1_000;
+    private static final Duration TRANSFER_TIMEOUT = Duration.ofMillis(500);
+    private static final String SEGMENTS_PATH = "/burlarch/kv-parts";
 
-    private final KvMemory memory;
-    private final Semaphore held;
+    private final KvCache cache;
+    private final Semaphore concurrentEventCalls;
 
-    /** @param maxInFlight calls for events that are held at once */
-    KvCalls(KvMemory memory, int maxInFlight) {
-        this.memory = memory;
-        this.held = new Semaphore(maxInFlight);
+    /** @param maxInFlight calls for events that may wait at once; more are rejected with 429 */
+    KvCacheEndpoints(KvCache cache, int maxInFlight) {
+        this.cache = cache;
+        this.concurrentEventCalls = new Semaphore(maxInFlight);
     }
 
-    /** Wakes the calls that wait for events. The caller holds the memory's lock. */
-    void changed() {
-        memory.notifyAll();
+    /** Wakes the calls that wait for events. The caller holds the cache's lock. */
+    void onChanged() {
+        cache.notifyAll();
     }
 
     boolean serve(HttpExchange exchange, String path) throws IOException, InterruptedException {
         switch (path) {
             case "/burlarch/kv-events" -> events(exchange);
             case "/burlarch/kv-list" -> list(exchange);
-            case PARTS -> parts(exchange);
+            case SEGMENTS_PATH -> segments(exchange);
             default -> {
                 return false;
             }
@@ -55,8 +55,8 @@
     }
 
     private void events(HttpExchange exchange) throws IOException, InterruptedException {
-        if (!held.tryAcquire()) {
-            Answers.whole(exchange, 429, "");
+        if (!concurrentEventCalls.tryAcquire()) {
+            Responses.send(exchange, 429, "");
             return;
         }
         KvEventLog.Page page;
@@ -65,7 +65,7 @@
                     number(query(exchange, "since"), 0),
                     number(exchange.getRequestHeaders().getFirst("Wait-Ms"), 0));
         } finally {
-            held.release();
+            concurrentEventCalls.release();
         }
         ObjectNode json = MAPPER.createObjectNode()
                 .put("epoch", page.epoch())
@@ -77,75 +77,76 @@
                     .add(event.number())
                     .add(event.added() ? "+" : "-")
                     .add(event.salt())
-                    .add(event.part())
+                    .add(event.segment())
                     .add(event.tokens())
                     .add(event.model());
         }
-        Answers.json(exchange, 200, json.toString());
+        Responses.sendJson(exchange, 200, json.toString());
     }
 
     private KvEventLog.Page await(long since, long waitMillis) throws InterruptedException {
-        long end = System.nanoTime() + Math.min(LONGEST_WAIT_MILLIS, waitMillis) * 1_000_000;
-        synchronized (memory) {
+        long end = System.nanoTime() + Math.min(MAX_WAIT_MILLIS, waitMillis) * 1_000_000;
+        synchronized (cache) {
             long left = end - System.nanoTime();
-            while (memory.log().lastNumber() == since && left > 0) {
-                memory.wait(left / 1_000_000 + 1);
+            while (cache.log().lastNumber() == since && left > 0) {
+                cache.wait(left / 1_000_000 + 1);
                 left = end - System.nanoTime();
             }
-            return memory.log().since(since);
+            return cache.log().since(since);
         }
     }
 
     private void list(HttpExchange exchange) throws IOException {
         ObjectNode json = MAPPER.createObjectNode();
-        synchronized (memory) {
-            json.put("epoch", memory.log().epoch())
-                    .put("next_page_token", memory.log().lastNumber());
+        synchronized (cache) {
+            json.put("epoch", cache.log().epoch())
+                    .put("next_page_token", cache.log().lastNumber());
             ArrayNode list = json.putArray("held");
-            for (KvMemory.Held part : memory.held()) {
+            for (KvCache.CachedSegment segment : cache.cachedSegments()) {
                 list.addArray()
-                        .add(part.salt())
-                        .add(part.part())
-                        .add(part.tokens())
-                        .add(part.model());
+                        .add(segment.salt())
+                        .add(segment.segment())
+                        .add(segment.tokens())
+                        .add(segment.model());
             }
         }
-        Answers.json(exchange, 200, json.toString());
+        Responses.sendJson(exchange, 200, json.toString());
     }
 
-    /** GET tells how many tokens of a prompt are kept, PUT hands parts over. */
-    private void parts(HttpExchange exchange) throws IOException {
+    /** GET returns how many tokens of a prompt are cached, PUT transfers segments to the cache. */
+    private void segments(HttpExchange exchange) throws IOException {
         String salt = exchange.getRequestHeaders().getFirst("Cache-Salt");
-        List<PromptPart> parts = PromptPart.parse(exchange.getRequestHeaders().getFirst("X-Prefix-Hash"));
+        List<PromptSegment> segments =
+                PromptSegment.parse(exchange.getRequestHeaders().getFirst("X-Prefix-Hash"));
         int tokens;
-        synchronized (memory) {
+        synchronized (cache) {
             if (exchange.getRequestMethod().equals("PUT")) {
-                memory.keep(salt, parts, exchange.getRequestHeaders().getFirst("X-Model"));
-                changed();
+                cache.cache(salt, segments, exchange.getRequestHeaders().getFirst("X-Model"));
+                onChanged();
             }
-            tokens = memory.keptTokens(salt, parts);
+            tokens = cache.cachedPrefixTokens(salt, segments);
         }
-        Answers.json(
+        Responses.sendJson(
                 exchange, 200, MAPPER.createObjectNode().put("tokens", tokens).toString());
     }
 
-    /** The parts of a prompt that another memory keeps from the first on; none where it does not answer. */
-    static List<PromptPart> fetch(HttpClient http, String source, String salt, String prefix) {
+    /** The longest prefix of a prompt that another instance caches; empty if it does not respond. */
+    static List<PromptSegment> fetch(HttpClient http, String source, String salt, String prefix) {
         try {
             HttpRequest request = call(source, salt, prefix).GET().build();
-            HttpResponse<String> answer = http.send(request, HttpResponse.BodyHandlers.ofString());
-            JsonNode json = MAPPER.readTree(answer.body());
+            HttpResponse<String> response = http.send(request, HttpResponse.BodyHandlers.ofString());
+            JsonNode json = MAPPER.readTree(response.body());
             int left = json.path("tokens").asInt();
-            List<PromptPart> found = new ArrayList<>();
-            for (PromptPart part : PromptPart.parse(prefix)) {
-                left -= part.tokens();
+            List<PromptSegment> found = new ArrayList<>();
+            for (PromptSegment segment : PromptSegment.parse(prefix)) {
+                left -= segment.tokens();
                 if (left < 0) {
                     break;
                 }
-                found.add(part);
+                found.add(segment);
             }
             return found;
-        } catch (IOException | IllegalArgumentException noAnswer) {
+        } catch (IOException | IllegalArgumentException noResponse) {
             return List.of();
         } catch (InterruptedException over) {
             Thread.currentThread().interrupt();
@@ -153,7 +154,7 @@
         }
     }
 
-    /** Hands the parts of a prompt to a store, without waiting for its answer. */
+    /** Transfers the segments of a prompt to a store, without waiting for its response. */
     static void save(HttpClient http, String store, String salt, String prefix, String model) {
         try {
             http.sendAsync(
@@ -163,13 +164,13 @@
                             .build(),
                     HttpResponse.BodyHandlers.discarding());
         } catch (IllegalArgumentException noAddress) {
-            // A save is a favour: the request goes on without.
+            // Saving is best effort: the request does not depend on it.
         }
     }
 
     private static HttpRequest.Builder call(String address, String salt, String prefix) {
-        return HttpRequest.newBuilder(URI.create("http://" + address + PARTS))
-                .timeout(MOVE_LIMIT)
+        return HttpRequest.newBuilder(URI.create("http://" + address + SEGMENTS_PATH))
+                .timeout(TRANSFER_TIMEOUT)
                 .header("Cache-Salt", salt)
                 .header("X-Prefix-Hash", prefix);
     }
--- a/emulator/src/main/java/burlarch/emulator/server/PlainServer.java
+++ b/emulator/src/main/java/burlarch/emulator/server/PlainServer.java
@@ -6,15 +6,15 @@
 import java.util.concurrent.Semaphore;
 import java.util.concurrent.atomic.AtomicInteger;
 
-/** Stands in for an instance of a plain service: it takes a while and answers with a short text. */
-public final class PlainServer extends StandIn {
+/** Emulates an instance of a plain service: each request takes a fixed time and gets a short text. */
+public final class PlainServer extends EmulatedInstance {
     private final long workMillis;
     private final Semaphore slots;
     private final AtomicInteger running = new AtomicInteger();
 
     /** @param workMillis that a request takes */
-    public PlainServer(InstanceInfo info, RunBook book, long workMillis) throws IOException {
-        super(info, book);
+    public PlainServer(InstanceIdentity info, ExecutionListener executions, long workMillis) throws IOException {
+        super(info, executions);
         this.workMillis = workMillis;
         this.slots = new Semaphore(info.capacity());
     }
@@ -27,17 +27,17 @@
     @Override
     void serve(HttpExchange exchange) throws IOException, InterruptedException {
         if (!slots.tryAcquire()) {
-            Answers.notExecuted(exchange, 503);
+            Responses.rejectUnexecuted(exchange, 503);
             return;
         }
         running.incrementAndGet();
         try {
             String id = exchange.getRequestHeaders().getFirst("X-Request-Id");
-            book().ran(id, info().id());
+            executions().onExecuted(id, info().id());
             Thread.sleep(workMillis);
             sign(exchange);
             exchange.getResponseHeaders().set("X-Server-Load", running.get() + ",0," + info().capacity());
-            Answers.whole(exchange, 200, info().service() + " " + id);
+            Responses.send(exchange, 200, info().service() + " " + id);
         } finally {
             running.decrementAndGet();
             slots.release();
--- a/emulator/src/main/java/burlarch/emulator/server/Answers.java
+++ b/emulator/src/main/java/burlarch/emulator/server/Responses.java
@@ -5,16 +5,16 @@
 import java.io.OutputStream;
 import java.nio.charset.StandardCharsets;
 
-/** Writes whole answers. */
-final class Answers {
-    private Answers() {}
+/** Sends complete responses. */
+final class Responses {
+    private Responses() {}
 
-    static void json(HttpExchange exchange, int status, String body) throws IOException {
+    static void sendJson(HttpExchange exchange, int status, String body) throws IOException {
         exchange.getResponseHeaders().set("Content-Type", "application/json");
-        whole(exchange, status, body);
+        send(exchange, status, body);
     }
 
-    static void whole(HttpExchange exchange, int status, String body) throws IOException {
+    static void send(HttpExchange exchange, int status, String body) throws IOException {
         String id = exchange.getRequestHeaders().getFirst("X-Request-Id");
         if (id != null) {
             exchange.getResponseHeaders().set("X-Request-Id", id);
@@ -26,10 +26,10 @@
         }
     }
 
-    /** A promise that the request has not run and never will. */
-    static void notExecuted(HttpExchange exchange, int status) throws IOException {
+    /** Rejects the request, and states that it was not executed and never will be. */
+    static void rejectUnexecuted(HttpExchange exchange, int status) throws IOException {
         exchange.getResponseHeaders().set("X-Not-Executed", "1");
         exchange.getResponseHeaders().set("Retry-After", "0.050");
-        whole(exchange, status, "");
+        send(exchange, status, "");
     }
 }
--- a/emulator/src/main/java/burlarch/emulator/server/StampingEngine.java
+++ b/emulator/src/main/java/burlarch/emulator/server/TimestampingEngineServer.java
@@ -1,7 +1,7 @@
 package burlarch.emulator.server;
 
+import burlarch.emulator.model.KvCache;
 import burlarch.emulator.model.KvEventLog;
-import burlarch.emulator.model.KvMemory;
 import com.sun.net.httpserver.Headers;
 import com.sun.net.httpserver.HttpExchange;
 import java.io.IOException;
@@ -11,8 +11,8 @@
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.atomic.AtomicInteger;
 
-/** An engine that reckons nothing: its streams' events come evenly, each with the time it is sent at. */
-public final class StampingEngine extends StandIn {
+/** An engine without a model: the events of its streams are evenly spaced, and each carries its send time. */
+public final class TimestampingEngineServer extends EmulatedInstance {
     private static final int BLOCK_TOKENS = 16;
     private static final int BLOCKS = 4_096;
     private static final int MAX_IN_FLIGHT = 8;
@@ -20,23 +20,24 @@
     private final String model;
     private final int slots;
     private volatile long gapNanos;
-    private final KvCalls kvCalls;
+    private final KvCacheEndpoints kvEndpoints;
     private final AtomicInteger running = new AtomicInteger();
 
     /**
      * @param model of which it has version 1
-     * @param gapNanos between two events of a stream
+     * @param gapNanos interval between two events of a stream
      */
-    public StampingEngine(InstanceInfo info, RunBook book, String model, long gapNanos) throws IOException {
-        super(info, book);
+    public TimestampingEngineServer(InstanceIdentity info, ExecutionListener executions, String model, long gapNanos)
+            throws IOException {
+        super(info, executions);
         this.model = model;
         this.slots = info.capacity();
         this.gapNanos = gapNanos;
-        this.kvCalls =
-                new KvCalls(new KvMemory(BLOCK_TOKENS, BLOCKS, new KvEventLog(1, EngineServer.EVENTS)), MAX_IN_FLIGHT);
+        this.kvEndpoints = new KvCacheEndpoints(
+                new KvCache(BLOCK_TOKENS, BLOCKS, new KvEventLog(1, EngineServer.EVENTS)), MAX_IN_FLIGHT);
     }
 
-    /** Sets the time between two events of a stream, also of those under way. */
+    /** Sets the interval between two events of a stream, also of open ones. */
     public void setGap(long nanos) {
         gapNanos = nanos;
     }
@@ -47,9 +48,9 @@
     }
 
     @Override
-    boolean serveOwn(HttpExchange exchange, String path, byte[] body) throws IOException, InterruptedException {
+    boolean serveControlCall(HttpExchange exchange, String path, byte[] body) throws IOException, InterruptedException {
         if (path.equals("/burlarch/report")) {
-            Answers.json(
+            Responses.sendJson(
                     exchange,
                     200,
                     "{\"stage\":\"hybrid\",\"models\":[{\"name\":\"" + model
@@ -58,14 +59,14 @@
                             + ",\"handles\":0}");
             return true;
         }
-        return kvCalls.serve(exchange, path);
+        return kvEndpoints.serve(exchange, path);
     }
 
     @Override
     void serve(HttpExchange exchange) throws IOException, InterruptedException {
         String usage = exchange.getRequestHeaders().getFirst("X-Token-Usage");
         int events = Integer.parseInt(usage.substring(usage.indexOf(',') + 1).trim());
-        book().ran(exchange.getRequestHeaders().getFirst("X-Request-Id"), info().id());
+        executions().onExecuted(exchange.getRequestHeaders().getFirst("X-Request-Id"), info().id());
         sign(exchange);
         Headers head = exchange.getResponseHeaders();
         head.set("Content-Type", "text/event-stream");
