--- a/controller/src/main/java/burlarch/controller/api/ControlExchange.java
+++ b/controller/src/main/java/burlarch/controller/api/ControlExchange.java
@@ -47,7 +47,9 @@
         this.afterwards = afterwards;
     }
 
-    /** Responds with the service's result, bytes or nothing, or with 503 after the timeout, which cancels the result. */
+    /**
+     * Responds with the service's result, bytes or nothing, or with 503 after the timeout, which cancels the result.
+     */
     void respondWith(CompletableFuture<?> result, long timeoutMillis) {
         if (result.isDone()) {
             respond(result);
--- a/controller/src/main/java/burlarch/controller/api/ControlServer.java
+++ b/controller/src/main/java/burlarch/controller/api/ControlServer.java
@@ -14,8 +14,8 @@
 import org.eclipse.jetty.util.thread.QueuedThreadPool;
 
 /**
- * The HTTP server at the {@code control} address, for operators and instances. Methods may be called on any thread, each
- * at most once.
+ * The HTTP server at the {@code control} address, for operators and instances. Methods may be called on any thread,
+ * each at most once.
  */
 public final class ControlServer {
     private static final int MAX_THREADS = 6;
--- a/controller/src/main/java/burlarch/controller/api/OperatorService.java
+++ b/controller/src/main/java/burlarch/controller/api/OperatorService.java
@@ -30,7 +30,9 @@
  * take is rejected with {@link ErrorKind#OVERLOADED}, because no router would ever hear of it.
  */
 public final class OperatorService implements ControlService {
-    /** How long a change or a drain waits for the acknowledgements of routers; a disconnected router never sends one. */
+    /**
+     * How long a change or a drain waits for the acknowledgements of routers; a disconnected router never sends one.
+     */
     private static final long ROUTER_ACK_TIMEOUT_NANOS = 300_000_000;
     /** How long after its start a controller waits for the number of acceptors that the tolerated losses require. */
     private static final long INITIAL_ACCEPTORS_TIMEOUT_NANOS = 4_000_000_000L;
--- a/controller/src/main/java/burlarch/controller/distribution/ConfigurationDeltaSender.java
+++ b/controller/src/main/java/burlarch/controller/distribution/ConfigurationDeltaSender.java
@@ -9,8 +9,8 @@
 
 /**
  * Sends routers the newest configuration: as a delta from the version that a router holds or was sent last on its
- * connection, if that version is still in the {@link ConfigurationHistory}, and otherwise as the complete document. Runs on
- * the event loop; bounded by the connected routers.
+ * connection, if that version is still in the {@link ConfigurationHistory}, and otherwise as the complete document.
+ * Runs on the event loop; bounded by the connected routers.
  */
 final class ConfigurationDeltaSender {
     private final FrameCodec codec;
--- a/controller/src/main/java/burlarch/controller/distribution/PrefixCacheEventForwarder.java
+++ b/controller/src/main/java/burlarch/controller/distribution/PrefixCacheEventForwarder.java
@@ -20,8 +20,8 @@
  *
  * <p>A frame crosses to each other zone once: to a controller there, which forwards it to the routers of its own zone.
  * Routers of a zone without such a controller are sent it from here. Frames that arrive within a short time are sent
- * together, so that each router wakes once for many. Losses are allowed: the receiver finds them by the sequence numbers
- * of the source.
+ * together, so that each router wakes once for many. Losses are allowed: the receiver finds them by the sequence
+ * numbers of the source.
  */
 public final class PrefixCacheEventForwarder {
     /** How long the oldest frame of a batch waits. */
--- a/controller/src/main/java/burlarch/controller/distribution/RouterPublisher.java
+++ b/controller/src/main/java/burlarch/controller/distribution/RouterPublisher.java
@@ -25,8 +25,8 @@
  * <caption>A router's access to the configuration</caption>
  * <tr><th>from</th><th>event</th><th>to</th></tr>
  * <tr><td></td><td>{@link #onRouterConnected}: it is sent the instances</td><td>AWAITING_QUORUM_READ</td></tr>
- * <tr><td>AWAITING_QUORUM_READ</td><td>{@link #onQuorumRead}: it is sent the configuration, now or once it has said what
- * it holds</td><td>ALLOWED</td></tr>
+ * <tr><td>AWAITING_QUORUM_READ</td><td>{@link #onQuorumRead}: it is sent the configuration, now or once it has said
+ * what it holds</td><td>ALLOWED</td></tr>
  * <tr><td>ALLOWED</td><td>a newer configuration is committed: it is sent that one</td><td>ALLOWED</td></tr>
  * <tr><td>any</td><td>{@link #onRouterDisconnected}</td><td>forgotten, waited for no longer</td></tr>
  * </table>
--- a/controller/src/main/java/burlarch/controller/distribution/package-info.java
+++ b/controller/src/main/java/burlarch/controller/distribution/package-info.java
@@ -5,7 +5,7 @@
  * acknowledged, and forward prefix-cache events between routers. Thread: the controller's event loop. Owner of the
  * state: {@link burlarch.controller.distribution.RouterPublisher} owns the connected routers and their
  * acknowledgements, {@link burlarch.controller.distribution.QuorumReadGate} the routers that wait for a read,
- * {@link burlarch.controller.distribution.PrefixCacheEventForwarder} the frames that wait for their batch. All of it is in
- * memory and bounded by the connections.
+ * {@link burlarch.controller.distribution.PrefixCacheEventForwarder} the frames that wait for their batch. All of it
+ * is in memory and bounded by the connections.
  */
 package burlarch.controller.distribution;
--- a/controller/src/main/java/burlarch/controller/error/ControlException.java
+++ b/controller/src/main/java/burlarch/controller/error/ControlException.java
@@ -4,8 +4,8 @@
 import java.util.List;
 
 /**
- * A call of the control API failed for a reason that is reported to its caller. {@link #kind} says what went wrong and whether
- * the same call may be retried. It has no stack trace, because it reports no fault of the program.
+ * A call of the control API failed for a reason that is reported to its caller. {@link #kind} says what went wrong and
+ * whether the same call may be retried. It has no stack trace, because it reports no fault of the program.
  */
 public final class ControlException extends RuntimeException {
     private static final long serialVersionUID = 1L;
--- a/controller/src/main/java/burlarch/controller/error/ErrorKind.java
+++ b/controller/src/main/java/burlarch/controller/error/ErrorKind.java
@@ -13,7 +13,8 @@
  * known to be</td><td>retries, at any controller</td></tr>
  * <tr><td>UNCLEAR</td><td>503</td><td>may be in force, now or later</td><td>retries the same call; a change that was
  * applied is acknowledged again</td></tr>
- * <tr><td>CONFLICT</td><td>412</td><td>is not in force and never will be</td><td>builds on the current version</td></tr>
+ * <tr><td>CONFLICT</td><td>412</td><td>is not in force and never will be</td><td>builds on the current
+ * version</td></tr>
  * <tr><td>INVALID, BAD_REQUEST, TOO_LARGE, METHOD, NOT_FOUND</td><td>400, 413, 405, 404</td><td>is not in
  * force and never will be</td><td>corrects the call</td></tr>
  * </table>
--- a/controller/src/main/java/burlarch/controller/package-info.java
+++ b/controller/src/main/java/burlarch/controller/package-info.java
@@ -1,8 +1,8 @@
 /**
  * The controller program and the wiring of its parts.
  *
- * <p>Job: start the threads, sockets and disk ({@link burlarch.controller.ControllerProgram}), wire the components of one
- * controller ({@link burlarch.controller.ControllerRuntime}) and dispatch the messages of other nodes to them
+ * <p>Job: start the threads, sockets and disk ({@link burlarch.controller.ControllerProgram}), wire the components of
+ * one controller ({@link burlarch.controller.ControllerRuntime}) and dispatch the messages of other nodes to them
  * ({@code NodeMessageDispatcher}). Thread: everything but the start runs on the one event loop of the process; the
  * acceptor runs on the disk thread and the control API's HTTP on Jetty's threads. State: none here; each package below
  * owns its own.
--- a/controller/src/main/java/burlarch/controller/peers/ControllerPeers.java
+++ b/controller/src/main/java/burlarch/controller/peers/ControllerPeers.java
@@ -24,7 +24,8 @@
  * <tr><td></td><td>its address is learned</td><td>NEVER_CONNECTED</td></tr>
  * <tr><td>any</td><td>{@link #onConnected} with an outbound connection</td><td>CONNECTED</td></tr>
  * <tr><td>CONNECTED</td><td>{@link #onDisconnected} with that connection</td><td>DISCONNECTED</td></tr>
- * <tr><td>NEVER_CONNECTED, DISCONNECTED</td><td>another address needs its place, and it is no acceptor</td><td>forgotten
+ * <tr><td>NEVER_CONNECTED, DISCONNECTED</td><td>another address needs its place, and it is no
+ * acceptor</td><td>forgotten
  * </td></tr>
  * </table>
  *
@@ -100,7 +101,9 @@
         addAddresses(acceptors);
     }
 
-    /** Forgets the peer that has been out of reach for longest if there are too many; false if none may be forgotten. */
+    /**
+     * Forgets the peer that has been out of reach for longest if there are too many; false if none may be forgotten.
+     */
     private boolean makeRoom() {
         if (peers.size() < MAX_PEERS) {
             return true;
--- a/controller/src/main/java/burlarch/controller/register/RegisterClient.java
+++ b/controller/src/main/java/burlarch/controller/register/RegisterClient.java
@@ -20,11 +20,11 @@
 import java.util.function.Function;
 
 /**
- * The register as the other packages use it: it holds a {@link SystemState}. Called on the event loop, where its futures
- * complete; they fail with a {@link ControlException}. It has no state of its own.
+ * The register as the other packages use it: it holds a {@link SystemState}. Called on the event loop, where its
+ * futures complete; they fail with a {@link ControlException}. It has no state of its own.
  *
- * <p>Invariant <em>commit before result</em>: the value that a proposal ended with is in {@link CommittedState}, and the
- * other controllers were told of it, before anyone learns of the proposal's result.
+ * <p>Invariant <em>commit before result</em>: the value that a proposal ended with is in {@link CommittedState}, and
+ * the other controllers were told of it, before anyone learns of the proposal's result.
  */
 public final class RegisterClient {
     private static final long PROPOSAL_TIMEOUT_NANOS = 850_000_000;
--- a/controller/src/test/java/burlarch/controller/api/OperatorServiceTest.java
+++ b/controller/src/test/java/burlarch/controller/api/OperatorServiceTest.java
@@ -26,8 +26,8 @@
 import org.junit.jupiter.params.provider.EnumSource;
 
 /**
- * Once, an instance that the full registry had rejected was acknowledged nevertheless: it stayed with this controller and
- * was never sent a request.
+ * Once, an instance that the full registry had rejected was acknowledged nevertheless: it stayed with this controller
+ * and was never sent a request.
  */
 class OperatorServiceTest {
     private static final long SECOND = 1_000_000_000L;
--- a/coordination/src/main/java/burlarch/coordination/budget/RouterCountEstimate.java
+++ b/coordination/src/main/java/burlarch/coordination/budget/RouterCountEstimate.java
@@ -5,21 +5,22 @@
 import java.util.Map;
 
 /**
- * The fraction of a shared budget that this router may use, from a cautious count of the routers: it rises at once when a
- * router appears and falls only long after one was last seen.
+ * The fraction of a shared budget that this router may use, from a cautious count of the routers: it rises at once
+ * when a router appears and falls only long after one was last seen.
  *
  * <p>Of the results a router uses {@link #count} and {@link #isEstablished} alone, through {@code RouterCountTracker}:
  * it divides the slack of its retry budget by a number of routers. Only tests call {@link #budgetFraction}.
  *
  * <p>Invariant <em>budget bound</em>: in any window the fractions that all routers use sum to at most the whole.
  *
- * <p>Argument. Let W be {@link BudgetSettings#windowNanos}, C the contact time-out, and D the dissemination time, in which
- * routers that are in contact with a quorum learn of each other. A router uses a full fraction, (1 - r) / count, only if
- * it is <em>established</em>: it had contact within C and has had it for C + D + W. Else it uses a part of the reserve r.
- * Let n routers use a full fraction in one window, A and B among them.
+ * <p>Argument. Let W be {@link BudgetSettings#windowNanos}, C the contact time-out, and D the dissemination time, in
+ * which routers that are in contact with a quorum learn of each other. A router uses a full fraction, (1 - r) / count,
+ * only if it is <em>established</em>: it had contact within C and has had it for C + D + W. Else it uses a part of the
+ * reserve r. Let n routers use a full fraction in one window, A and B among them.
  *
  * <ol>
- *   <li>When B becomes established it has been in contact for C + D + W. Within the first C + D of that, A, if it uses a
+ *   <li>When B becomes established it has been in contact for C + D + W. Within the first C + D of that, A, if it uses
+ * a
  *       full fraction at all, has had contact after B arrived and so has learned of B. So A counts B for W before B's
  *       first full fraction, and in every window that holds a full fraction of both.
  *   <li>If B ends or is partitioned, it uses its last full fraction at most C after its last contact, and A sees B
@@ -31,8 +32,8 @@
  * The fractions of the others sum to at most r as long as no more of them are new or partitioned in one window than the
  * larger of the count that they were told and {@link BudgetSettings#minReserveRouters()}.
  *
- * <p>At the first start of the whole fleet nobody has used anything. Routers that have contact within D then need to wait
- * for 2 D only, when all of them have learned of each other.
+ * <p>At the first start of the whole fleet nobody has used anything. Routers that have contact within D then need to
+ * wait for 2 D only, when all of them have learned of each other.
  *
  * <p>Times are nanoseconds of one monotonic clock. Not thread-safe.
  */
--- a/coordination/src/main/java/burlarch/coordination/distribution/AcknowledgementTracker.java
+++ b/coordination/src/main/java/burlarch/coordination/distribution/AcknowledgementTracker.java
@@ -59,7 +59,8 @@
     }
 
     /**
-     * A subscriber acknowledged a revision; an unknown subscriber is ignored. Call {@link #takeFinishedWaits} afterwards.
+     * A subscriber acknowledged a revision; an unknown subscriber is ignored. Call {@link #takeFinishedWaits}
+     * afterwards.
      */
     public void onAcknowledged(S subscriber, long revision) {
         acknowledgedRevisions.computeIfPresent(subscriber, (key, known) -> Math.max(known, revision));
--- a/coordination/src/main/java/burlarch/coordination/membership/MemberUpdate.java
+++ b/coordination/src/main/java/burlarch/coordination/membership/MemberUpdate.java
@@ -29,7 +29,8 @@
      * <ul>
      *   <li>SUSPECT, DEAD and LEFT say nothing about the known process and never override.
      *   <li>ALIVE overrides a DEAD or LEFT process.
-     *   <li>ALIVE overrides a live process by the higher incarnation, which a restarted process raises above all that it
+     *   <li>ALIVE overrides a live process by the higher incarnation, which a restarted process raises above all that
+     * it
      *       hears of its name; with equal incarnations by the higher process id, so that all members decide alike.
      * </ul>
      */
--- a/coordination/src/main/java/burlarch/coordination/membership/SwimMessage.java
+++ b/coordination/src/main/java/burlarch/coordination/membership/SwimMessage.java
@@ -3,8 +3,8 @@
 import java.util.List;
 
 /**
- * The messages between members, one per datagram ({@link SwimCodec}). Every kind carries updates: gossip, or the content
- * of a table. None is acknowledged but a ping; any may be lost, repeated or late.
+ * The messages between members, one per datagram ({@link SwimCodec}). Every kind carries updates: gossip, or the
+ * content of a table. None is acknowledged but a ping; any may be lost, repeated or late.
  */
 public sealed interface SwimMessage {
     /** Who sends, and a digest of the live members that it knows. */
--- a/coordination/src/main/java/burlarch/coordination/membership/swim/AntiEntropy.java
+++ b/coordination/src/main/java/burlarch/coordination/membership/swim/AntiEntropy.java
@@ -4,8 +4,8 @@
 import burlarch.coordination.membership.SwimMessage;
 
 /**
- * Anti-entropy: requests another member's whole table at the start, and where digests differ although no gossip is under
- * way. Requests that bring nothing new back off; responses are bounded per period.
+ * Anti-entropy: requests another member's whole table at the start, and where digests differ although no gossip is
+ * under way. Requests that bring nothing new back off; responses are bounded per period.
  */
 final class AntiEntropy {
     private static final int MAX_BACKOFF_FACTOR = 16;
--- a/coordination/src/main/java/burlarch/coordination/membership/swim/FailureDetector.java
+++ b/coordination/src/main/java/burlarch/coordination/membership/swim/FailureDetector.java
@@ -6,8 +6,8 @@
 import java.util.Random;
 
 /**
- * SWIM's failure detector: one own {@link Probe} at a time, direct and then through other members, and the probes made on
- * behalf of others. It reports suspicions and deaths to the {@link MembershipView}.
+ * SWIM's failure detector: one own {@link Probe} at a time, direct and then through other members, and the probes made
+ * on behalf of others. It reports suspicions and deaths to the {@link MembershipView}.
  */
 final class FailureDetector {
     /** A probe ends before the next one is due, also when that one comes a little early. */
--- a/coordination/src/main/java/burlarch/coordination/membership/swim/MemberTable.java
+++ b/coordination/src/main/java/burlarch/coordination/membership/swim/MemberTable.java
@@ -20,7 +20,8 @@
  * <ul>
  *   <li><em>Table bound</em>: at most {@code maxMembers} entries. A new member replaces one that has ended; if none
  *       has ended, the new one is rejected and counted.
- *   <li><em>Index consistency</em>: the indexes by process id, of suspects and of ended members hold exactly the entries
+ *   <li><em>Index consistency</em>: the indexes by process id, of suspects and of ended members hold exactly the
+ * entries
  *       whose update says so.
  *   <li><em>Digest</em>: {@link #digest} depends only on the set of live process ids, the own one included, so it is
  *       equal at two members that know the same live processes.
--- a/coordination/src/main/java/burlarch/coordination/membership/swim/MembershipView.java
+++ b/coordination/src/main/java/burlarch/coordination/membership/swim/MembershipView.java
@@ -52,8 +52,8 @@
 
     /**
      * Applies an entry of another member's table. Such a table may be old or come from the other side of a healed
-     * partition. So a member that is live here becomes SUSPECT, not DEAD, and can refute; and only suspicions are passed
-     * on, as only they need a response.
+     * partition. So a member that is live here becomes SUSPECT, not DEAD, and can refute; and only suspicions are
+     * passed on, as only they need a response.
      */
     void onSyncedEntry(MemberUpdate update, long nowNanos) {
         if (isOnOwnName(update)) {
--- a/coordination/src/main/java/burlarch/coordination/membership/swim/ProbeTargetSelector.java
+++ b/coordination/src/main/java/burlarch/coordination/membership/swim/ProbeTargetSelector.java
@@ -7,8 +7,8 @@
 import java.util.Random;
 
 /**
- * Chooses whom to probe: every live member once per pass, in a random order that each pass draws anew. So the time until
- * a failed member is probed is bounded by two passes (SWIM's round-robin probe target selection).
+ * Chooses whom to probe: every live member once per pass, in a random order that each pass draws anew. So the time
+ * until a failed member is probed is bounded by two passes (SWIM's round-robin probe target selection).
  */
 final class ProbeTargetSelector {
     private final MemberTable table;
--- a/coordination/src/main/java/burlarch/coordination/membership/swim/Reconnector.java
+++ b/coordination/src/main/java/burlarch/coordination/membership/swim/Reconnector.java
@@ -6,8 +6,9 @@
 import java.util.Random;
 
 /**
- * Looks for members that can't be probed, as they are unknown or dead here: at the start through the seeds, later so that
- * the sides of a healed partition meet again. All live members together try a bounded number of addresses a period.
+ * Looks for members that can't be probed, as they are unknown or dead here: at the start through the seeds, later so
+ * that the sides of a healed partition meet again. All live members together try a bounded number of addresses a
+ * period.
  */
 final class Reconnector {
     /** Dead members, and contact points, that all live members together try in a period. */
--- a/coordination/src/main/java/burlarch/coordination/membership/swim/package-info.java
+++ b/coordination/src/main/java/burlarch/coordination/membership/swim/package-info.java
@@ -17,8 +17,8 @@
  * <p>Thread: none of its own, no I/O and no clock. All calls on one {@code Swim} come from one thread, the node's event
  * loop; times are nanoseconds of a monotonic clock that the caller passes in, and datagrams leave as values.
  *
- * <p>Owner of the state: each {@code Swim} owns its view. {@code MemberTable.apply} is the only place where the state of
- * another member changes, {@code MembershipView.refute} and {@code MembershipView.leave} the only ones where the own
+ * <p>Owner of the state: each {@code Swim} owns its view. {@code MemberTable.apply} is the only place where the state
+ * of another member changes, {@code MembershipView.refute} and {@code MembershipView.leave} the only ones where the own
  * update changes. Nothing is kept on disk; a restarted process learns the members anew.
  */
 package burlarch.coordination.membership.swim;
--- a/coordination/src/main/java/burlarch/coordination/registry/InstanceRegistry.java
+++ b/coordination/src/main/java/burlarch/coordination/registry/InstanceRegistry.java
@@ -17,7 +17,8 @@
  *       id. So announcements may come late, repeated and in any order.
  *   <li><em>Final leave</em>: an instance that has left has the sequence {@link #LEFT_SEQUENCE}, which none is above.
  *   <li><em>Permanent drain</em>: an instance that said that it drains is never READY again ({@link RegistryEntry}).
- *   <li><em>Return after a loss</em>: one that was lost keeps its last sequence, so its next announcement brings it back.
+ *   <li><em>Return after a loss</em>: one that was lost keeps its last sequence, so its next announcement brings it
+ * back.
  *   <li><em>One instance an address</em>: a newer announcement of another id at an address removes the former instance.
  *   <li><em>Loss only in contact</em>: nobody is lost to missing heartbeats during a grace, as then this controller may
  *       have missed them.
@@ -91,8 +92,8 @@
     }
 
     /**
-     * Applies what another registry knows or accepted, in any order. Which instances load is not merged: that stays with
-     * the registry that was told.
+     * Applies what another registry knows or accepted, in any order. Which instances load is not merged: that stays
+     * with the registry that was told.
      *
      * @return whether others are to see a change
      */
@@ -123,9 +124,10 @@
     }
 
     /**
-     * Lets time pass: ends overdue loads, loses instances without heartbeats, forgets removed ones. To be called several
-     * times within {@link RegistrySettings#expiryNanos}; a call that comes much later shows that this process stood still
-     * and begins a grace. During a grace others are told of an instance without heartbeats that it is unheard.
+     * Lets time pass: ends overdue loads, loses instances without heartbeats, forgets removed ones. To be called
+     * several times within {@link RegistrySettings#expiryNanos}; a call that comes much later shows that this process
+     * stood still and begins a grace. During a grace others are told of an instance without heartbeats that it is
+     * unheard.
      */
     public void expire(long nowNanos) {
         if (nowNanos - checkedAtNanos > settings.expiryNanos() / PAUSE_DIVISOR) {
@@ -164,8 +166,8 @@
     }
 
     /**
-     * What another registry is to know, for its {@link #merge}: what instances said of themselves, that is who was heard
-     * lately, who drains or did, and who left. Missing heartbeats are for each registry to find out itself.
+     * What another registry is to know, for its {@link #merge}: what instances said of themselves, that is who was
+     * heard lately, who drains or did, and who left. Missing heartbeats are for each registry to find out itself.
      */
     public List<Instance> selfReported() {
         List<Instance> reported = new ArrayList<>();
--- a/coordination/src/main/java/burlarch/coordination/registry/MergedInstanceView.java
+++ b/coordination/src/main/java/burlarch/coordination/registry/MergedInstanceView.java
@@ -16,20 +16,23 @@
  * <p>Invariants, the first that applies decides:
  *
  * <ol>
- *   <li><em>Final leave</em>: an instance that said that it leaves is gone, whichever controller told of it and whatever
+ *   <li><em>Final leave</em>: an instance that said that it leaves is gone, whichever controller told of it and
+ * whatever
  *       others state.
  *   <li><em>Permanent drain</em>: one that said that it drains is never READY again.
- *   <li><em>One observer's loss</em>: one that some controller hears is live. That another controller lost it to missing
+ *   <li><em>One observer's loss</em>: one that some controller hears is live. That another controller lost it to
+ * missing
  *       heartbeats is the statement of one observer, at whatever sequence: routers aren't told of mere heartbeats, so
- *       sequences of different controllers don't tell who heard it last. The exception: the controller that lost it hears
+ *       sequences of different controllers don't tell who heard it last. The exception: the controller that lost it
+ * hears
  *       another instance at its address, which has replaced it.
  *   <li>One that nobody hears is lost if some controller states so. The others are those that could not hear it
  *       ({@link InstanceState#UNHEARD}) and those that don't know it, as after a restart.
  *   <li>Else it stays as it was.
  * </ol>
  *
- * <p>Content is that of the newest announcement. Bounded by {@link #MAX_INSTANCES}; instances beyond it are ignored. Not
- * thread-safe.
+ * <p>Content is that of the newest announcement. Bounded by {@link #MAX_INSTANCES}; instances beyond it are ignored.
+ * Not thread-safe.
  */
 public final class MergedInstanceView {
     /** Most instances in the view. */
--- a/coordination/src/main/java/burlarch/coordination/registry/package-info.java
+++ b/coordination/src/main/java/burlarch/coordination/registry/package-info.java
@@ -11,8 +11,8 @@
  *       said last, and derives one view from all of them.
  * </ul>
  *
- * <p>Both are in memory only. A restarted controller learns the instances from their next heartbeats, a restarted router
- * from the snapshots of the controllers.
+ * <p>Both are in memory only. A restarted controller learns the instances from their next heartbeats, a restarted
+ * router from the snapshots of the controllers.
  *
  * <p>Thread: none of its own, no I/O and no clock. Each object is used by one thread, its node's event loop; times are
  * nanoseconds of a monotonic clock that the caller passes in.
--- a/coordination/src/main/java/burlarch/coordination/rollout/EngineRollout.java
+++ b/coordination/src/main/java/burlarch/coordination/rollout/EngineRollout.java
@@ -36,7 +36,8 @@
  *
  * <ul>
  *   <li><em>Withdrawn while ordered</em>: routers were told by this process, or a former owner, that the engine loads,
- *       exactly while the phase isn't IDLE. This process ends its own mark also after it lost the ownership, as no other
+ *       exactly while the phase isn't IDLE. This process ends its own mark also after it lost the ownership, as no
+ * other
  *       can.
  *   <li><em>No second order on doubt</em>: the same weights are ordered again only after a report that shows that the
  *       order before was not accepted. The report must be younger than the result of that order by the staleness of
--- a/coordination/src/main/java/burlarch/coordination/rollout/EngineStatus.java
+++ b/coordination/src/main/java/burlarch/coordination/rollout/EngineStatus.java
@@ -10,8 +10,8 @@
 /**
  * What registrations and reports tell of one incarnation of an engine.
  *
- * <p>Invariant <em>versions only rise</em>: weights only get newer while an engine runs, so an observation that comes late
- * changes nothing.
+ * <p>Invariant <em>versions only rise</em>: weights only get newer while an engine runs, so an observation that comes
+ * late changes nothing.
  */
 final class EngineStatus {
     private final Map<String, Long> versions = new HashMap<>();
--- a/coordination/src/main/java/burlarch/coordination/rollout/RolloutSettings.java
+++ b/coordination/src/main/java/burlarch/coordination/rollout/RolloutSettings.java
@@ -5,7 +5,8 @@
 /**
  * Times of a rollout.
  *
- * @param versionDeadlineNanos from the naming of a version until no request may begin on older weights; a rollout should
+ * @param versionDeadlineNanos from the naming of a version until no request may begin on older weights; a rollout
+ * should
  *     be done in half of it
  * @param withdrawalLeadNanos how long before an order routers are told that the engine loads
  * @param reportStalenessNanos how old the state is that a report describes, at most
@@ -23,8 +24,8 @@
     private static final long REPORT_INTERVAL_MILLIS = 500;
 
     /**
-     * The usual times beside the deployment's {@code version_ms}. Running requests go on: an engine that lets them finish
-     * first stands idle for up to the longest stream, which costs far more value than the load itself.
+     * The usual times beside the deployment's {@code version_ms}. Running requests go on: an engine that lets them
+     * finish first stands idle for up to the longest stream, which costs far more value than the load itself.
      */
     public static RolloutSettings of(long versionMillis) {
         return new RolloutSettings(
--- a/coordination/src/main/java/burlarch/coordination/rollout/WeightsRollout.java
+++ b/coordination/src/main/java/burlarch/coordination/rollout/WeightsRollout.java
@@ -14,8 +14,8 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Brings engines to the newest named weights, a few at a time, while this process holds the ownership. Each call returns
- * what is to be done, in order.
+ * Brings engines to the newest named weights, a few at a time, while this process holds the ownership. Each call
+ * returns what is to be done, in order.
  *
  * <p>Invariants: <em>orders by the owner only</em> ({@link RolloutOwnership}); <em>withdrawn while ordered</em> and
  * <em>no second order on doubt</em> ({@link EngineRollout}); <em>half keeps serving</em> ({@link LoadConcurrency}).
--- a/engine-client/src/main/java/burlarch/engine/KvEventCompactor.java
+++ b/engine-client/src/main/java/burlarch/engine/KvEventCompactor.java
@@ -9,8 +9,8 @@
 
 /**
  * Removes the events of one response that a later event of it supersedes. Each event states how many tokens of
- * a segment are cached from then on, so only the last event of each segment counts. A segment that is read or evicted in
- * pieces causes an event for each piece.
+ * a segment are cached from then on, so only the last event of each segment counts. A segment that is read or evicted
+ * in pieces causes an event for each piece.
  */
 final class KvEventCompactor {
     private record SegmentKey(String salt, long id) {}
--- a/node/src/main/java/burlarch/node/HangupSignal.java
+++ b/node/src/main/java/burlarch/node/HangupSignal.java
@@ -4,8 +4,8 @@
 
 /**
  * SIGHUP, by which an operator says that the settings file has changed. A program installs the handler before anything
- * else, because the signal would end the process without it. A signal that arrives before there is a listener is pending
- * for it. Any thread; the listener runs on the signal's thread.
+ * else, because the signal would end the process without it. A signal that arrives before there is a listener is
+ * pending for it. Any thread; the listener runs on the signal's thread.
  */
 public final class HangupSignal {
     private static Runnable listener;
--- a/node/src/main/java/burlarch/node/MembershipService.java
+++ b/node/src/main/java/burlarch/node/MembershipService.java
@@ -32,7 +32,9 @@
 
     private static final long LEAVE_TIMEOUT_MILLIS = 300;
 
-    /** CREATED to RUNNING by {@link #start()}; any to CLOSED by {@link #close()} or {@link #leave()}; CLOSED is final. */
+    /**
+     * CREATED to RUNNING by {@link #start()}; any to CLOSED by {@link #close()} or {@link #leave()}; CLOSED is final.
+     */
     private enum Lifecycle {
         CREATED,
         RUNNING,
--- a/node/src/main/java/burlarch/node/SettingsFileWatcher.java
+++ b/node/src/main/java/burlarch/node/SettingsFileWatcher.java
@@ -10,8 +10,8 @@
 import org.tinylog.Logger;
 
 /**
- * Reads the settings file again on SIGHUP, and when its modification time has changed. A file that is missing or invalid
- * changes nothing: the settings that were read before stay in force.
+ * Reads the settings file again on SIGHUP, and when its modification time has changed. A file that is missing or
+ * invalid changes nothing: the settings that were read before stay in force.
  */
 public final class SettingsFileWatcher implements Runnable {
     private static final long POLL_PERIOD_MILLIS = TimeUnit.SECONDS.toMillis(2);
@@ -29,8 +29,8 @@
     }
 
     /**
-     * Watches the file that the environment variable names, on a thread of its own, on which the listener is called too.
-     * Does nothing if the variable is not set, because the settings did not come from a file then.
+     * Watches the file that the environment variable names, on a thread of its own, on which the listener is called
+     * too. Does nothing if the variable is not set, because the settings did not come from a file then.
      */
     public static void start(Consumer<NodeSettings> listener) {
         String file = System.getenv(NodeSettings.FILE_VARIABLE);
--- a/operator-cli/src/main/java/burlarch/operator/ConfigCommand.java
+++ b/operator-cli/src/main/java/burlarch/operator/ConfigCommand.java
@@ -11,7 +11,10 @@
 import org.kohsuke.args4j.Argument;
 import org.kohsuke.args4j.Option;
 
-/** The command {@code config} with its sub-commands get, put, patch and validate. They are public because args4j creates them. */
+/**
+ * The command {@code config} with its sub-commands get, put, patch and validate. They are public because args4j
+ * creates them.
+ */
 public final class ConfigCommand {
     private static final String PATH = "/burlarch/config";
     private static final int NOT_FOUND = 404;
--- a/operator-cli/src/main/java/burlarch/operator/package-info.java
+++ b/operator-cli/src/main/java/burlarch/operator/package-info.java
@@ -1,5 +1,6 @@
 /**
- * The operator's command line: {@code config get|put|patch|validate}. Runs on the main thread and has no state beyond one
+ * The operator's command line: {@code config get|put|patch|validate}. Runs on the main thread and has no state beyond
+ * one
  * command.
  */
 package burlarch.operator;
--- a/simulation/src/main/java/burlarch/simulation/transport/SimulatedPeerConnections.java
+++ b/simulation/src/main/java/burlarch/simulation/transport/SimulatedPeerConnections.java
@@ -168,8 +168,8 @@
     }
 
     /**
-     * Opens the connection of a pending attempt if the packet belongs to it. Any packet of the other side will do: the first
-     * message may overtake {@link Packet.Kind#OPENED}.
+     * Opens the connection of a pending attempt if the packet belongs to it. Any packet of the other side will do: the
+     * first message may overtake {@link Packet.Kind#OPENED}.
      */
     private boolean completesAttempt(String from, long key) {
         OutgoingConnection outgoing = outgoingByAddress.get(from);
