--- a/router/src/main/java/burlarch/router/RouterProgram.java
+++ b/router/src/main/java/burlarch/router/RouterProgram.java
@@ -115,7 +115,7 @@
                 SwimSettings.defaults());
         loop.execute(() -> {
             links.start(transport, seeds);
-            routerCount.start(links::hasQuorumContact);
+            routerCount.start(links::isConnectedToMostKnownControllers);
             membership.addListener(routerCount);
             membership.addListener(changes -> sources.onMembers(membership.members()));
             membership.addListener(changes ->
--- a/router/src/main/java/burlarch/router/control/ControllerLinks.java
+++ b/router/src/main/java/burlarch/router/control/ControllerLinks.java
@@ -118,15 +118,10 @@
     }
 
     /** Whether more than half of the known controllers are connected. */
-    public boolean hasQuorumContact() {
+    public boolean isConnectedToMostKnownControllers() {
         return 2 * reportedRouters.size() > controllers.size();
     }
 
-    /** Whether a configuration is in force and instances were received: requests can be served. */
-    public boolean isInformed() {
-        return configuration.version() > 0 && instances != null;
-    }
-
     /**
      * The connected controller through which a router publishes its prefix-cache updates: by rendezvous
      * hashing, and one of the router's own zone if there is one. Empty if no controller is connected.
--- a/router/src/main/java/burlarch/router/control/RouterCountMonitor.java
+++ b/router/src/main/java/burlarch/router/control/RouterCountMonitor.java
@@ -15,7 +15,7 @@
     private final RouterCountTracker tracker;
     private final IntConsumer onBudgetShares;
     private final IntConsumer onLiveRouters;
-    private BooleanSupplier hasQuorumContact = () -> false;
+    private BooleanSupplier isConnectedToMostControllers = () -> false;
     private int budgetShares;
     private int liveRouters;
 
@@ -35,7 +35,7 @@
 
     /** @param quorumContact whether more than half of the controllers are reachable */
     public void start(BooleanSupplier quorumContact) {
-        hasQuorumContact = quorumContact;
+        isConnectedToMostControllers = quorumContact;
         check();
     }
 
@@ -58,7 +58,7 @@
 
     private void update() {
         long nowNanos = loop.nanoTime();
-        if (hasQuorumContact.getAsBoolean()) {
+        if (isConnectedToMostControllers.getAsBoolean()) {
             tracker.onQuorumContact(nowNanos);
         }
         int newBudgetShares = tracker.budgetShares(nowNanos);
--- a/router/src/main/java/burlarch/router/forwarding/Attempt.java
+++ b/router/src/main/java/burlarch/router/forwarding/Attempt.java
@@ -168,7 +168,7 @@
         }
         attempts.onWeightsVersion(send, Headers.parseNumber(fields.get(Headers.VERSIONS), 0));
         rejection = ResponseRules.rejection(code, fields);
-        sendState = sendState.transitionTo(rejection == null ? SendState.ANSWERED_IN_PART : SendState.REJECTED);
+        sendState = sendState.transitionTo(rejection == null ? SendState.PARTLY_RESPONDED : SendState.REJECTED);
         retryAfter = fields.get(Headers.RETRY_AFTER);
         status = code;
         head = fields;
@@ -262,7 +262,7 @@
 
     private void finish() {
         phase = phase.on(AttemptPhase.Event.END);
-        sendState = sendState.transitionTo(SendState.ANSWERED);
+        sendState = sendState.transitionTo(SendState.RESPONDED);
         attempts.onAnswered(this, ResponseRules.outcome(status), lastBytes);
     }
 
--- a/router/src/main/java/burlarch/router/upstream/SendState.java
+++ b/router/src/main/java/burlarch/router/upstream/SendState.java
@@ -5,18 +5,18 @@
 
 /**
  * What is known of one send of a request to an instance. A send that ends as {@link #PARTLY_SENT},
- * {@link #SENT} or {@link #ANSWERED_IN_PART} ends with an unknown outcome: the instance may have executed the
+ * {@link #SENT} or {@link #PARTLY_RESPONDED} ends with an unknown outcome: the instance may have executed the
  * request or may yet do so.
  *
  * <table>
  * <caption>Transitions; all others are illegal</caption>
  * <tr><th>state</th><th>may have run</th><th>next states</th></tr>
- * <tr><td>NOT_SENT</td><td>no</td><td>PARTLY_SENT, SENT, REJECTED, ANSWERED_IN_PART</td></tr>
- * <tr><td>PARTLY_SENT</td><td>yes</td><td>SENT, REJECTED, ANSWERED_IN_PART</td></tr>
- * <tr><td>SENT</td><td>yes</td><td>REJECTED, ANSWERED_IN_PART</td></tr>
- * <tr><td>ANSWERED_IN_PART</td><td>yes</td><td>ANSWERED</td></tr>
+ * <tr><td>NOT_SENT</td><td>no</td><td>PARTLY_SENT, SENT, REJECTED, PARTLY_RESPONDED</td></tr>
+ * <tr><td>PARTLY_SENT</td><td>yes</td><td>SENT, REJECTED, PARTLY_RESPONDED</td></tr>
+ * <tr><td>SENT</td><td>yes</td><td>REJECTED, PARTLY_RESPONDED</td></tr>
+ * <tr><td>PARTLY_RESPONDED</td><td>yes</td><td>RESPONDED</td></tr>
  * <tr><td>REJECTED</td><td>no</td><td>none</td></tr>
- * <tr><td>ANSWERED</td><td>yes</td><td>none</td></tr>
+ * <tr><td>RESPONDED</td><td>yes</td><td>none</td></tr>
  * </table>
  */
 public enum SendState {
@@ -29,9 +29,9 @@
     /** The head of a response with the request's id states that it was not executed and never will be. */
     REJECTED(false),
     /** The head of a response with the request's id was received, not its end. */
-    ANSWERED_IN_PART(true),
+    PARTLY_RESPONDED(true),
     /** A complete response with the request's id was received. */
-    ANSWERED(true);
+    RESPONDED(true);
 
     private final boolean mayHaveRun;
 
@@ -59,11 +59,11 @@
 
     private Set<SendState> successors() {
         return switch (this) {
-            case NOT_SENT -> EnumSet.of(PARTLY_SENT, SENT, REJECTED, ANSWERED_IN_PART);
-            case PARTLY_SENT -> EnumSet.of(SENT, REJECTED, ANSWERED_IN_PART);
-            case SENT -> EnumSet.of(REJECTED, ANSWERED_IN_PART);
-            case ANSWERED_IN_PART -> EnumSet.of(ANSWERED);
-            case REJECTED, ANSWERED -> EnumSet.noneOf(SendState.class);
+            case NOT_SENT -> EnumSet.of(PARTLY_SENT, SENT, REJECTED, PARTLY_RESPONDED);
+            case PARTLY_SENT -> EnumSet.of(SENT, REJECTED, PARTLY_RESPONDED);
+            case SENT -> EnumSet.of(REJECTED, PARTLY_RESPONDED);
+            case PARTLY_RESPONDED -> EnumSet.of(RESPONDED);
+            case REJECTED, RESPONDED -> EnumSet.noneOf(SendState.class);
         };
     }
 }
