--- a/decisions/src/main/java/burlarch/decisions/CachePool.java
+++ b/decisions/src/main/java/burlarch/decisions/CachePool.java
@@ -17,6 +17,7 @@
     private static final double BROKEN_ATTEMPTS = 64;
     /** Part of the caches that may be in doubt before lateness puts a further one there. */
     static final double LATE_DOUBTED_MOST = 0.25;
+
     private static final long FIRST_PAUSE_NANOS = 1_000_000_000L, LONGEST_PAUSE_NANOS = 8_000_000_000L;
     /** Part of the stated collapse limit that the proxies together may use. */
     private static final double COLD_SAFETY = 0.5;
@@ -59,6 +60,7 @@
         boolean doubted, trialOut, connected;
         /** Since when this incarnation is known, and when the trial of a doubted one went out. */
         final long knownSinceNanos;
+
         long trialNanos, quietSinceNanos, usedNanos, doubtedUntilNanos, coldLevelNanos;
         long pauseNanos = FIRST_PAUSE_NANOS;
         double coldLevel, fit = 1;
@@ -90,18 +92,24 @@
     private final Map<Long, Node> nodes = new LinkedHashMap<>();
     /** The ready caches and origins. */
     private Node[] caches = {}, origins = {};
+
     private int doubtedCount;
     private double load, holdPart = 1, brokenPart;
     private long loadNanos;
 
-    CachePool(Settings settings, Actions actions, SplittableRandom random, long patienceNanos,
+    CachePool(
+            Settings settings,
+            Actions actions,
+            SplittableRandom random,
+            long patienceNanos,
             Supplier<LearnedCapacity> gates) {
         this.settings = settings;
         this.actions = actions;
         this.random = random;
         this.patienceNanos = patienceNanos;
         this.gates = gates;
-        this.quotaPerSecond = settings.tenants().stream().mapToDouble(Tenant::quotaPerSecond).sum();
+        this.quotaPerSecond =
+                settings.tenants().stream().mapToDouble(Tenant::quotaPerSecond).sum();
     }
 
     static long mix(long x) {
@@ -146,7 +154,9 @@
 
     /** The origin to use: of several, the one with least out from here. */
     Node origin() {
-        return Arrays.stream(origins).min(Comparator.comparingInt(node -> node.out)).orElse(null);
+        return Arrays.stream(origins)
+                .min(Comparator.comparingInt(node -> node.out))
+                .orElse(null);
     }
 
     // ---- rendezvous
@@ -199,13 +209,14 @@
      * cache dies meanwhile, by some more repeats.
      */
     private int doubtAfterBroken() {
-        return (int) Math.ceil(doubtAfter()
-                * Math.max(1, Math.log(BROKEN_USUALLY) / Math.log(Math.min(0.9, brokenPart))));
+        return (int)
+                Math.ceil(doubtAfter() * Math.max(1, Math.log(BROKEN_USUALLY) / Math.log(Math.min(0.9, brokenPart))));
     }
 
     /** The part of its full work that the node can do, by the slowest ramp that the settings allow. */
     double warmth(Node node, long nowNanos) {
-        double part = (nowNanos - node.entry.bootNanos()) / (double) settings.obligations().coldNanos();
+        double part = (nowNanos - node.entry.bootNanos())
+                / (double) settings.obligations().coldNanos();
         double coldFrom = settings.obligations().coldFrom();
         return node.entry.bootNanos() == 0 || part >= 1 ? 1 : coldFrom + (1 - coldFrom) * Math.max(0, part);
     }
@@ -222,8 +233,14 @@
             warm += warmth(cache, nowNanos) >= 1 ? cache.entry.size() : 0;
         }
         double now = CallGapping.advance(load, 0, (nowNanos - loadNanos) * 1e-9, LOAD_SECONDS);
-        return Math.max(2.0 / settings.proxies(), COLD_SAFETY * settings.obligations().fallMultiple()
-                * warmth(node, nowNanos) * (warm > 0 ? now / warm : 0) * node.entry.size() * windowSeconds);
+        return Math.max(
+                2.0 / settings.proxies(),
+                COLD_SAFETY
+                        * settings.obligations().fallMultiple()
+                        * warmth(node, nowNanos)
+                        * (warm > 0 ? now / warm : 0)
+                        * node.entry.size()
+                        * windowSeconds);
     }
 
     /**
@@ -236,7 +253,8 @@
             return true;
         }
         double half = coldBudget(node, nowNanos) / 2;
-        double windows = (nowNanos - node.coldLevelNanos) / (double) settings.obligations().fallNanos();
+        double windows = (nowNanos - node.coldLevelNanos)
+                / (double) settings.obligations().fallNanos();
         double level = Math.max(0, node.coldLevel - windows * half);
         if (level + cost > half && (level > 0 || random.nextDouble() * cost > half)) {
             return false;
@@ -253,7 +271,8 @@
      */
     private long holdNanos() {
         Charges charges = settings.charges();
-        double worthNanos = charges.connection() == 0 || quotaPerSecond == 0 ? Double.MAX_VALUE
+        double worthNanos = charges.connection() == 0 || quotaPerSecond == 0
+                ? Double.MAX_VALUE
                 : charges.handshake() / charges.connection() * caches.length / quotaPerSecond * 1e11;
         return (long) (holdPart * Math.min(worthNanos, settings.limits().idleCloseNanos()));
     }
@@ -274,7 +293,8 @@
     /** Whether the next attempt there has to open a connection. */
     boolean unconnected(Node node, long nowNanos) {
         long idleNanos = nowNanos - node.usedNanos;
-        return node.out == 0 && (!node.connected || idleNanos >= settings.limits().idleCloseNanos());
+        return node.out == 0
+                && (!node.connected || idleNanos >= settings.limits().idleCloseNanos());
     }
 
     void onSend(Node node, double cost, long nowNanos) {
@@ -332,7 +352,8 @@
             }
             case NOCONN, RST, LATE, BAD -> {
                 node.connected &= !broken;
-                if (outcome == Outcome.NOCONN && elapsedNanos < settings.limits().connectTimeoutNanos() / 2) {
+                if (outcome == Outcome.NOCONN
+                        && elapsedNanos < settings.limits().connectTimeoutNanos() / 2) {
                     holdPart = Math.max(HOLD_LEAST, holdPart / 2);
                 }
                 if (++node.failures >= (broken ? doubtAfterBroken() : doubtAfter()) || trial) {
@@ -344,7 +365,7 @@
                 node.quietSinceNanos = nowNanos;
                 keepSpare(node, spareLeast());
             }
-            default -> { }
+            default -> {}
         }
         node.trialOut &= !trial && node.doubted;
     }
@@ -373,8 +394,8 @@
      * late, at most a quarter: in an overload each one ejected would crowd the rest and make its keys misses.
      */
     void doubt(Node node, double mostPart, long nowNanos) {
-        if (isOrigin(node) || (node.doubted ? nowNanos < node.doubtedUntilNanos
-                : doubtedCount > mostPart * caches.length)) {
+        if (isOrigin(node)
+                || (node.doubted ? nowNanos < node.doubtedUntilNanos : doubtedCount > mostPart * caches.length)) {
             return;
         }
         node.doubtedUntilNanos = nowNanos + node.pauseNanos;
--- a/decisions/src/main/java/burlarch/decisions/Policy.java
+++ b/decisions/src/main/java/burlarch/decisions/Policy.java
@@ -34,9 +34,11 @@
     private static final double PATIENCE = 0.4;
     /** Further attempts and second copies earned by each request, and the most that all proxies save up. */
     private static final double RETRY_PER_REQUEST = 0.2, RETRY_MOST = 60;
+
     private static final double SET_UP_GAIN = 0.05;
     /** Part of the aim that the origin's answer is taken to need before one has come. */
     private static final double UNKNOWN_ANSWER = 0.1;
+
     private static final long WATCH_RETRY_NANOS = 500_000_000L, WATCH_RETRY_MOST_NANOS = 8_000_000_000L;
 
     /** One attempt as sent; {@code ended} is null while it is out. */
@@ -53,6 +55,7 @@
         final long usefulUntilNanos;
         /** Its client waits for less than the time after which a cache's silence counts against it. */
         final boolean hasty;
+
         final double cost;
         final List<Attempt> attempts = new ArrayList<>(2);
         final List<Node> used = new ArrayList<>(2);
@@ -89,6 +92,7 @@
     private final CachePool pool;
     /** The caches together: their outcomes tell of a general overload long before those of any one do. */
     private final LearnedCapacity tier;
+
     private final long shortestAimNanos;
     private final double mostWorth;
     private final Map<Long, Pending> pending = new HashMap<>();
@@ -96,12 +100,14 @@
     private final Map<Long, Pending> over = new HashMap<>();
     /** Keys with a fetch out from here, and the requests that wait for it. */
     private final Map<Long, ArrayDeque<Pending>> fetches = new HashMap<>();
+
     private final double retryMost;
     private double retryBudget, meanWork;
     /** Mean times of the caches' answers on new connections and on kept ones. */
     private final double[] freshNanos = {0}, keptNanos = {0};
     /** Mean time of the origin's answers. */
     private double originNanos;
+
     private long watchRetryNanos = WATCH_RETRY_NANOS;
 
     public Policy(Settings settings, long seed, Actions actions) {
@@ -109,19 +115,29 @@
         this.actions = actions;
         this.random = new SplittableRandom(seed);
         double[] shares = settings.tenants().stream().mapToDouble(Tenant::share).toArray();
-        double quota = settings.tenants().stream().mapToDouble(Tenant::quotaPerSecond).sum();
-        this.shortestAimNanos =
-                settings.classes().stream().mapToLong(RequestClass::aimNanos).min().orElse(1_000_000_000L);
-        this.mostWorth = settings.classes().stream().mapToDouble(RequestClass::worth).max().orElse(0);
+        double quota =
+                settings.tenants().stream().mapToDouble(Tenant::quotaPerSecond).sum();
+        this.shortestAimNanos = settings.classes().stream()
+                .mapToLong(RequestClass::aimNanos)
+                .min()
+                .orElse(1_000_000_000L);
+        this.mostWorth = settings.classes().stream()
+                .mapToDouble(RequestClass::worth)
+                .max()
+                .orElse(0);
         // What all may do at once is shared out by their number; what few outcomes tell each evens out.
         double start = Math.max(60, 0.5 * quota) / settings.proxies();
         this.retryMost = Math.max(1, RETRY_MOST / settings.proxies());
         this.retryBudget = retryMost * random.nextDouble();
         double pooling = Math.max(1, Math.min(5, settings.proxies() / (double) MANY));
         double floor = Math.min(LearnedCapacity.FLOOR_PER_SECOND, 20.0 / settings.proxies());
-        this.tier = new LearnedCapacity(shares, Math.max(start, PROMISED * quota / settings.proxies()), floor,
-                TIER_BATCH / pooling, pooling);
-        this.pool = new CachePool(settings, actions, random, (long) (PATIENCE * shortestAimNanos),
+        this.tier = new LearnedCapacity(
+                shares, Math.max(start, PROMISED * quota / settings.proxies()), floor, TIER_BATCH / pooling, pooling);
+        this.pool = new CachePool(
+                settings,
+                actions,
+                random,
+                (long) (PATIENCE * shortestAimNanos),
                 () -> new LearnedCapacity(shares, start, floor, NODE_BATCH, 1));
         if (settings.asksForList()) {
             actions.timer(random.nextLong(1, WATCH_RETRY_NANOS / 2), WATCH);
@@ -136,8 +152,8 @@
         } else if (settings.asksForList()) {
             actions.timer((long) (watchRetryNanos * (0.5 + random.nextDouble())), WATCH);
             // Within the time that an old list may be held to, also where the next turn's jitter is longest.
-            watchRetryNanos = Math.min(Math.min(WATCH_RETRY_MOST_NANOS,
-                    settings.obligations().mustAskNanos() / 2), watchRetryNanos * 2);
+            watchRetryNanos = Math.min(
+                    Math.min(WATCH_RETRY_MOST_NANOS, settings.obligations().mustAskNanos() / 2), watchRetryNanos * 2);
         }
     }
 
@@ -164,19 +180,20 @@
     /** Where an answer after its aim is worth nothing, the request ends there, not at its deadline. */
     private long usefulUntil(long nowNanos, Request request, RequestClass kind) {
         long deadline = request.deadlineNanos() - settings.quantumNanos();
-        return kind == null || kind.lateWorth() > 0 ? deadline : Math.min(deadline,
-                nowNanos + kind.aimNanos() + (long) (kind.aimStretch() * request.workNanos()));
+        return kind == null || kind.lateWorth() > 0
+                ? deadline
+                : Math.min(deadline, nowNanos + kind.aimNanos() + (long) (kind.aimStretch() * request.workNanos()));
     }
 
     public void onEnded(long nowNanos, Ended ended) {
         Node node = pool.find(ended.server(), nowNanos - ended.elapsedNanos());
         Pending p = pending.get(ended.request());
-        Attempt attempt = p == null || ended.attempt() < 0 || ended.attempt() >= p.attempts.size() ? null
+        Attempt attempt = p == null || ended.attempt() < 0 || ended.attempt() >= p.attempts.size()
+                ? null
                 : p.attempts.get(ended.attempt());
         if (node != null) {
             // A time-out tells of the client, not of the server, where the client hardly waited.
-            Outcome told = ended.outcome() == Outcome.LATE && p != null && p.hasty ? Outcome.CXL
-                    : ended.outcome();
+            Outcome told = ended.outcome() == Outcome.LATE && p != null && p.hasty ? Outcome.CXL : ended.outcome();
             learn(node, ended, told, attempt != null && attempt.connects, p == null ? 1 : p.cost, nowNanos);
         }
         if (ended.outcome() == Outcome.NOP) {
@@ -189,8 +206,8 @@
         if (attempt == null || attempt.ended != null) {
             return;
         }
-        p.attempts.set(ended.attempt(),
-                new Attempt(attempt.node, attempt.sentNanos, attempt.connects, ended.outcome()));
+        p.attempts.set(
+                ended.attempt(), new Attempt(attempt.node, attempt.sentNanos, attempt.connects, ended.outcome()));
         p.out--;
         if (ended.finished() || ended.outcome() == Outcome.GOOD) {
             close(p, nowNanos, ended.outcome() == Outcome.GOOD);
@@ -281,7 +298,8 @@
         }
         // A tenant within its share of the tier is not refused for one cache's crowding and may go on to the
         // next; others may not, as each such move makes a miss there.
-        while (refusals < (p.withinShare ? 2 : 1) && p.attempts.size() < settings.limits().attemptCap()) {
+        while (refusals < (p.withinShare ? 2 : 1)
+                && p.attempts.size() < settings.limits().attemptCap()) {
             Node node = pool.best(p.key(), p.used, nowNanos);
             if (node == null || p.used.size() >= LOOKED_AT_MOST || nowNanos >= p.usefulUntilNanos) {
                 break;
@@ -362,7 +380,8 @@
             wait *= pool.isOrigin(p.attempts.get(i).node) ? 2 : 1;
         }
         long resumeAt = nowNanos + (long) wait;
-        if (resumeAt + usual >= p.usefulUntilNanos || p.attempts.size() >= settings.limits().attemptCap()
+        if (resumeAt + usual >= p.usefulUntilNanos
+                || p.attempts.size() >= settings.limits().attemptCap()
                 || !spendRetry()) {
             return false;
         }
@@ -380,13 +399,14 @@
         return WINDOW_LEAST + (WINDOW_BEST - WINDOW_LEAST) * Math.min(1, Math.max(0, worthPart));
     }
 
-    private void learn(Node node, Ended ended, Outcome outcome, boolean connects, double cost,
-            long nowNanos) {
+    private void learn(Node node, Ended ended, Outcome outcome, boolean connects, double cost, long nowNanos) {
         boolean cache = !pool.isOrigin(node);
         boolean accepted = outcome == Outcome.GOOD || outcome == Outcome.MISS;
         pool.onEnded(node, outcome, ended.elapsedNanos(), nowNanos);
         // A full table of connections is no strain either: c would fall for what idle connections hold.
-        if (outcome == Outcome.CXL || outcome == Outcome.NOP || outcome == Outcome.CROWDED
+        if (outcome == Outcome.CXL
+                || outcome == Outcome.NOP
+                || outcome == Outcome.CROWDED
                 || brokenConnection(outcome, !cache)) {
             return;
         }
@@ -401,8 +421,7 @@
             pool.onHit(node, ended.elapsedNanos() / cost);
         }
         double answerNanos = ended.elapsedNanos() - (connects ? setUpNanos() : 0);
-        learn(node, nowNanos - ended.elapsedNanos(), accepted ? answerNanos / shortestAimNanos : 1, accepted,
-                nowNanos);
+        learn(node, nowNanos - ended.elapsedNanos(), accepted ? answerNanos / shortestAimNanos : 1, accepted, nowNanos);
     }
 
     /**
@@ -437,7 +456,9 @@
 
     /** Sends an attempt if list state, effect rule, attempt cap, cold budget and time left all allow it. */
     private boolean send(Pending p, Node node, long nowNanos) {
-        if (p.done || !node.ready() || pool.find(node.id) != node
+        if (p.done
+                || !node.ready()
+                || pool.find(node.id) != node
                 || p.attempts.size() >= settings.limits().attemptCap()
                 || p.out > 0 && !settings.limits().duplicates()
                 || nowNanos >= p.usefulUntilNanos
@@ -458,9 +479,12 @@
      */
     private boolean effectAllows(Pending p, Node node, long nowNanos) {
         long outByNanos = nowNanos + settings.limits().connectTimeoutNanos();
-        return p.repeat() == Repeat.PURE || p.attempts.stream().filter(Attempt::mayHaveRun).allMatch(a ->
-                p.repeat() == Repeat.TOKEN && sameGroup(p.kind.scope(), a.node.entry, node.entry)
-                && outByNanos - a.sentNanos < p.kind.memorySpanNanos() - settings.quantumNanos());
+        return p.repeat() == Repeat.PURE
+                || p.attempts.stream()
+                        .filter(Attempt::mayHaveRun)
+                        .allMatch(a -> p.repeat() == Repeat.TOKEN
+                                && sameGroup(p.kind.scope(), a.node.entry, node.entry)
+                                && outByNanos - a.sentNanos < p.kind.memorySpanNanos() - settings.quantumNanos());
     }
 
     private static boolean sameGroup(Scope scope, Server a, Server b) {
@@ -479,7 +503,8 @@
             return;
         }
         Repeat repeat = p.repeat();
-        if (repeat == Repeat.PURE || repeat == Repeat.TOKEN && p.kind.scope() == Scope.ALL
+        if (repeat == Repeat.PURE
+                || repeat == Repeat.TOKEN && p.kind.scope() == Scope.ALL
                 || p.attempts.stream().noneMatch(Attempt::mayHaveRun)) {
             actions.refuse(p.request.id(), settings.limits().retryAfter() ? retryAfterNanos : 0);
         } else {
@@ -526,7 +551,8 @@
     /** A cache that has gone silent is doubted, and a second copy of the request goes to the next one. */
     private void hedge(Pending p, long nowNanos) {
         Attempt last = p.last();
-        boolean unanswered = !pool.isOrigin(last.node) && last.ended == null
+        boolean unanswered = !pool.isOrigin(last.node)
+                && last.ended == null
                 && nowNanos - last.sentNanos >= patienceNanos(last.connects);
         if (unanswered) {
             learn(last.node, last.sentNanos, 1, false, nowNanos);
--- a/emulator/src/main/java/burlarch/emulator/demo/BenchFleet.java
+++ b/emulator/src/main/java/burlarch/emulator/demo/BenchFleet.java
@@ -17,6 +17,7 @@
     private static final long POLL_MILLIS = 5;
     /** The controller that is measured starts into a fleet that waits for it no more. */
     private static final long OTHERS_FIRST_MILLIS = 3_000;
+
     private static final Duration PROBE = Duration.ofMillis(500);
 
     private final LoopbackNetwork network;
@@ -27,8 +28,7 @@
     private FleetProcess router;
 
     /** What a start took. */
-    record Start(double cpuSeconds, double wallSeconds) {
-    }
+    record Start(double cpuSeconds, double wallSeconds) {}
 
     /** @param home the folder that the run lines are written for */
     BenchFleet(LoopbackNetwork network, Path home, Path folder, HttpClient http) {
@@ -104,7 +104,8 @@
     }
 
     private int status(String address, String path) throws InterruptedException {
-        HttpRequest request = HttpRequest.newBuilder(URI.create("http://" + address + path)).timeout(PROBE)
+        HttpRequest request = HttpRequest.newBuilder(URI.create("http://" + address + path))
+                .timeout(PROBE)
                 .build();
         try {
             return http.send(request, HttpResponse.BodyHandlers.discarding()).statusCode();
--- a/emulator/src/main/java/burlarch/emulator/demo/BenchTable.java
+++ b/emulator/src/main/java/burlarch/emulator/demo/BenchTable.java
@@ -35,8 +35,8 @@
         for (Row row : rows) {
             String mark = Double.isNaN(row.below()) ? "" : row.good() ? "ok" : "MISS";
             String bar = Double.isNaN(row.below()) ? "" : "< " + Double.toString(row.below());
-            text.append(String.format(Locale.ROOT, "  %-4s %-48s %9.2f %-9s %s%n", mark, row.name(),
-                    row.figure(), row.unit(), bar));
+            text.append(String.format(
+                    Locale.ROOT, "  %-4s %-48s %9.2f %-9s %s%n", mark, row.name(), row.figure(), row.unit(), bar));
         }
         return text.append(passes() ? "all goals reached" : "a goal is MISSED").toString();
     }
--- a/emulator/src/main/java/burlarch/emulator/demo/DemoConfiguration.java
+++ b/emulator/src/main/java/burlarch/emulator/demo/DemoConfiguration.java
@@ -14,13 +14,13 @@
     static final String SHOP_NEW = "shop-new";
     /** Milliseconds within which an answer of the plain service, or a stream's first event, is in time. */
     static final long AIM_MILLIS = 1_000;
+
     static final long TIMEOUT_MILLIS = 4_000;
     static final String[] KEYS = {"key-of-red", "key-of-green"};
     /** Open to all; there only since a version, so that a router shows which one it has. */
     private static final String MARK = "/version-%d/";
 
-    private DemoConfiguration() {
-    }
+    private DemoConfiguration() {}
 
     /** Path that is routed from that version on. */
     static String mark(long version) {
@@ -31,8 +31,13 @@
         return "{\"config_version\":" + version + ",\"routes\":["
                 + route("read", READ, "idempotent", SHOP, "") + ","
                 + route("write", WRITE, "non_idempotent", SHOP, "") + ","
-                + route("talk", TALK, "streaming", ENGINES,
-                        ",\"session_affinity\":true,\"resumable\":true,\"gap_aim_ms\":500") + ","
+                + route(
+                        "talk",
+                        TALK,
+                        "streaming",
+                        ENGINES,
+                        ",\"session_affinity\":true,\"resumable\":true,\"gap_aim_ms\":500")
+                + ","
                 + markRoute(version) + "],\"services\":[" + plain(SHOP) + "," + plain(SHOP_NEW) + ","
                 + "{\"name\":\"" + ENGINES + "\",\"health_check\":\"/healthz\",\"max_connections\":200,"
                 + "\"protocol\":\"h1\",\"tls\":false,\"engine\":{\"capacity\":16,\"kv_capacity\":65536,"
--- a/emulator/src/main/java/burlarch/emulator/demo/DemoFolder.java
+++ b/emulator/src/main/java/burlarch/emulator/demo/DemoFolder.java
@@ -8,8 +8,7 @@
 
 /** The folder that goes with a demo or a bench. */
 final class DemoFolder {
-    private DemoFolder() {
-    }
+    private DemoFolder() {}
 
     static void delete(Path folder) throws IOException {
         try (Stream<Path> files = Files.walk(folder)) {
--- a/emulator/src/main/java/burlarch/emulator/demo/DemoOperator.java
+++ b/emulator/src/main/java/burlarch/emulator/demo/DemoOperator.java
@@ -19,22 +19,32 @@
     /** Sends the first configuration. */
     boolean found(long version, String storeAddress) throws InterruptedException {
         sent.add(version);
-        return calls.call("PUT", "/burlarch/config", DemoConfiguration.whole(version, storeAddress), "0",
-                LIMIT).ok();
+        return calls.call("PUT", "/burlarch/config", DemoConfiguration.whole(version, storeAddress), "0", LIMIT)
+                .ok();
     }
 
     /** Sends the reads to another service with a new version. */
     boolean change(long version, String readsGoTo) throws InterruptedException {
         long former = newest();
         sent.add(version);
-        return calls.call("PATCH", "/burlarch/config", DemoConfiguration.patch(version, former, readsGoTo),
-                Long.toString(former), LIMIT).ok();
+        return calls.call(
+                        "PATCH",
+                        "/burlarch/config",
+                        DemoConfiguration.patch(version, former, readsGoTo),
+                        Long.toString(former),
+                        LIMIT)
+                .ok();
     }
 
     /** Names new weights. */
     boolean nameWeights(long version) throws InterruptedException {
-        return calls.call("POST", "/burlarch/version-put", "{\"model\":\"" + DemoConfiguration.MODEL
-                + "\",\"config_version\":" + version + "}", null, LIMIT).ok();
+        return calls.call(
+                        "POST",
+                        "/burlarch/version-put",
+                        "{\"model\":\"" + DemoConfiguration.MODEL + "\",\"config_version\":" + version + "}",
+                        null,
+                        LIMIT)
+                .ok();
     }
 
     /** Whether the newest version is what can be read back. */
--- a/emulator/src/main/java/burlarch/emulator/demo/FleetBench.java
+++ b/emulator/src/main/java/burlarch/emulator/demo/FleetBench.java
@@ -34,8 +34,10 @@
     private final Path home;
     private final long measureMillis;
     private final PrintStream output;
-    private final HttpClient http = HttpClient.newBuilder().version(HttpClient.Version.HTTP_1_1)
-            .connectTimeout(Duration.ofSeconds(2)).build();
+    private final HttpClient http = HttpClient.newBuilder()
+            .version(HttpClient.Version.HTTP_1_1)
+            .connectTimeout(Duration.ofSeconds(2))
+            .build();
     private final BenchTable table = new BenchTable();
     private BenchFleet fleet;
     private InstanceInfo engine;
@@ -57,8 +59,8 @@
     /** Runs it all; returns whether all goals are reached. */
     boolean run() throws Exception {
         if (!Files.isRegularFile(home.resolve("target").resolve("burlarch.jar"))) {
-            throw new IOException(home + "/target/burlarch.jar is not there: run "
-                    + "'mvn -q -DskipTests package' first");
+            throw new IOException(
+                    home + "/target/burlarch.jar is not there: run " + "'mvn -q -DskipTests package' first");
         }
         Path folder = Files.createTempDirectory("burlarch-bench");
         try (LoopbackNetwork network = LoopbackNetwork.take();
@@ -66,8 +68,8 @@
             Thread atExit = new Thread(this::abandon, "end-of-bench");
             fleet = processes;
             Runtime.getRuntime().addShutdownHook(atExit);
-            engine = new InstanceInfo("i-bench", DemoConfiguration.ENGINES, network.instance(1),
-                    LoopbackNetwork.INSTANCE, "hall", SLOTS);
+            engine = new InstanceInfo(
+                    "i-bench", DemoConfiguration.ENGINES, network.instance(1), LoopbackNetwork.INSTANCE, "hall", SLOTS);
             play();
             Runtime.getRuntime().removeShutdownHook(atExit);
         }
@@ -95,8 +97,7 @@
         if (!calls.call("PUT", "/burlarch/config", configuration, "0", LIMIT).ok()) {
             throw new IOException("the configuration was not taken");
         }
-        try (StampingEngine stamping = new StampingEngine(engine, new NoBook(), DemoConfiguration.MODEL,
-                GAP_NANOS)) {
+        try (StampingEngine stamping = new StampingEngine(engine, new NoBook(), DemoConfiguration.MODEL, GAP_NANOS)) {
             stamping.start();
             stamping.register(new ControlCalls(http, fleet.seeds(), 1), NodeFile.HEARTBEAT_MILLIS);
             BenchFleet.Start router = fleet.startRouter();
@@ -170,12 +171,14 @@
     private void manyStreams() throws IOException, InterruptedException {
         Load many = load(fleet.front(), OPEN_STREAMS, GAP_NANOS, OPEN_MILLIS);
         table.goal("of 300 open streams, not begun", OPEN_STREAMS - many.begun(), "", 1)
-                .goal("router: peak memory, 300 streams open",
-                        ProcessFigures.peakMegabytes(fleet.routerPid()), "MB", PEAK_MEGABYTES);
+                .goal(
+                        "router: peak memory, 300 streams open",
+                        ProcessFigures.peakMegabytes(fleet.routerPid()),
+                        "MB",
+                        PEAK_MEGABYTES);
     }
 
-    private Load load(String address, int streams, long gap, long millis)
-            throws IOException, InterruptedException {
+    private Load load(String address, int streams, long gap, long millis) throws IOException, InterruptedException {
         StampedStreams load = new StampedStreams(http, address, "X-Credential", DemoConfiguration.KEYS[0]);
         long opening = 2L * streams;
         load.open(streams, (int) ((opening + WARM_MILLIS + millis) * 1_000_000 / gap), DEADLINE_MILLIS);
@@ -183,8 +186,7 @@
         long cpu = ProcessFigures.cpuNanos(fleet.routerPid());
         long began = System.nanoTime();
         Histogram ages = load.count(millis);
-        double share = (double) (ProcessFigures.cpuNanos(fleet.routerPid()) - cpu)
-                / (System.nanoTime() - began);
+        double share = (double) (ProcessFigures.cpuNanos(fleet.routerPid()) - cpu) / (System.nanoTime() - began);
         int begun = load.begun();
         return new Load(ages, share, begun, load.finish());
     }
--- a/emulator/src/main/java/burlarch/emulator/demo/FleetDemo.java
+++ b/emulator/src/main/java/burlarch/emulator/demo/FleetDemo.java
@@ -29,8 +29,10 @@
     private final List<FleetProcess> controllers = new ArrayList<>();
     private final List<FleetProcess> routers = new ArrayList<>();
     private final Ledger ledger = new Ledger();
-    private final HttpClient http = HttpClient.newBuilder().version(HttpClient.Version.HTTP_1_1)
-            .connectTimeout(Duration.ofSeconds(1)).build();
+    private final HttpClient http = HttpClient.newBuilder()
+            .version(HttpClient.Version.HTTP_1_1)
+            .connectTimeout(Duration.ofSeconds(1))
+            .build();
     private final Verdict verdict = new Verdict();
     private long began;
 
@@ -148,8 +150,7 @@
         controllers.get(KILLED).kill();
         tell("controller 2 is killed");
         until(start, 6);
-        verdict.step("change with a controller down acknowledged",
-                operator.change(9, DemoConfiguration.SHOP));
+        verdict.step("change with a controller down acknowledged", operator.change(9, DemoConfiguration.SHOP));
         tell("configuration 9 is acknowledged by the other two");
         until(start, 7);
         controllers.get(KILLED).start();
@@ -181,15 +182,14 @@
     private void judge(DemoOperator operator, RouterList routerList, StandIns standIns)
             throws InterruptedException, ExecutionException {
         verdict.step("newest configuration read back", operator.readsBack());
-        verdict.requests(ledger.askedSoFar(), ledger.servedSoFar(), ledger.lateSoFar(),
-                ledger.failedSoFar());
+        verdict.requests(ledger.askedSoFar(), ledger.servedSoFar(), ledger.lateSoFar(), ledger.failedSoFar());
         verdict.none("requests that ran twice", ledger.doubleRuns());
         verdict.none("requests that ran after a promise not to", ledger.brokenPromises());
         verdict.none("requests to a drained instance", ledger.toDrained());
         verdict.versions("configuration", routerList.versions(operator.versions()), operator.newest());
         verdict.versions("weights", standIns.weights(), 2);
-        verdict.none("processes that ended by themselves",
-                (int) all().stream().filter(process -> !process.alive()).count());
+        verdict.none("processes that ended by themselves", (int)
+                all().stream().filter(process -> !process.alive()).count());
     }
 
     private void tell(String what) {
--- a/emulator/src/main/java/burlarch/emulator/demo/FleetProcess.java
+++ b/emulator/src/main/java/burlarch/emulator/demo/FleetProcess.java
@@ -17,9 +17,20 @@
     private boolean over;
 
     FleetProcess(String role, Path jar, Path settings, Path log) {
-        this(List.of(Path.of(System.getProperty("java.home"), "bin", "java").toString(), "-Xmx96m",
-                "-Xss256k", "-XX:+UseSerialGC", "-XX:TieredStopAtLevel=1", "-XX:-UsePerfData", "-jar",
-                jar.toString(), role), Path.of("").toAbsolutePath(), settings, log);
+        this(
+                List.of(
+                        Path.of(System.getProperty("java.home"), "bin", "java").toString(),
+                        "-Xmx96m",
+                        "-Xss256k",
+                        "-XX:+UseSerialGC",
+                        "-XX:TieredStopAtLevel=1",
+                        "-XX:-UsePerfData",
+                        "-jar",
+                        jar.toString(),
+                        role),
+                Path.of("").toAbsolutePath(),
+                settings,
+                log);
     }
 
     /** @param directory in which the command is run */
--- a/emulator/src/main/java/burlarch/emulator/demo/Ledger.java
+++ b/emulator/src/main/java/burlarch/emulator/demo/Ledger.java
@@ -59,7 +59,9 @@
 
     /** Tries that ran although their client was told that they had not. */
     int brokenPromises() {
-        return (int) promisedNotRun.stream().filter(id -> atMostOnce.contains(id) && runsOf(id) > 0).count();
+        return (int) promisedNotRun.stream()
+                .filter(id -> atMostOnce.contains(id) && runsOf(id) > 0)
+                .count();
     }
 
     private int runsOf(String id) {
--- a/emulator/src/main/java/burlarch/emulator/demo/LoopbackNetwork.java
+++ b/emulator/src/main/java/burlarch/emulator/demo/LoopbackNetwork.java
@@ -31,8 +31,7 @@
         for (int number = FIRST; number <= LAST; number++) {
             ServerSocket socket = new ServerSocket();
             try {
-                socket.bind(new InetSocketAddress(
-                        InetAddress.getByName("127." + number + ".0.1"), FIRST_NODE_PORT));
+                socket.bind(new InetSocketAddress(InetAddress.getByName("127." + number + ".0.1"), FIRST_NODE_PORT));
                 return new LoopbackNetwork(number, socket);
             } catch (IOException taken) {
                 socket.close();
--- a/emulator/src/main/java/burlarch/emulator/demo/Main.java
+++ b/emulator/src/main/java/burlarch/emulator/demo/Main.java
@@ -17,7 +17,8 @@
     static final int FAILED = 1;
     static final int COULD_NOT_RUN = 2;
 
-    private static final String USAGE = """
+    private static final String USAGE =
+            """
             burlarch fleet-demo [--seconds N] [--jar FILE] [--logs FOLDER]
               Starts 3 controllers and 2 routers as processes of their own, and in this process engines, a
               store, plain instances, an operator and clients, all on loopback. While traffic runs it changes
@@ -43,12 +44,13 @@
     private boolean version;
 
     @Argument(metaVar = "COMMAND", required = true, handler = SubCommandHandler.class)
-    @SubCommands({@SubCommand(name = "fleet-demo", impl = DemoOptions.class),
-            @SubCommand(name = "fleet-bench", impl = BenchOptions.class)})
+    @SubCommands({
+        @SubCommand(name = "fleet-demo", impl = DemoOptions.class),
+        @SubCommand(name = "fleet-bench", impl = BenchOptions.class)
+    })
     private Command options;
 
-    private Main() {
-    }
+    private Main() {}
 
     /** Runs a command and ends the process. */
     public static void main(String[] arguments) {
--- a/emulator/src/main/java/burlarch/emulator/demo/NodeFile.java
+++ b/emulator/src/main/java/burlarch/emulator/demo/NodeFile.java
@@ -17,25 +17,47 @@
     /** Within which requests run on newly named weights. */
     static final long WEIGHTS_MILLIS = 8_000;
 
-    private NodeFile() {
-    }
+    private NodeFile() {}
 
-    static Path controller(Path folder, String name, String ip, List<String> seeds, boolean first)
-            throws IOException {
+    static Path controller(Path folder, String name, String ip, List<String> seeds, boolean first) throws IOException {
         Path data = Files.createDirectories(folder.resolve(name + "-data"));
-        return write(folder, name, ip, seeds, first, "core", "control_plane",
+        return write(
+                folder,
+                name,
+                ip,
+                seeds,
+                first,
+                "core",
+                "control_plane",
                 "data_dir = \"" + data + "\"\n",
                 "control = \"" + ip + ":" + LoopbackNetwork.CONTROL + "\"\n");
     }
 
     static Path router(Path folder, String name, String ip, List<String> seeds) throws IOException {
-        return write(folder, name, ip, seeds, true, "edge", "edge", "",
-                "front = \"" + ip + ":" + LoopbackNetwork.FRONT + "\"\n"
-                        + "readiness = \"" + ip + ":" + LoopbackNetwork.READINESS + "\"\n");
+        return write(
+                folder,
+                name,
+                ip,
+                seeds,
+                true,
+                "edge",
+                "edge",
+                "",
+                "front = \"" + ip + ":" + LoopbackNetwork.FRONT + "\"\n" + "readiness = \"" + ip + ":"
+                        + LoopbackNetwork.READINESS + "\"\n");
     }
 
-    private static Path write(Path folder, String name, String ip, List<String> seeds, boolean first,
-            String machineClass, String serves, String data, String listen) throws IOException {
+    private static Path write(
+            Path folder,
+            String name,
+            String ip,
+            List<String> seeds,
+            boolean first,
+            String machineClass,
+            String serves,
+            String data,
+            String listen)
+            throws IOException {
         String list = seeds.stream().map(seed -> "\"" + seed + "\"").collect(Collectors.joining(", "));
         String text = "node_name = \"" + name + "\"\nmachine_class = \"" + machineClass + "\"\nserves = [\""
                 + serves + "\"]\nip = \"" + ip + "\"\nzone = \"hall\"\nregion = \"home\"\nport_range = ["
--- a/emulator/src/main/java/burlarch/emulator/demo/ProcessFigures.java
+++ b/emulator/src/main/java/burlarch/emulator/demo/ProcessFigures.java
@@ -8,10 +8,10 @@
 final class ProcessFigures {
     /** Linux tells processor time in ticks of 10 ms. */
     private static final long TICK_NANOS = 10_000_000;
+
     private static final int USER_TICKS = 11;
 
-    private ProcessFigures() {
-    }
+    private ProcessFigures() {}
 
     /** Processor time of all its threads so far, user and system. */
     static long cpuNanos(long pid) throws IOException {
--- a/emulator/src/main/java/burlarch/emulator/demo/RouterList.java
+++ b/emulator/src/main/java/burlarch/emulator/demo/RouterList.java
@@ -55,9 +55,14 @@
     }
 
     private int status(String address, String path) throws InterruptedException {
-        HttpRequest request = HttpRequest.newBuilder(URI.create("http://" + address + path)).timeout(PROBE)
-                .header("Host", DemoConfiguration.HOST).header("X-Request-Deadline", "1000")
-                .header("X-Request-Id", Long.toHexString(ThreadLocalRandom.current().nextLong())).build();
+        HttpRequest request = HttpRequest.newBuilder(URI.create("http://" + address + path))
+                .timeout(PROBE)
+                .header("Host", DemoConfiguration.HOST)
+                .header("X-Request-Deadline", "1000")
+                .header(
+                        "X-Request-Id",
+                        Long.toHexString(ThreadLocalRandom.current().nextLong()))
+                .build();
         try {
             return http.send(request, HttpResponse.BodyHandlers.discarding()).statusCode();
         } catch (IOException noAnswer) {
--- a/emulator/src/main/java/burlarch/emulator/demo/RunLine.java
+++ b/emulator/src/main/java/burlarch/emulator/demo/RunLine.java
@@ -10,8 +10,7 @@
 final class RunLine {
     private static final String BEGIN = "run = \"";
 
-    private RunLine() {
-    }
+    private RunLine() {}
 
     /** The command of a role in the folder's deploy/system.toml, with the running Java for "java". */
     static List<String> of(Path home, String role) throws IOException {
@@ -19,7 +18,9 @@
             if (line.startsWith(BEGIN) && line.endsWith(" " + role + "\"")) {
                 String command = line.substring(BEGIN.length(), line.length() - 1);
                 List<String> words = new ArrayList<>(List.of(command.split(" ")));
-                words.set(0, Path.of(System.getProperty("java.home"), "bin", "java").toString());
+                words.set(
+                        0,
+                        Path.of(System.getProperty("java.home"), "bin", "java").toString());
                 return words;
             }
         }
--- a/emulator/src/main/java/burlarch/emulator/demo/StampedStreams.java
+++ b/emulator/src/main/java/burlarch/emulator/demo/StampedStreams.java
@@ -40,12 +40,16 @@
         for (int i = 0; i < streams; i++) {
             String id = Long.toHexString(ThreadLocalRandom.current().nextLong());
             HttpRequest request = HttpRequest.newBuilder(
-                    URI.create("http://" + address + DemoConfiguration.TALK + "bench"))
-                    .header("Host", DemoConfiguration.HOST).header("X-Request-Id", id)
+                            URI.create("http://" + address + DemoConfiguration.TALK + "bench"))
+                    .header("Host", DemoConfiguration.HOST)
+                    .header("X-Request-Id", id)
                     .header("X-Request-Deadline", Integer.toString(deadlineMillis))
-                    .header("X-Model", DemoConfiguration.MODEL).header("X-Token-Usage", "50," + events)
-                    .header("X-Prefix-Hash", String.format(Locale.ROOT, "%08x:50", i)).headers(headers)
-                    .POST(HttpRequest.BodyPublishers.ofString("{}")).build();
+                    .header("X-Model", DemoConfiguration.MODEL)
+                    .header("X-Token-Usage", "50," + events)
+                    .header("X-Prefix-Hash", String.format(Locale.ROOT, "%08x:50", i))
+                    .headers(headers)
+                    .POST(HttpRequest.BodyPublishers.ofString("{}"))
+                    .build();
             answers.add(http.sendAsync(request, HttpResponse.BodyHandlers.fromLineSubscriber(new Ages())));
             Thread.sleep(2);
         }
@@ -68,7 +72,8 @@
     int finish() {
         int well = 0;
         for (CompletableFuture<HttpResponse<Void>> answer : answers) {
-            well += answer.handle((end, failure) -> end != null && end.statusCode() == 200 ? 1 : 0).join();
+            well += answer.handle((end, failure) -> end != null && end.statusCode() == 200 ? 1 : 0)
+                    .join();
         }
         return well;
     }
--- a/emulator/src/main/java/burlarch/emulator/demo/StandIns.java
+++ b/emulator/src/main/java/burlarch/emulator/demo/StandIns.java
@@ -42,8 +42,13 @@
 
     private InstanceInfo next(String service, int capacity) {
         started++;
-        return new InstanceInfo("i-" + service + "-" + started, service, network.instance(started),
-                LoopbackNetwork.INSTANCE, "hall", capacity);
+        return new InstanceInfo(
+                "i-" + service + "-" + started,
+                service,
+                network.instance(started),
+                LoopbackNetwork.INSTANCE,
+                "hall",
+                capacity);
     }
 
     private void begin(StandIn standIn) {
@@ -53,8 +58,14 @@
 
     synchronized EngineServer engine(long weights) throws IOException {
         InstanceInfo info = next(DemoConfiguration.ENGINES, ENGINE_SLOTS);
-        EngineServer engine = new EngineServer(info, book, EngineParameters.small(),
-                Map.of(DemoConfiguration.MODEL, weights), MAX_IN_FLIGHT, started, http);
+        EngineServer engine = new EngineServer(
+                info,
+                book,
+                EngineParameters.small(),
+                Map.of(DemoConfiguration.MODEL, weights),
+                MAX_IN_FLIGHT,
+                started,
+                http);
         engines.add(engine);
         begin(engine);
         return engine;
--- a/emulator/src/main/java/burlarch/emulator/demo/Traffic.java
+++ b/emulator/src/main/java/burlarch/emulator/demo/Traffic.java
@@ -29,18 +29,24 @@
     }
 
     void start() {
-        each(READS_PER_SECOND, () -> new Tries.Wish("GET", DemoConfiguration.READ + "item", true, false,
-                "X-Credential", key()));
-        each(WRITES_PER_SECOND, () -> new Tries.Wish("POST", DemoConfiguration.WRITE + "item", false, false,
-                "X-Credential", key()));
+        each(
+                READS_PER_SECOND,
+                () -> new Tries.Wish("GET", DemoConfiguration.READ + "item", true, false, "X-Credential", key()));
+        each(
+                WRITES_PER_SECOND,
+                () -> new Tries.Wish("POST", DemoConfiguration.WRITE + "item", false, false, "X-Credential", key()));
         each(TALKS_PER_SECOND, this::talk);
     }
 
     private void each(int perSecond, Supplier<Tries.Wish> wishes) {
-        clock.scheduleAtFixedRate(() -> {
-            Tries.Wish wish = wishes.get();
-            clients.execute(() -> ask(wish));
-        }, 0, TimeUnit.SECONDS.toMicros(1) / perSecond, TimeUnit.MICROSECONDS);
+        clock.scheduleAtFixedRate(
+                () -> {
+                    Tries.Wish wish = wishes.get();
+                    clients.execute(() -> ask(wish));
+                },
+                0,
+                TimeUnit.SECONDS.toMicros(1) / perSecond,
+                TimeUnit.MICROSECONDS);
     }
 
     private void ask(Tries.Wish wish) {
@@ -54,8 +60,18 @@
     private Tries.Wish talk() {
         String parts = "a0:" + SHARED_TOKENS + ",b" + random.nextInt(SUBJECTS) + ":" + SUBJECT_TOKENS + ","
                 + Long.toHexString(random.nextLong()) + ":" + OWN_TOKENS;
-        return new Tries.Wish("POST", DemoConfiguration.TALK + "go", true, true, "X-Credential", key(),
-                "X-Model", DemoConfiguration.MODEL, "X-Prefix-Hash", parts, "X-Token-Usage",
+        return new Tries.Wish(
+                "POST",
+                DemoConfiguration.TALK + "go",
+                true,
+                true,
+                "X-Credential",
+                key(),
+                "X-Model",
+                DemoConfiguration.MODEL,
+                "X-Prefix-Hash",
+                parts,
+                "X-Token-Usage",
                 SHARED_TOKENS + SUBJECT_TOKENS + OWN_TOKENS + "," + OUT_TOKENS);
     }
 
--- a/emulator/src/main/java/burlarch/emulator/demo/Tries.java
+++ b/emulator/src/main/java/burlarch/emulator/demo/Tries.java
@@ -24,11 +24,16 @@
      * @param repeatable whether it may run more than once
      * @param headers names and values in turn
      */
-    record Wish(String method, String path, boolean repeatable, boolean stream, String... headers) {
-    }
+    record Wish(String method, String path, boolean repeatable, boolean stream, String... headers) {}
 
     /** How a try ended. */
-    private enum End { SERVED, SERVED_LATE, NOT_RUN, UNKNOWN, REFUSED }
+    private enum End {
+        SERVED,
+        SERVED_LATE,
+        NOT_RUN,
+        UNKNOWN,
+        REFUSED
+    }
 
     Tries(HttpClient http, RouterList routers, Ledger ledger) {
         this.http = http;
@@ -60,19 +65,23 @@
 
     private End once(Wish wish, long began, long leftMillis) throws InterruptedException {
         String id = Long.toHexString(ThreadLocalRandom.current().nextLong());
-        HttpRequest.Builder builder = HttpRequest.newBuilder(
-                URI.create("http://" + routers.any() + wish.path())).timeout(Duration.ofMillis(leftMillis))
-                .header("Host", DemoConfiguration.HOST).header("X-Request-Id", id)
-                .header("X-Request-Deadline", Long.toString(leftMillis)).headers(wish.headers())
-                .method(wish.method(), wish.method().equals("GET") ? HttpRequest.BodyPublishers.noBody()
-                        : HttpRequest.BodyPublishers.ofString("{}"));
+        HttpRequest.Builder builder = HttpRequest.newBuilder(URI.create("http://" + routers.any() + wish.path()))
+                .timeout(Duration.ofMillis(leftMillis))
+                .header("Host", DemoConfiguration.HOST)
+                .header("X-Request-Id", id)
+                .header("X-Request-Deadline", Long.toString(leftMillis))
+                .headers(wish.headers())
+                .method(
+                        wish.method(),
+                        wish.method().equals("GET")
+                                ? HttpRequest.BodyPublishers.noBody()
+                                : HttpRequest.BodyPublishers.ofString("{}"));
         if (!wish.repeatable()) {
             ledger.atMostOnce(id);
         }
         StreamCheck check = new StreamCheck();
         try {
-            HttpResponse<Void> answer = http.send(builder.build(),
-                    HttpResponse.BodyHandlers.fromLineSubscriber(check));
+            HttpResponse<Void> answer = http.send(builder.build(), HttpResponse.BodyHandlers.fromLineSubscriber(check));
             return meaning(wish, id, answer, check, began);
         } catch (ConnectException notSent) {
             return End.NOT_RUN;
@@ -90,8 +99,10 @@
         if (status / 100 == 4) {
             return End.REFUSED;
         }
-        boolean signed = answer.headers().firstValue("X-Response-Signature")
-                .filter(signature -> signature.endsWith("." + id)).isPresent();
+        boolean signed = answer.headers()
+                .firstValue("X-Response-Signature")
+                .filter(signature -> signature.endsWith("." + id))
+                .isPresent();
         if (status != 200 || !signed || wish.stream() && !check.complete()) {
             return End.UNKNOWN;
         }
--- a/emulator/src/main/java/burlarch/emulator/demo/Verdict.java
+++ b/emulator/src/main/java/burlarch/emulator/demo/Verdict.java
@@ -12,13 +12,15 @@
 
     private final List<Row> rows = new ArrayList<>();
 
-    private record Row(String name, String figure, String bar, boolean good) {
-    }
+    private record Row(String name, String figure, String bar, boolean good) {}
 
     /** Adds requests: all of them, those served, those served late, and those that failed. */
     Verdict requests(int asked, int served, int late, int failed) {
         rows.add(new Row("asked", Integer.toString(asked), "over 0", asked > 0));
-        rows.add(new Row("served", Integer.toString(served), percent(LEAST_SERVED) + " of asked",
+        rows.add(new Row(
+                "served",
+                Integer.toString(served),
+                percent(LEAST_SERVED) + " of asked",
                 served >= asked * LEAST_SERVED));
         rows.add(new Row("late", Integer.toString(late), "", true));
         rows.add(new Row("failed", Integer.toString(failed), "", true));
@@ -37,8 +39,8 @@
 
     /** Adds versions, by who has them, that have to be the newest. */
     Verdict versions(String name, Map<String, Long> found, long newest) {
-        found.forEach((holder, version) -> rows.add(new Row(name + " on " + holder,
-                Long.toString(version), Long.toString(newest), version == newest)));
+        found.forEach((holder, version) -> rows.add(
+                new Row(name + " on " + holder, Long.toString(version), Long.toString(newest), version == newest)));
         return this;
     }
 
@@ -56,8 +58,13 @@
     String table() {
         StringBuilder text = new StringBuilder();
         for (Row row : rows) {
-            text.append(String.format(Locale.ROOT, "  %-4s %-44s %8s   %s%n", row.good() ? "ok" : "BAD",
-                    row.name(), row.figure(), row.bar()));
+            text.append(String.format(
+                    Locale.ROOT,
+                    "  %-4s %-44s %8s   %s%n",
+                    row.good() ? "ok" : "BAD",
+                    row.name(),
+                    row.figure(),
+                    row.bar()));
         }
         return text.append(passes() ? "verdict: good" : "verdict: BAD").toString();
     }
--- a/emulator/src/main/java/burlarch/emulator/model/BatchModel.java
+++ b/emulator/src/main/java/burlarch/emulator/model/BatchModel.java
@@ -30,12 +30,10 @@
     }
 
     /** A token that a step gave out. */
-    public record Token(Job job, int number, boolean last) {
-    }
+    public record Token(Job job, int number, boolean last) {}
 
     /** What a step takes and, once it is over, gives. */
-    public record Step(long durationNanos, List<Token> tokens) {
-    }
+    public record Step(long durationNanos, List<Token> tokens) {}
 
     /** An idle engine. */
     public BatchModel(EngineParameters parameters, KvMemory memory) {
@@ -59,7 +57,7 @@
     /** Drops a job wherever it stands. */
     public void cancel(String id) {
         waiting.removeIf(entry -> entry.job.id().equals(id));
-        for (Iterator<Entry> all = running.iterator(); all.hasNext();) {
+        for (Iterator<Entry> all = running.iterator(); all.hasNext(); ) {
             Entry entry = all.next();
             if (entry.job.id().equals(id)) {
                 memory.release(entry.reserved);
@@ -93,8 +91,11 @@
                 giveToken(entry, tokens);
             }
         }
-        return new Step(parameters.stepNanos() + running.size() * parameters.stepPerRequestNanos()
-                + read * parameters.promptTokenNanos(), tokens);
+        return new Step(
+                parameters.stepNanos()
+                        + running.size() * parameters.stepPerRequestNanos()
+                        + read * parameters.promptTokenNanos(),
+                tokens);
     }
 
     private void enter() {
@@ -170,6 +171,7 @@
         private final long order;
         /** Tokens of the prompt that it found kept by none, and has in memory of its own. */
         private int own;
+
         private int unread;
         private int produced;
         private int reserved;
--- a/emulator/src/main/java/burlarch/emulator/model/EngineParameters.java
+++ b/emulator/src/main/java/burlarch/emulator/model/EngineParameters.java
@@ -13,8 +13,16 @@
  * @param blocks of memory
  * @param loadNanos for which an order to load weights takes the engine up
  */
-public record EngineParameters(int slots, int queue, long stepNanos, long stepPerRequestNanos,
-        long promptTokenNanos, int chunkTokens, int blockTokens, int blocks, long loadNanos) {
+public record EngineParameters(
+        int slots,
+        int queue,
+        long stepNanos,
+        long stepPerRequestNanos,
+        long promptTokenNanos,
+        int chunkTokens,
+        int blockTokens,
+        int blocks,
+        long loadNanos) {
 
     /** A small engine: a token each 10 ms or so, 20 tokens of a prompt read in a millisecond. */
     public static EngineParameters small() {
--- a/emulator/src/main/java/burlarch/emulator/model/Job.java
+++ b/emulator/src/main/java/burlarch/emulator/model/Job.java
@@ -13,8 +13,8 @@
  * @param lastToken number of the last one
  * @param priority 0 first
  */
-public record Job(String id, String model, String salt, List<PromptPart> parts, int firstToken,
-        int lastToken, int priority) {
+public record Job(
+        String id, String model, String salt, List<PromptPart> parts, int firstToken, int lastToken, int priority) {
 
     /** Tokens of the whole prompt. */
     public int promptTokens() {
--- a/emulator/src/main/java/burlarch/emulator/model/KvEventLog.java
+++ b/emulator/src/main/java/burlarch/emulator/model/KvEventLog.java
@@ -16,8 +16,7 @@
     private long lastNumber;
 
     /** A part came or went; {@code tokens} are those kept now. */
-    public record Event(long number, boolean added, String salt, String part, int tokens, String model) {
-    }
+    public record Event(long number, boolean added, String salt, String part, int tokens, String model) {}
 
     /**
      * What a reader gets.
@@ -25,8 +24,7 @@
      * @param next the {@code since} of its next call
      * @param lost whether events before these are missing
      */
-    public record Page(long epoch, long next, boolean lost, List<Event> events) {
-    }
+    public record Page(long epoch, long next, boolean lost, List<Event> events) {}
 
     /**
      * An empty log.
--- a/emulator/src/main/java/burlarch/emulator/model/PromptPart.java
+++ b/emulator/src/main/java/burlarch/emulator/model/PromptPart.java
@@ -24,7 +24,8 @@
                 if (colon <= 0) {
                     throw new IllegalArgumentException("no part of a prompt: " + item);
                 }
-                parts.add(new PromptPart(item.substring(0, colon).trim(),
+                parts.add(new PromptPart(
+                        item.substring(0, colon).trim(),
                         Integer.parseInt(item.substring(colon + 1).trim())));
             }
         }
--- a/emulator/src/main/java/burlarch/emulator/server/Answers.java
+++ b/emulator/src/main/java/burlarch/emulator/server/Answers.java
@@ -7,8 +7,7 @@
 
 /** Writes whole answers. */
 final class Answers {
-    private Answers() {
-    }
+    private Answers() {}
 
     static void json(HttpExchange exchange, int status, String body) throws IOException {
         exchange.getResponseHeaders().set("Content-Type", "application/json");
--- a/emulator/src/main/java/burlarch/emulator/server/ControlCalls.java
+++ b/emulator/src/main/java/burlarch/emulator/server/ControlCalls.java
@@ -50,8 +50,7 @@
         Answer last = new Answer(0, "no answer");
         while (true) {
             last = once(method, path, body, ifMatch);
-            boolean clear = last.ok()
-                    || last.status() / 100 == 4 && last.status() != 408 && last.status() != 429;
+            boolean clear = last.ok() || last.status() / 100 == 4 && last.status() != 408 && last.status() != 429;
             if (clear || System.nanoTime() - end > 0) {
                 return last;
             }
@@ -60,12 +59,12 @@
         }
     }
 
-    private Answer once(String method, String path, String body, String ifMatch)
-            throws InterruptedException {
-        HttpRequest.Builder request = HttpRequest.newBuilder(
-                URI.create("http://" + controllers.get(next) + path)).timeout(PATIENCE)
-                .method(method, body == null ? HttpRequest.BodyPublishers.noBody()
-                        : HttpRequest.BodyPublishers.ofString(body));
+    private Answer once(String method, String path, String body, String ifMatch) throws InterruptedException {
+        HttpRequest.Builder request = HttpRequest.newBuilder(URI.create("http://" + controllers.get(next) + path))
+                .timeout(PATIENCE)
+                .method(
+                        method,
+                        body == null ? HttpRequest.BodyPublishers.noBody() : HttpRequest.BodyPublishers.ofString(body));
         if (body != null) {
             request.header("Content-Type", "application/json");
         }
--- a/emulator/src/main/java/burlarch/emulator/server/EngineServer.java
+++ b/emulator/src/main/java/burlarch/emulator/server/EngineServer.java
@@ -22,6 +22,7 @@
 public final class EngineServer extends StandIn {
     /** Events of a memory that are held for readers. */
     static final int EVENTS = 4_096;
+
     private static final ObjectMapper MAPPER = new ObjectMapper();
 
     private final EngineParameters parameters;
@@ -37,8 +38,15 @@
      * @param epoch of its memory, another one for each start
      * @param http for parts that it takes from others
      */
-    public EngineServer(InstanceInfo info, RunBook book, EngineParameters parameters,
-            Map<String, Long> versions, int maxInFlight, long epoch, HttpClient http) throws IOException {
+    public EngineServer(
+            InstanceInfo info,
+            RunBook book,
+            EngineParameters parameters,
+            Map<String, Long> versions,
+            int maxInFlight,
+            long epoch,
+            HttpClient http)
+            throws IOException {
         super(info, book);
         this.parameters = parameters;
         this.http = http;
@@ -65,8 +73,7 @@
     }
 
     @Override
-    boolean serveOwn(HttpExchange exchange, String path, byte[] body)
-            throws IOException, InterruptedException {
+    boolean serveOwn(HttpExchange exchange, String path, byte[] body) throws IOException, InterruptedException {
         if (path.equals("/burlarch/report") || path.equals("/burlarch/order")) {
             String target = exchange.getRequestHeaders().getFirst("X-Target-Instance");
             if (target != null && !target.equals(info().id())) {
@@ -92,11 +99,17 @@
         ArrayNode models = json.putArray("models");
         synchronized (memory) {
             worker.finishOrder();
-            orders.versions().forEach((name, version) -> models.addObject().put("name", name)
-                    .put("config_version", version).putArray("adapters"));
-            json.put("busy", orders.busy()).put("sequence", orders.sequence()).put("queued", model.queued())
-                    .put("running", model.running()).put("kv_used", memory.usedTokens())
-                    .put("kv_total", memory.totalTokens()).put("handles", 0);
+            orders.versions().forEach((name, version) -> models.addObject()
+                    .put("name", name)
+                    .put("config_version", version)
+                    .putArray("adapters"));
+            json.put("busy", orders.busy())
+                    .put("sequence", orders.sequence())
+                    .put("queued", model.queued())
+                    .put("running", model.running())
+                    .put("kv_used", memory.usedTokens())
+                    .put("kv_total", memory.totalTokens())
+                    .put("handles", 0);
         }
         return json.toString();
     }
@@ -110,10 +123,16 @@
         }
         synchronized (memory) {
             worker.finishOrder();
-            return orders.take(new WeightsOrders.Order(json.path("op").asText(), json.path("model").asText(),
-                    json.path("config_version").asLong(), json.path("mode").asText(),
-                    json.path("holder").asText(), json.path("fence_token").asLong(),
-                    json.path("if_revision").asLong(-1)), System.nanoTime());
+            return orders.take(
+                    new WeightsOrders.Order(
+                            json.path("op").asText(),
+                            json.path("model").asText(),
+                            json.path("config_version").asLong(),
+                            json.path("mode").asText(),
+                            json.path("holder").asText(),
+                            json.path("fence_token").asLong(),
+                            json.path("if_revision").asLong(-1)),
+                    System.nanoTime());
         }
     }
 
@@ -151,17 +170,20 @@
         }
         int out = Integer.parseInt(usage.substring(usage.indexOf(',') + 1).trim());
         String salt = headers.getFirst("Cache-Salt");
-        return new Job(headers.getFirst("X-Request-Id"), headers.getFirst("X-Model"),
-                salt == null ? "" : salt, PromptPart.parse(headers.getFirst("X-Prefix-Hash")),
-                (int) KvCalls.number(headers.getFirst("Last-Event-Id"), 0) + 1, Math.max(1, out),
+        return new Job(
+                headers.getFirst("X-Request-Id"),
+                headers.getFirst("X-Model"),
+                salt == null ? "" : salt,
+                PromptPart.parse(headers.getFirst("X-Prefix-Hash")),
+                (int) KvCalls.number(headers.getFirst("Last-Event-Id"), 0) + 1,
+                Math.max(1, out),
                 (int) KvCalls.number(headers.getFirst("Priority"), 5));
     }
 
     private void takeOver(Headers headers, Job job) {
         String source = headers.getFirst("Kv-Fetch");
         if (source != null) {
-            List<PromptPart> found =
-                    KvCalls.fetch(http, source, job.salt(), headers.getFirst("X-Prefix-Hash"));
+            List<PromptPart> found = KvCalls.fetch(http, source, job.salt(), headers.getFirst("X-Prefix-Hash"));
             synchronized (memory) {
                 memory.keep(job.salt(), found, job.model());
                 kvCalls.changed();
@@ -181,7 +203,8 @@
         }
         head.set("Versions", Long.toString(versions().getOrDefault(job.model(), 0L)));
         exchange.sendResponseHeaders(200, 0);
-        EventWriter events = new EventWriter(exchange.getResponseBody(), versions().get(job.model()));
+        EventWriter events =
+                new EventWriter(exchange.getResponseBody(), versions().get(job.model()));
         while (!token.last()) {
             events.write(token, versions().get(job.model()));
             token = stream.next();
--- a/emulator/src/main/java/burlarch/emulator/server/EngineWorker.java
+++ b/emulator/src/main/java/burlarch/emulator/server/EngineWorker.java
@@ -47,7 +47,8 @@
     Stream offer(Job job) {
         synchronized (memory) {
             finishOrder();
-            if (orders.concerns(job.model()) || streams.containsKey(job.id())
+            if (orders.concerns(job.model())
+                    || streams.containsKey(job.id())
                     || model.offer(job) != BatchModel.Offer.TAKEN) {
                 return null;
             }
--- a/emulator/src/main/java/burlarch/emulator/server/EventWriter.java
+++ b/emulator/src/main/java/burlarch/emulator/server/EventWriter.java
@@ -21,8 +21,12 @@
             version = versionNow;
             event.append("versions: ").append(version).append('\n');
         }
-        event.append("id: ").append(token.number()).append("\ndata: word-").append(token.number())
-                .append(token.last() ? " end" : "").append("\n\n");
+        event.append("id: ")
+                .append(token.number())
+                .append("\ndata: word-")
+                .append(token.number())
+                .append(token.last() ? " end" : "")
+                .append("\n\n");
         out.write(event.toString().getBytes(StandardCharsets.UTF_8));
         out.flush();
     }
--- a/emulator/src/main/java/burlarch/emulator/server/KvCalls.java
+++ b/emulator/src/main/java/burlarch/emulator/server/KvCalls.java
@@ -61,17 +61,25 @@
         }
         KvEventLog.Page page;
         try {
-            page = await(number(query(exchange, "since"), 0),
+            page = await(
+                    number(query(exchange, "since"), 0),
                     number(exchange.getRequestHeaders().getFirst("Wait-Ms"), 0));
         } finally {
             held.release();
         }
-        ObjectNode json = MAPPER.createObjectNode().put("epoch", page.epoch())
-                .put("next_page_token", page.next()).put("lost", page.lost());
+        ObjectNode json = MAPPER.createObjectNode()
+                .put("epoch", page.epoch())
+                .put("next_page_token", page.next())
+                .put("lost", page.lost());
         ArrayNode events = json.putArray("events");
         for (KvEventLog.Event event : page.events()) {
-            events.addArray().add(event.number()).add(event.added() ? "+" : "-").add(event.salt())
-                    .add(event.part()).add(event.tokens()).add(event.model());
+            events.addArray()
+                    .add(event.number())
+                    .add(event.added() ? "+" : "-")
+                    .add(event.salt())
+                    .add(event.part())
+                    .add(event.tokens())
+                    .add(event.model());
         }
         Answers.json(exchange, 200, json.toString());
     }
@@ -91,10 +99,15 @@
     private void list(HttpExchange exchange) throws IOException {
         ObjectNode json = MAPPER.createObjectNode();
         synchronized (memory) {
-            json.put("epoch", memory.log().epoch()).put("next_page_token", memory.log().lastNumber());
+            json.put("epoch", memory.log().epoch())
+                    .put("next_page_token", memory.log().lastNumber());
             ArrayNode list = json.putArray("held");
             for (KvMemory.Held part : memory.held()) {
-                list.addArray().add(part.salt()).add(part.part()).add(part.tokens()).add(part.model());
+                list.addArray()
+                        .add(part.salt())
+                        .add(part.part())
+                        .add(part.tokens())
+                        .add(part.model());
             }
         }
         Answers.json(exchange, 200, json.toString());
@@ -103,8 +116,7 @@
     /** GET tells how many tokens of a prompt are kept, PUT hands parts over. */
     private void parts(HttpExchange exchange) throws IOException {
         String salt = exchange.getRequestHeaders().getFirst("Cache-Salt");
-        List<PromptPart> parts =
-                PromptPart.parse(exchange.getRequestHeaders().getFirst("X-Prefix-Hash"));
+        List<PromptPart> parts = PromptPart.parse(exchange.getRequestHeaders().getFirst("X-Prefix-Hash"));
         int tokens;
         synchronized (memory) {
             if (exchange.getRequestMethod().equals("PUT")) {
@@ -113,7 +125,8 @@
             }
             tokens = memory.keptTokens(salt, parts);
         }
-        Answers.json(exchange, 200, MAPPER.createObjectNode().put("tokens", tokens).toString());
+        Answers.json(
+                exchange, 200, MAPPER.createObjectNode().put("tokens", tokens).toString());
     }
 
     /** The parts of a prompt that another memory keeps from the first on; none where it does not answer. */
@@ -143,8 +156,11 @@
     /** Hands the parts of a prompt to a store, without waiting for its answer. */
     static void save(HttpClient http, String store, String salt, String prefix, String model) {
         try {
-            http.sendAsync(call(store, salt, prefix).header("X-Model", model)
-                    .PUT(HttpRequest.BodyPublishers.noBody()).build(),
+            http.sendAsync(
+                    call(store, salt, prefix)
+                            .header("X-Model", model)
+                            .PUT(HttpRequest.BodyPublishers.noBody())
+                            .build(),
                     HttpResponse.BodyHandlers.discarding());
         } catch (IllegalArgumentException noAddress) {
             // A save is a favour: the request goes on without.
@@ -152,8 +168,10 @@
     }
 
     private static HttpRequest.Builder call(String address, String salt, String prefix) {
-        return HttpRequest.newBuilder(URI.create("http://" + address + PARTS)).timeout(MOVE_LIMIT)
-                .header("Cache-Salt", salt).header("X-Prefix-Hash", prefix);
+        return HttpRequest.newBuilder(URI.create("http://" + address + PARTS))
+                .timeout(MOVE_LIMIT)
+                .header("Cache-Salt", salt)
+                .header("X-Prefix-Hash", prefix);
     }
 
     private static String query(HttpExchange exchange, String name) {
--- a/emulator/src/main/java/burlarch/emulator/server/Registration.java
+++ b/emulator/src/main/java/burlarch/emulator/server/Registration.java
@@ -23,8 +23,7 @@
     private long sequence;
 
     /** @param versions of weights by model, empty for a plain service */
-    Registration(InstanceInfo info, Supplier<Map<String, Long>> versions, ControlCalls calls,
-            long heartbeatMillis) {
+    Registration(InstanceInfo info, Supplier<Map<String, Long>> versions, ControlCalls calls, long heartbeatMillis) {
         this.info = info;
         this.versions = versions;
         this.calls = calls;
@@ -49,7 +48,8 @@
     }
 
     private synchronized boolean announce(Duration limit) throws InterruptedException {
-        return !ended && calls.call("PUT", path(), body(++sequence), null, limit).ok();
+        return !ended
+                && calls.call("PUT", path(), body(++sequence), null, limit).ok();
     }
 
     /** Says that it drains; returns whether that was acknowledged. */
@@ -69,13 +69,21 @@
     }
 
     private String body(long number) {
-        ObjectNode json = MAPPER.createObjectNode().put("service", info.service())
-                .put("address", info.address()).put("zone", info.zone()).put("config_version", "v1")
-                .put("capacity", info.capacity()).put("state", draining ? "draining" : "ready")
-                .put("warmup_left_ms", 0).put("stage", "hybrid").put("sequence", number);
+        ObjectNode json = MAPPER.createObjectNode()
+                .put("service", info.service())
+                .put("address", info.address())
+                .put("zone", info.zone())
+                .put("config_version", "v1")
+                .put("capacity", info.capacity())
+                .put("state", draining ? "draining" : "ready")
+                .put("warmup_left_ms", 0)
+                .put("stage", "hybrid")
+                .put("sequence", number);
         ArrayNode models = json.putArray("models");
-        versions.get().forEach((model, version) -> models.addObject().put("name", model)
-                .put("config_version", version).putArray("adapters"));
+        versions.get().forEach((model, version) -> models.addObject()
+                .put("name", model)
+                .put("config_version", version)
+                .putArray("adapters"));
         return json.toString();
     }
 
--- a/emulator/src/main/java/burlarch/emulator/server/StampingEngine.java
+++ b/emulator/src/main/java/burlarch/emulator/server/StampingEngine.java
@@ -32,8 +32,8 @@
         this.model = model;
         this.slots = info.capacity();
         this.gapNanos = gapNanos;
-        this.kvCalls = new KvCalls(
-                new KvMemory(BLOCK_TOKENS, BLOCKS, new KvEventLog(1, EngineServer.EVENTS)), MAX_IN_FLIGHT);
+        this.kvCalls =
+                new KvCalls(new KvMemory(BLOCK_TOKENS, BLOCKS, new KvEventLog(1, EngineServer.EVENTS)), MAX_IN_FLIGHT);
     }
 
     /** Sets the time between two events of a stream, also of those under way. */
@@ -47,13 +47,15 @@
     }
 
     @Override
-    boolean serveOwn(HttpExchange exchange, String path, byte[] body)
-            throws IOException, InterruptedException {
+    boolean serveOwn(HttpExchange exchange, String path, byte[] body) throws IOException, InterruptedException {
         if (path.equals("/burlarch/report")) {
-            Answers.json(exchange, 200, "{\"stage\":\"hybrid\",\"models\":[{\"name\":\"" + model
-                    + "\",\"config_version\":1,\"adapters\":[]}],\"busy\":false,\"sequence\":0,\"queued\":0,"
-                    + "\"running\":" + running.get() + ",\"kv_used\":0,\"kv_total\":" + BLOCK_TOKENS * BLOCKS
-                    + ",\"handles\":0}");
+            Answers.json(
+                    exchange,
+                    200,
+                    "{\"stage\":\"hybrid\",\"models\":[{\"name\":\"" + model
+                            + "\",\"config_version\":1,\"adapters\":[]}],\"busy\":false,\"sequence\":0,\"queued\":0,"
+                            + "\"running\":" + running.get() + ",\"kv_used\":0,\"kv_total\":" + BLOCK_TOKENS * BLOCKS
+                            + ",\"handles\":0}");
             return true;
         }
         return kvCalls.serve(exchange, path);
@@ -80,8 +82,7 @@
     private void stream(OutputStream out, int events) throws IOException, InterruptedException {
         long due = System.nanoTime();
         for (int number = 1; number <= events; number++) {
-            String event = "id: " + number + "\ndata: " + System.nanoTime()
-                    + (number == events ? " end" : "") + "\n\n";
+            String event = "id: " + number + "\ndata: " + System.nanoTime() + (number == events ? " end" : "") + "\n\n";
             out.write(event.getBytes(StandardCharsets.UTF_8));
             out.flush();
             due += gapNanos;
--- a/emulator/src/main/java/burlarch/emulator/server/StandIn.java
+++ b/emulator/src/main/java/burlarch/emulator/server/StandIn.java
@@ -69,8 +69,7 @@
     abstract void serve(HttpExchange exchange) throws IOException, InterruptedException;
 
     /** Answers a call of the system's own; returns false where there is no such call. */
-    boolean serveOwn(HttpExchange exchange, String path, byte[] body)
-            throws IOException, InterruptedException {
+    boolean serveOwn(HttpExchange exchange, String path, byte[] body) throws IOException, InterruptedException {
         return false;
     }
 
@@ -109,8 +108,7 @@
     void sign(HttpExchange exchange) {
         String id = exchange.getRequestHeaders().getFirst("X-Request-Id");
         exchange.getResponseHeaders().set("X-Request-Id", id);
-        exchange.getResponseHeaders().set("X-Response-Signature",
-                info.service() + "." + info.id() + "." + id);
+        exchange.getResponseHeaders().set("X-Response-Signature", info.service() + "." + info.id() + "." + id);
     }
 
     /**
--- a/emulator/src/main/java/burlarch/emulator/server/StoreServer.java
+++ b/emulator/src/main/java/burlarch/emulator/server/StoreServer.java
@@ -11,11 +11,9 @@
     private final KvCalls calls;
 
     /** @param tokens that it has room for */
-    public StoreServer(InstanceInfo info, RunBook book, int tokens, int maxInFlight, long epoch)
-            throws IOException {
+    public StoreServer(InstanceInfo info, RunBook book, int tokens, int maxInFlight, long epoch) throws IOException {
         super(info, book);
-        this.calls = new KvCalls(new KvMemory(1, tokens, new KvEventLog(epoch, EngineServer.EVENTS)),
-                maxInFlight);
+        this.calls = new KvCalls(new KvMemory(1, tokens, new KvEventLog(epoch, EngineServer.EVENTS)), maxInFlight);
     }
 
     @Override
@@ -24,8 +22,7 @@
     }
 
     @Override
-    boolean serveOwn(HttpExchange exchange, String path, byte[] body)
-            throws IOException, InterruptedException {
+    boolean serveOwn(HttpExchange exchange, String path, byte[] body) throws IOException, InterruptedException {
         return calls.serve(exchange, path);
     }
 
--- a/fleet/src/main/java/burlarch/fleet/Commands.java
+++ b/fleet/src/main/java/burlarch/fleet/Commands.java
@@ -14,8 +14,7 @@
 
 /** What the command line can be asked for. Public, as args4j makes them. */
 public final class Commands {
-    private Commands() {
-    }
+    private Commands() {}
 
     /** One command with its arguments. */
     public interface Command {
@@ -66,10 +65,12 @@
     /** {@code config get|put|patch|validate} */
     public static final class Config implements Command {
         @Argument(metaVar = "get|put|patch|validate", required = true, handler = SubCommandHandler.class)
-        @SubCommands({@SubCommand(name = "get", impl = ConfigCommand.Get.class),
+        @SubCommands({
+            @SubCommand(name = "get", impl = ConfigCommand.Get.class),
             @SubCommand(name = "put", impl = ConfigCommand.Put.class),
             @SubCommand(name = "patch", impl = ConfigCommand.Patch.class),
-            @SubCommand(name = "validate", impl = ConfigCommand.Validate.class)})
+            @SubCommand(name = "validate", impl = ConfigCommand.Validate.class)
+        })
         private ConfigCommand.Action action;
 
         @Override
--- a/fleet/src/main/java/burlarch/fleet/Main.java
+++ b/fleet/src/main/java/burlarch/fleet/Main.java
@@ -29,7 +29,8 @@
 
     private static final int USAGE_WIDTH = 100;
     private static final String HELP = "--help";
-    private static final String USAGE = """
+    private static final String USAGE =
+            """
             burlarch [--help] [--version] COMMAND
               router               runs a router, set up by the file that BURLARCH_NODE_FILE names
               controller           runs a controller, set up by the same
@@ -53,15 +54,16 @@
     private boolean version;
 
     @Argument(metaVar = "COMMAND", required = true, handler = SubCommandHandler.class)
-    @SubCommands({@SubCommand(name = "router", impl = Commands.Router.class),
+    @SubCommands({
+        @SubCommand(name = "router", impl = Commands.Router.class),
         @SubCommand(name = "controller", impl = Commands.Controller.class),
         @SubCommand(name = "rehearse", impl = Commands.Rehearse.class),
         @SubCommand(name = "config", impl = Commands.Config.class),
-        @SubCommand(name = "check-settings", impl = Commands.CheckSettings.class)})
+        @SubCommand(name = "check-settings", impl = Commands.CheckSettings.class)
+    })
     private Commands.Command command;
 
-    private Main() {
-    }
+    private Main() {}
 
     public static void main(String[] arguments) {
         HangUp.take();
@@ -81,8 +83,7 @@
         }
         Main main = new Main();
         try {
-            new CmdLineParser(main, ParserProperties.defaults().withUsageWidth(USAGE_WIDTH))
-                    .parseArgument(arguments);
+            new CmdLineParser(main, ParserProperties.defaults().withUsageWidth(USAGE_WIDTH)).parseArgument(arguments);
             main.run(output);
             return DONE;
         } catch (CmdLineException e) {
--- a/fleet/src/main/java/burlarch/fleet/command/ConfigCommand.java
+++ b/fleet/src/main/java/burlarch/fleet/command/ConfigCommand.java
@@ -16,8 +16,7 @@
     private static final String PATH = "/burlarch/config";
     private static final int NONE_YET = 404;
 
-    private ConfigCommand() {
-    }
+    private ConfigCommand() {}
 
     /** One of the four. */
     public interface Action {
@@ -90,7 +89,8 @@
 
         @Override
         public void run(PrintStream output) throws Exception {
-            output.println(file + ": valid configuration " + valid(Files.readAllBytes(file)).version());
+            output.println(file + ": valid configuration "
+                    + valid(Files.readAllBytes(file)).version());
         }
     }
 
@@ -112,8 +112,7 @@
         return new ControlClient(addresses);
     }
 
-    private static ControlClient.Answer read(ControlClient client)
-            throws CommandFailure, InterruptedException {
+    private static ControlClient.Answer read(ControlClient client) throws CommandFailure, InterruptedException {
         ControlClient.Answer answer = client.call("GET", PATH, null, null);
         if (answer.status() == NONE_YET) {
             throw new CommandFailure(CommandFailure.UNCLEAR, "there is no configuration yet");
@@ -134,8 +133,7 @@
         }
     }
 
-    private static long current(ControlClient client)
-            throws CommandFailure, InterruptedException, IOException {
+    private static long current(ControlClient client) throws CommandFailure, InterruptedException, IOException {
         ControlClient.Answer answer = client.call("GET", PATH, null, null);
         if (answer.status() == NONE_YET) {
             return 0;
--- a/fleet/src/main/java/burlarch/fleet/command/ControlClient.java
+++ b/fleet/src/main/java/burlarch/fleet/command/ControlClient.java
@@ -18,8 +18,11 @@
     private static final Duration PATIENCE = Duration.ofSeconds(2);
     private static final long PAUSE_MILLIS = 200;
 
-    private final HttpClient http = HttpClient.newBuilder().version(HttpClient.Version.HTTP_1_1)
-            .connectTimeout(PATIENCE).followRedirects(HttpClient.Redirect.NORMAL).build();
+    private final HttpClient http = HttpClient.newBuilder()
+            .version(HttpClient.Version.HTTP_1_1)
+            .connectTimeout(PATIENCE)
+            .followRedirects(HttpClient.Redirect.NORMAL)
+            .build();
     private final List<String> controllers;
 
     /** An answer as it came. */
@@ -46,8 +49,7 @@
      * @param ifMatch null for none
      * @throws CommandFailure if no controller answered clearly
      */
-    Answer call(String method, String path, byte[] body, Long ifMatch)
-            throws CommandFailure, InterruptedException {
+    Answer call(String method, String path, byte[] body, Long ifMatch) throws CommandFailure, InterruptedException {
         String reason = "";
         for (int round = 0; round < ROUNDS; round++) {
             for (String controller : controllers) {
--- a/fleet/src/main/java/burlarch/fleet/command/Refusals.java
+++ b/fleet/src/main/java/burlarch/fleet/command/Refusals.java
@@ -11,8 +11,7 @@
 final class Refusals {
     private static final int OTHER_VERSION = 412;
 
-    private Refusals() {
-    }
+    private Refusals() {}
 
     /** The reasons that an answer's body tells, or else the given one. */
     static String reasons(byte[] body, String otherwise) {
@@ -23,7 +22,8 @@
                 lines.add(json.path("error").asText());
             }
             for (JsonNode problem : json.path("problems")) {
-                lines.add(line(problem.path("field").asText(), problem.path("reason").asText()));
+                lines.add(line(
+                        problem.path("field").asText(), problem.path("reason").asText()));
             }
         } catch (IOException notJson) {
             return otherwise;
--- a/fleet/src/main/java/burlarch/fleet/controller/AcceptorHost.java
+++ b/fleet/src/main/java/burlarch/fleet/controller/AcceptorHost.java
@@ -24,6 +24,7 @@
     private final Executor disk;
     /** What the disk holds; written by the disk's thread, read by any. */
     private volatile AcceptorState durable;
+
     private boolean failing;
 
     /**
--- a/fleet/src/main/java/burlarch/fleet/controller/AcceptorKeeper.java
+++ b/fleet/src/main/java/burlarch/fleet/controller/AcceptorKeeper.java
@@ -2,8 +2,8 @@
 
 import burlarch.coordination.register.AcceptorReach;
 import burlarch.coordination.register.AcceptorSetChange;
-import burlarch.coordination.register.AcceptorSetPlan.Candidate;
 import burlarch.coordination.register.AcceptorSetPlan;
+import burlarch.coordination.register.AcceptorSetPlan.Candidate;
 import burlarch.coordination.register.Ballot;
 import burlarch.coordination.register.Member;
 import burlarch.transport.Loop;
@@ -32,14 +32,20 @@
     private final MajorityWatch majority;
     /** The newest ballot known at the last check; {@link Ballot#ZERO} until one was known. */
     private Ballot knownBefore = Ballot.ZERO;
+
     private boolean mayBeUnfinished;
     private int controllersUp;
     private int turnsWaited;
     private boolean changing;
 
     /** @param lossesBorne how many acceptors may be lost at once */
-    AcceptorKeeper(Loop loop, DecidedState decided, StateRegister register, ControllerPeers peers,
-            Member own, int lossesBorne) {
+    AcceptorKeeper(
+            Loop loop,
+            DecidedState decided,
+            StateRegister register,
+            ControllerPeers peers,
+            Member own,
+            int lossesBorne) {
         this.loop = loop;
         this.decided = decided;
         this.register = register;
@@ -58,7 +64,8 @@
         majority.onLook(AcceptorReach.of(register.acceptors(), candidates, now), now);
         watchForUnfinished();
         Optional<List<Member>> next = changing || register.acceptors().isChanging()
-                ? Optional.empty() : plan.next(decided.members(), candidates, now);
+                ? Optional.empty()
+                : plan.next(decided.members(), candidates, now);
         boolean founded = decided.value() != null;
         if (founded && next.isEmpty() && !mayBeUnfinished) {
             turnsWaited = 0;
@@ -109,7 +116,9 @@
             if (failure != null) {
                 plan.onFailed(members, next, loop.nanoTime());
                 mayBeUnfinished = true;
-                Logger.warn("acceptors stay as they are ({}): {}", failure.getMessage(),
+                Logger.warn(
+                        "acceptors stay as they are ({}): {}",
+                        failure.getMessage(),
                         AcceptorSetChange.between(members, next));
             }
         });
--- a/fleet/src/main/java/burlarch/fleet/controller/ControllerCore.java
+++ b/fleet/src/main/java/burlarch/fleet/controller/ControllerCore.java
@@ -39,8 +39,7 @@
      *
      * @param disk runs what touches the disk, one task after the other; may reject a task
      */
-    public record World(Links links, Executor disk, EngineOrders engines, RandomGenerator random) {
-    }
+    public record World(Links links, Executor disk, EngineOrders engines, RandomGenerator random) {}
 
     public ControllerCore(Loop loop) {
         this.loop = loop;
@@ -58,11 +57,11 @@
         decided = new DecidedState(storage.belief());
         peers = new ControllerPeers(loop, world.links(), own.address());
         AcceptorHost acceptor = new AcceptorHost(storage.store(), world.disk());
-        RegisterDriver driver = new RegisterDriver(loop, peers, acceptor, own.address(),
-                settings.processName(), world.random(), decided::belief);
+        RegisterDriver driver = new RegisterDriver(
+                loop, peers, acceptor, own.address(), settings.processName(), world.random(), decided::belief);
         StateRegister register = new StateRegister(register(driver), decided, peers);
-        InstanceRegistry registry = new InstanceRegistry(
-                RegistrySettings.forHeartbeat(settings.heartbeatNanos()), loop.nanoTime());
+        InstanceRegistry registry =
+                new InstanceRegistry(RegistrySettings.forHeartbeat(settings.heartbeatNanos()), loop.nanoTime());
         RouterPublisher publisher = new RouterPublisher(loop, world.links().codec(), registry);
         QuorumWatch quorum = new QuorumWatch(loop, decided, own.storage());
         InstanceFeed instances = new InstanceFeed(loop, registry, peers, publisher, quorum);
@@ -72,7 +71,13 @@
         decided.addListener((state, ownProposal) -> acceptor.keepAcceptors(decided.belief()));
         new AcceptorKeeper(loop, decided, register, peers, own, settings.lossesBorne());
         startWeightsDuty(settings, register, quorum, registry, publisher, world.engines());
-        messages.start(new ControllerParts(peers, decided, driver, publisher, reads, instances,
+        messages.start(new ControllerParts(
+                peers,
+                decided,
+                driver,
+                publisher,
+                reads,
+                instances,
                 new KeptForwarder(loop, world.links().codec(), settings.ownAddress(), settings.zone()),
                 quorum));
         peers.keep(addresses(AcceptorSet.of(decided.members()).all()));
@@ -84,15 +89,27 @@
         return members.stream().map(Member::address).toList();
     }
 
-    private void startWeightsDuty(ControllerSettings settings, StateRegister register, QuorumWatch quorum,
-            InstanceRegistry registry, RouterPublisher publisher, EngineOrders engines) {
+    private void startWeightsDuty(
+            ControllerSettings settings,
+            StateRegister register,
+            QuorumWatch quorum,
+            InstanceRegistry registry,
+            RouterPublisher publisher,
+            EngineOrders engines) {
         WeightsRollout rollout = new WeightsRollout(RolloutSettings.of(settings.versionMillis()));
         WeightsDuty duty = new WeightsDuty(loop, registry, publisher, engines, rollout);
         OwnerWatch owners = new OwnerWatch(peers, controllers, settings.ownAddress());
-        OwnershipKeeper ownership = new OwnershipKeeper(loop, register, owners, quorum, WEIGHTS,
+        OwnershipKeeper ownership = new OwnershipKeeper(
+                loop,
+                register,
+                owners,
+                quorum,
+                WEIGHTS,
                 settings.ownAddress(),
                 OwnerWatch.holderName(settings.processName(), settings.ownAddress()),
-                settings.leaseNanos(), duty::hasWork, duty);
+                settings.leaseNanos(),
+                duty::hasWork,
+                duty);
         duty.start(ownership);
         decided.addListener((state, ownProposal) -> duty.onDecided(state));
     }
--- a/fleet/src/main/java/burlarch/fleet/controller/ControllerMessages.java
+++ b/fleet/src/main/java/burlarch/fleet/controller/ControllerMessages.java
@@ -71,8 +71,10 @@
             onDecided(connection, decided);
         } else if (message instanceof ControllerStatus status) {
             onStatus(connection, status);
-        } else if (message instanceof NodeMessage.FetchDecided && parts.decided().value() != null) {
-            connection.send(new Decided(parts.decided().ballot(), parts.decided().value()));
+        } else if (message instanceof NodeMessage.FetchDecided
+                && parts.decided().value() != null) {
+            connection.send(
+                    new Decided(parts.decided().ballot(), parts.decided().value()));
         } else if (message instanceof NodeMessage.Announced announced) {
             parts.instances().onPeerAnnounced(announced.instances());
         } else if (message instanceof NodeMessage.ConfigurationAck ack) {
--- a/fleet/src/main/java/burlarch/fleet/controller/ControllerParts.java
+++ b/fleet/src/main/java/burlarch/fleet/controller/ControllerParts.java
@@ -1,7 +1,12 @@
 package burlarch.fleet.controller;
 
 /** The parts of a controller that messages of other nodes reach. */
-record ControllerParts(ControllerPeers peers, DecidedState decided, RegisterDriver driver,
-        RouterPublisher publisher, ConfirmedReads reads, InstanceFeed instances, KeptForwarder kept,
-        QuorumWatch quorum) {
-}
+record ControllerParts(
+        ControllerPeers peers,
+        DecidedState decided,
+        RegisterDriver driver,
+        RouterPublisher publisher,
+        ConfirmedReads reads,
+        InstanceFeed instances,
+        KeptForwarder kept,
+        QuorumWatch quorum) {}
--- a/fleet/src/main/java/burlarch/fleet/controller/ControllerPeers.java
+++ b/fleet/src/main/java/burlarch/fleet/controller/ControllerPeers.java
@@ -72,8 +72,7 @@
         String longest = null;
         for (Map.Entry<String, Peer> entry : peers.entrySet()) {
             boolean away = entry.getValue().connection == null && !kept.contains(entry.getKey());
-            if (away && (longest == null
-                    || entry.getValue().sinceNanos - peers.get(longest).sinceNanos < 0)) {
+            if (away && (longest == null || entry.getValue().sinceNanos - peers.get(longest).sinceNanos < 0)) {
                 longest = entry.getKey();
             }
         }
@@ -182,8 +181,8 @@
         List<Candidate> candidates = new ArrayList<>();
         peers.forEach((address, peer) -> {
             if (!peer.storage.isEmpty() || peer.connection == null) {
-                candidates.add(new Candidate(new Member(peer.storage, address), peer.connection != null,
-                        peer.sinceNanos));
+                candidates.add(
+                        new Candidate(new Member(peer.storage, address), peer.connection != null, peer.sinceNanos));
             }
         });
         return candidates;
--- a/fleet/src/main/java/burlarch/fleet/controller/ControllerProgram.java
+++ b/fleet/src/main/java/burlarch/fleet/controller/ControllerProgram.java
@@ -41,30 +41,40 @@
     /** Messages that wait for the disk; further ones are dropped, as proposers send again. */
     private static final int MOST_WAITING = 64;
 
-    private ControllerProgram() {
-    }
+    private ControllerProgram() {}
 
     /** Starts the controller; it lives on by its own threads. */
     public static void run(NodeSettings settings) throws Exception {
         String address = NodeAddresses.own(settings);
         List<String> seeds = NodeAddresses.seeds(settings);
-        ControllerStorage storage = ControllerStorage.open(new FolderDisk(settings.dataDir()), address, seeds,
-                settings.bootstrap(), ControllerProgram::randomHex);
+        ControllerStorage storage = ControllerStorage.open(
+                new FolderDisk(settings.dataDir()), address, seeds, settings.bootstrap(), ControllerProgram::randomHex);
         long process = Incarnations.draw();
         String incarnation = Incarnations.text(process);
         NodeLoop loop = new NodeLoop("node");
         ControllerCore core = new ControllerCore(loop);
-        NodeMessage.Hello hello = new NodeMessage.Hello(settings.nodeName(), Roles.CONTROLLER, address,
-                settings.zone(), storage.store().identity(), incarnation);
-        NodeTransport transport = new NodeTransport(loop, hello, NodeAddresses.socket(address),
-                NodeTransport.Listener.of(core.listener()));
-        Membership membership = new Membership(loop,
+        NodeMessage.Hello hello = new NodeMessage.Hello(
+                settings.nodeName(),
+                Roles.CONTROLLER,
+                address,
+                settings.zone(),
+                storage.store().identity(),
+                incarnation);
+        NodeTransport transport = new NodeTransport(
+                loop, hello, NodeAddresses.socket(address), NodeTransport.Listener.of(core.listener()));
+        Membership membership = new Membership(
+                loop,
                 new Membership.Self(settings.nodeName(), Roles.CONTROLLER, settings.zone(), process),
-                NodeAddresses.socket(address), seeds, SwimSettings.defaults());
+                NodeAddresses.socket(address),
+                seeds,
+                SwimSettings.defaults());
         ControllerSettings decisions = decisions(settings, address, seeds, incarnation);
         loop.execute(() -> {
-            ControlService calls = core.start(decisions, storage, new ControllerCore.World(transport,
-                    diskThread(), new EngineClient(engineHttp()), new SplittableRandom()));
+            ControlService calls = core.start(
+                    decisions,
+                    storage,
+                    new ControllerCore.World(
+                            transport, diskThread(), new EngineClient(engineHttp()), new SplittableRandom()));
             membership.addListener(core::onMembers);
             SettingsWatch.start(newer -> loop.execute(() -> core.learn(NodeAddresses.seeds(newer))));
             membership.start();
@@ -73,18 +83,23 @@
         ConfigurationDocument.prepareChecks();
     }
 
-    private static ControllerSettings decisions(NodeSettings settings, String address, List<String> seeds,
-            String incarnation) {
-        return new ControllerSettings(address, settings.zone(), seeds,
-                Incarnations.processName(settings.nodeName(), incarnation), settings.heartbeatNanos(),
+    private static ControllerSettings decisions(
+            NodeSettings settings, String address, List<String> seeds, String incarnation) {
+        return new ControllerSettings(
+                address,
+                settings.zone(),
+                seeds,
+                Incarnations.processName(settings.nodeName(), incarnation),
+                settings.heartbeatNanos(),
                 TimeUnit.NANOSECONDS.toMillis(settings.bounds().versionNanos()),
-                settings.bounds().leaseNanos(), settings.faultTolerance().machines());
+                settings.bounds().leaseNanos(),
+                settings.faultTolerance().machines());
     }
 
     /** The one thread that touches the disk. */
     private static Executor diskThread() {
-        return new ThreadPoolExecutor(1, 1, 0, TimeUnit.SECONDS, new LinkedBlockingQueue<>(MOST_WAITING),
-                ControllerProgram::newDiskThread);
+        return new ThreadPoolExecutor(
+                1, 1, 0, TimeUnit.SECONDS, new LinkedBlockingQueue<>(MOST_WAITING), ControllerProgram::newDiskThread);
     }
 
     private static Thread newDiskThread(Runnable task) {
--- a/fleet/src/main/java/burlarch/fleet/controller/ControllerSettings.java
+++ b/fleet/src/main/java/burlarch/fleet/controller/ControllerSettings.java
@@ -14,6 +14,12 @@
  * @param leaseNanos how long a duty's owner may act after its last sign
  * @param lossesBorne how many acceptors may be lost at once
  */
-public record ControllerSettings(String ownAddress, String zone, List<String> seeds, String processName,
-        long heartbeatNanos, long versionMillis, long leaseNanos, int lossesBorne) {
-}
+public record ControllerSettings(
+        String ownAddress,
+        String zone,
+        List<String> seeds,
+        String processName,
+        long heartbeatNanos,
+        long versionMillis,
+        long leaseNanos,
+        int lossesBorne) {}
--- a/fleet/src/main/java/burlarch/fleet/controller/ControllerStorage.java
+++ b/fleet/src/main/java/burlarch/fleet/controller/ControllerStorage.java
@@ -29,16 +29,23 @@
      * @param newIdentity for a disk that comes empty later: an identity that no other disk ever has
      * @throws IOException if the disk can't be read or made lasting; opening may be tried again
      */
-    public static ControllerStorage open(Disk disk, String address, List<String> seeds, boolean bootstrap,
-            Supplier<String> newIdentity) throws IOException {
+    public static ControllerStorage open(
+            Disk disk, String address, List<String> seeds, boolean bootstrap, Supplier<String> newIdentity)
+            throws IOException {
         return open(disk, address, seeds, bootstrap, newIdentity, SegmentedLog.DEFAULT_SEGMENT_BYTES);
     }
 
     /** As the other one, with snapshots at other distances. */
-    public static ControllerStorage open(Disk disk, String address, List<String> seeds, boolean bootstrap,
-            Supplier<String> newIdentity, long segmentBytes) throws IOException {
-        AcceptorStore store = AcceptorStore.open(disk,
-                () -> bootstrap ? firstIdentity(address) : newIdentity.get(), segmentBytes);
+    public static ControllerStorage open(
+            Disk disk,
+            String address,
+            List<String> seeds,
+            boolean bootstrap,
+            Supplier<String> newIdentity,
+            long segmentBytes)
+            throws IOException {
+        AcceptorStore store =
+                AcceptorStore.open(disk, () -> bootstrap ? firstIdentity(address) : newIdentity.get(), segmentBytes);
         Belief first = Belief.firstStart(firstMembers(store, seeds, bootstrap));
         Belief belief = first.newer(KnownAcceptors.load(store)).newer(Belief.of(store.state()));
         return new ControllerStorage(store, belief);
@@ -58,7 +65,9 @@
         if (kept == null) {
             return List.of();
         }
-        return new String(kept, UTF_8).lines()
-                .map(seed -> new Member(firstIdentity(seed), seed)).toList();
+        return new String(kept, UTF_8)
+                .lines()
+                .map(seed -> new Member(firstIdentity(seed), seed))
+                .toList();
     }
 }
--- a/fleet/src/main/java/burlarch/fleet/controller/Incarnations.java
+++ b/fleet/src/main/java/burlarch/fleet/controller/Incarnations.java
@@ -4,8 +4,7 @@
 
 /** Numbers that tell the starts of processes apart, and names that hold them. */
 final class Incarnations {
-    private Incarnations() {
-    }
+    private Incarnations() {}
 
     /** A new one; never 0. */
     static long draw() {
--- a/fleet/src/main/java/burlarch/fleet/controller/InstanceFeed.java
+++ b/fleet/src/main/java/burlarch/fleet/controller/InstanceFeed.java
@@ -29,7 +29,11 @@
     private List<Instance> heartbeats = new ArrayList<>();
     private boolean batchPlanned;
 
-    InstanceFeed(Loop loop, InstanceRegistry registry, ControllerPeers peers, RouterPublisher publisher,
+    InstanceFeed(
+            Loop loop,
+            InstanceRegistry registry,
+            ControllerPeers peers,
+            RouterPublisher publisher,
             QuorumWatch quorum) {
         this.loop = loop;
         this.registry = registry;
@@ -55,7 +59,7 @@
                 addHeartbeat(instance);
                 publisher.sendInstances();
             }
-            default -> { }
+            default -> {}
         }
         return outcome != InstanceRegistry.Outcome.FULL;
     }
--- a/fleet/src/main/java/burlarch/fleet/controller/KeptForwarder.java
+++ b/fleet/src/main/java/burlarch/fleet/controller/KeptForwarder.java
@@ -39,6 +39,7 @@
     private final Map<String, Set<Link>> routersByZone = new HashMap<>();
     /** Connections that this side asked for, one to each controller of another zone, with their begin. */
     private final Map<Link, Long> controllers = new LinkedHashMap<>();
+
     private List<Waiting> waiting = new ArrayList<>();
 
     private record Waiting(Link from, byte[] frame) {
@@ -57,7 +58,8 @@
 
     void onUp(Link connection) {
         if (connection.peer().role().equals(Roles.ROUTER)) {
-            routersByZone.computeIfAbsent(connection.peer().zone(), zone -> new LinkedHashSet<>())
+            routersByZone
+                    .computeIfAbsent(connection.peer().zone(), zone -> new LinkedHashSet<>())
                     .add(connection);
         } else if (connection.outgoing() && !connection.peer().zone().equals(ownZone)) {
             controllers.put(connection, loop.nanoTime());
--- a/fleet/src/main/java/burlarch/fleet/controller/KnownAcceptors.java
+++ b/fleet/src/main/java/burlarch/fleet/controller/KnownAcceptors.java
@@ -18,11 +18,11 @@
 final class KnownAcceptors {
     /** Extra value of the store: round and proposer of the ballot, then one acceptor a line. */
     private static final String KEY = "known-acceptors";
+
     private static final String SEPARATOR = " ";
     private static final int PARTS = 2;
 
-    private KnownAcceptors() {
-    }
+    private KnownAcceptors() {}
 
     /** What was saved last; {@link Belief#NONE} where nothing was. */
     static Belief load(AcceptorStore store) {
@@ -50,7 +50,9 @@
             return;
         }
         StringBuilder text = new StringBuilder();
-        text.append(chosen.ballot().round()).append(SEPARATOR).append(chosen.ballot().proposer());
+        text.append(chosen.ballot().round())
+                .append(SEPARATOR)
+                .append(chosen.ballot().proposer());
         for (Member member : chosen.members()) {
             text.append('\n').append(member.storage()).append(SEPARATOR).append(member.address());
         }
--- a/fleet/src/main/java/burlarch/fleet/controller/KnownControllers.java
+++ b/fleet/src/main/java/burlarch/fleet/controller/KnownControllers.java
@@ -13,8 +13,7 @@
     /** One that is gone gives way to a further one, else the one whose news is oldest. */
     private static final int MOST = 64;
 
-    private record Belief(long process, MemberState state) {
-    }
+    private record Belief(long process, MemberState state) {}
 
     private final Map<String, Belief> byAddress = new LinkedHashMap<>();
 
@@ -41,8 +40,11 @@
     }
 
     private String leastNeeded() {
-        return byAddress.entrySet().stream().filter(entry -> !entry.getValue().state.live())
-                .map(Map.Entry::getKey).findFirst().orElse(byAddress.keySet().iterator().next());
+        return byAddress.entrySet().stream()
+                .filter(entry -> !entry.getValue().state.live())
+                .map(Map.Entry::getKey)
+                .findFirst()
+                .orElse(byAddress.keySet().iterator().next());
     }
 
     /**
--- a/fleet/src/main/java/burlarch/fleet/controller/MajorityWatch.java
+++ b/fleet/src/main/java/burlarch/fleet/controller/MajorityWatch.java
@@ -7,6 +7,7 @@
 final class MajorityWatch {
     /** Shorter gaps are what starts and short cuts bring along. */
     private static final long TOLD_AFTER_NANOS = 3_000_000_000L;
+
     private static final long TOLD_AGAIN_NANOS = 10_000_000_000L;
 
     private long reachedNanos;
@@ -26,8 +27,7 @@
             }
             return;
         }
-        boolean due = told ? nowNanos - toldNanos >= TOLD_AGAIN_NANOS
-                : nowNanos - reachedNanos >= TOLD_AFTER_NANOS;
+        boolean due = told ? nowNanos - toldNanos >= TOLD_AGAIN_NANOS : nowNanos - reachedNanos >= TOLD_AFTER_NANOS;
         if (due) {
             told = true;
             toldNanos = nowNanos;
@@ -40,7 +40,10 @@
             Logger.error("no acceptor is known: no other controller was reached, and this disk names none");
             return;
         }
-        Logger.error("no majority of acceptors, nothing can be changed: {} of {} can be reached; missing: {}",
-                reach.size() - reach.missing().size(), reach.size(), reach.missing());
+        Logger.error(
+                "no majority of acceptors, nothing can be changed: {} of {} can be reached; missing: {}",
+                reach.size() - reach.missing().size(),
+                reach.size(),
+                reach.missing());
     }
 }
--- a/fleet/src/main/java/burlarch/fleet/controller/OperatorCalls.java
+++ b/fleet/src/main/java/burlarch/fleet/controller/OperatorCalls.java
@@ -42,8 +42,13 @@
     private final long startedNanos;
 
     /** @param lossesBorne how many acceptors may be lost at once */
-    OperatorCalls(Loop loop, StateRegister register, RouterPublisher publisher, InstanceFeed instances,
-            QuorumWatch quorum, int lossesBorne) {
+    OperatorCalls(
+            Loop loop,
+            StateRegister register,
+            RouterPublisher publisher,
+            InstanceFeed instances,
+            QuorumWatch quorum,
+            int lossesBorne) {
         this.loop = loop;
         this.register = register;
         this.publisher = publisher;
@@ -61,7 +66,10 @@
         } catch (InvalidConfiguration invalid) {
             return CompletableFuture.failedFuture(refusal(invalid));
         }
-        return changeConfiguration("configuration " + document.version(), ifMatch, document.version(),
+        return changeConfiguration(
+                "configuration " + document.version(),
+                ifMatch,
+                document.version(),
                 state -> StateChanges.putConfiguration(state, ifMatch, document, document.digest()));
     }
 
@@ -73,13 +81,17 @@
         } catch (InvalidConfiguration invalid) {
             return CompletableFuture.failedFuture(refusal(invalid));
         }
-        return changeConfiguration("patch to " + patch.version(), ifMatch, patch.version(),
+        return changeConfiguration(
+                "patch to " + patch.version(),
+                ifMatch,
+                patch.version(),
                 state -> StateChanges.patchConfiguration(state, ifMatch, patch, patch.digest()));
     }
 
     private static FleetException refusal(InvalidConfiguration invalid) {
         List<Problem> problems = invalid.problems().stream()
-                .map(problem -> new Problem(problem.field(), problem.reason())).toList();
+                .map(problem -> new Problem(problem.field(), problem.reason()))
+                .toList();
         return new FleetException(ErrorKind.INVALID, problems);
     }
 
@@ -95,12 +107,11 @@
 
     @Override
     public CompletableFuture<Void> nameWeights(String model, long version) {
-        return change("weights " + model + " " + version,
-                state -> StateChanges.nameWeights(state, model, version));
+        return change("weights " + model + " " + version, state -> StateChanges.nameWeights(state, model, version));
     }
 
-    private CompletableFuture<Void> changeConfiguration(String name, long ifMatch, long version,
-            Function<SystemState, ChangeResult> change) {
+    private CompletableFuture<Void> changeConfiguration(
+            String name, long ifMatch, long version, Function<SystemState, ChangeResult> change) {
         ChangeResult.Unchanged never = StateChanges.neverTaken(ifMatch, version);
         return never == null ? change(name, change) : CompletableFuture.failedFuture(never.failure());
     }
@@ -111,10 +122,9 @@
                 return OperatorCalls.<Void>noQuorum();
             }
             return register.change(change)
-                    .thenCompose(state -> publisher
-                            .awaitConfiguration(state.configurationVersion(), ROUTERS_NANOS))
-                    .whenComplete((done, failure) -> Logger.info("{}: {}", name,
-                            failure == null ? "in force" : failure.getMessage()));
+                    .thenCompose(state -> publisher.awaitConfiguration(state.configurationVersion(), ROUTERS_NANOS))
+                    .whenComplete((done, failure) ->
+                            Logger.info("{}: {}", name, failure == null ? "in force" : failure.getMessage()));
         });
     }
 
@@ -127,8 +137,7 @@
     }
 
     private boolean tooFewAcceptors() {
-        return register.acceptors().all().size() < leastAcceptors
-                && loop.nanoTime() - startedNanos < FOUNDING_NANOS;
+        return register.acceptors().all().size() < leastAcceptors && loop.nanoTime() - startedNanos < FOUNDING_NANOS;
     }
 
     @Override
@@ -153,7 +162,8 @@
         if (!quorum.holds()) {
             return noQuorum();
         }
-        return leaves ? publisher.awaitInstances(instances.revision(), ROUTERS_NANOS)
+        return leaves
+                ? publisher.awaitInstances(instances.revision(), ROUTERS_NANOS)
                 : CompletableFuture.completedFuture(null);
     }
 
--- a/fleet/src/main/java/burlarch/fleet/controller/OwnershipKeeper.java
+++ b/fleet/src/main/java/burlarch/fleet/controller/OwnershipKeeper.java
@@ -46,11 +46,21 @@
     private boolean acting;
     /** When this process became the owner under its present token, and under which one. */
     private long ownerSinceNanos;
+
     private long ownerToken = -1;
 
     /** @param holderName unique for this start of this process, ending in {@code @} and its address */
-    OwnershipKeeper(Loop loop, StateRegister register, OwnerWatch owners, QuorumWatch quorum, String key,
-            String ownAddress, String holderName, long leaseNanos, BooleanSupplier hasWork, Duty duty) {
+    OwnershipKeeper(
+            Loop loop,
+            StateRegister register,
+            OwnerWatch owners,
+            QuorumWatch quorum,
+            String key,
+            String ownAddress,
+            String holderName,
+            long leaseNanos,
+            BooleanSupplier hasWork,
+            Duty duty) {
         this.loop = loop;
         this.register = register;
         this.owners = owners;
@@ -117,7 +127,7 @@
                     confirm();
                 }
             }
-            default -> { }
+            default -> {}
         }
     }
 
@@ -148,17 +158,18 @@
         long askedAt = loop.nanoTime();
         String[] former = new String[1];
         register.change(state -> {
-            Lease before = state.owners().get(key);
-            former[0] = before == null ? null : before.holder();
-            return StateChanges.takeOwnership(state, key, holderName);
-        }).whenComplete((state, failure) -> {
-            asking = false;
-            if (failure != null) {
-                lease.claimFailed();
-                return;
-            }
-            onClaimed(state.owners().get(key), former[0], askedAt);
-        });
+                    Lease before = state.owners().get(key);
+                    former[0] = before == null ? null : before.holder();
+                    return StateChanges.takeOwnership(state, key, holderName);
+                })
+                .whenComplete((state, failure) -> {
+                    asking = false;
+                    if (failure != null) {
+                        lease.claimFailed();
+                        return;
+                    }
+                    onClaimed(state.owners().get(key), former[0], askedAt);
+                });
     }
 
     private void onClaimed(Lease taken, String former, long askedAt) {
--- a/fleet/src/main/java/burlarch/fleet/controller/RegisterDriver.java
+++ b/fleet/src/main/java/burlarch/fleet/controller/RegisterDriver.java
@@ -26,9 +26,7 @@
     /** Proposals that wait for their turn; a further one ends at once as not started. */
     private static final int MOST_WAITING = 64;
 
-    private record Waiting(RegisterChange change, long deadlineNanos,
-            CompletableFuture<ProposalResult> result) {
-    }
+    private record Waiting(RegisterChange change, long deadlineNanos, CompletableFuture<ProposalResult> result) {}
 
     private final Loop loop;
     private final ControllerPeers peers;
@@ -47,8 +45,14 @@
      * @param proposerName unique for this start of this process
      * @param belief what is known of the register here
      */
-    RegisterDriver(Loop loop, ControllerPeers peers, AcceptorHost acceptor, String ownAddress,
-            String proposerName, RandomGenerator random, Supplier<Belief> belief) {
+    RegisterDriver(
+            Loop loop,
+            ControllerPeers peers,
+            AcceptorHost acceptor,
+            String ownAddress,
+            String proposerName,
+            RandomGenerator random,
+            Supplier<Belief> belief) {
         this.loop = loop;
         this.peers = peers;
         this.acceptor = acceptor;
@@ -100,8 +104,8 @@
                 continue;
             }
             running = next;
-            proposal = new Proposal(proposerName + "/" + ++proposals, round, belief.get(), next.change(),
-                    next.deadlineNanos(), random);
+            proposal = new Proposal(
+                    proposerName + "/" + ++proposals, round, belief.get(), next.change(), next.deadlineNanos(), random);
             perform(proposal, proposal.start(now));
         }
     }
--- a/fleet/src/main/java/burlarch/fleet/controller/RouterPublisher.java
+++ b/fleet/src/main/java/burlarch/fleet/controller/RouterPublisher.java
@@ -42,6 +42,7 @@
     private final Set<Link> routers = new HashSet<>();
     /** Routers that may be sent a configuration: after their connection a quorum confirmed the newest one. */
     private final Set<Link> confirmed = new HashSet<>();
+
     private SystemState state = SystemState.EMPTY;
     private final ConfigurationStream configurationStream;
     private long sentRevision;
@@ -185,10 +186,13 @@
 
     private CompletableFuture<Void> await(SubscriberTable<Link> table, long revision, long limitNanos) {
         CompletableFuture<Void> done = new CompletableFuture<>();
-        table.await(revision, loop.nanoTime() + limitNanos).ifPresentOrElse(wait -> {
-            waiting.put(wait, done);
-            loop.schedule(limitNanos, this::finishWaits);
-        }, () -> done.complete(null));
+        table.await(revision, loop.nanoTime() + limitNanos)
+                .ifPresentOrElse(
+                        wait -> {
+                            waiting.put(wait, done);
+                            loop.schedule(limitNanos, this::finishWaits);
+                        },
+                        () -> done.complete(null));
         return done;
     }
 
--- a/fleet/src/main/java/burlarch/fleet/controller/StateRegister.java
+++ b/fleet/src/main/java/burlarch/fleet/controller/StateRegister.java
@@ -54,9 +54,12 @@
 
     /** Writes an empty state where the register holds none. */
     CompletableFuture<SystemState> found() {
-        return driver.propose(current -> current != null ? Decision.keep()
-                : new Decision.Write(new RegisterValue(decided.members(),
-                        SystemStateCodec.encode(SystemState.EMPTY))), PROPOSAL_NANOS)
+        return driver.propose(
+                        current -> current != null
+                                ? Decision.keep()
+                                : new Decision.Write(new RegisterValue(
+                                        decided.members(), SystemStateCodec.encode(SystemState.EMPTY))),
+                        PROPOSAL_NANOS)
                 .thenApply(this::adopted);
     }
 
@@ -70,11 +73,16 @@
 
     /** Changes the acceptors; the state stays. */
     CompletableFuture<SystemState> changeMembers(List<Member> from, List<Member> to) {
-        return driver.propose(current -> {
-            boolean asExpected = current != null && current.members().equals(from);
-            return asExpected ? new Decision.Write(new RegisterValue(to, current.payload()))
-                    : Decision.keep();
-        }, PROPOSAL_NANOS).thenApply(this::adopted);
+        return driver.propose(
+                        current -> {
+                            boolean asExpected =
+                                    current != null && current.members().equals(from);
+                            return asExpected
+                                    ? new Decision.Write(new RegisterValue(to, current.payload()))
+                                    : Decision.keep();
+                        },
+                        PROPOSAL_NANOS)
+                .thenApply(this::adopted);
     }
 
     private SystemState adopted(ProposalResult result) {
@@ -87,8 +95,7 @@
     }
 
     private void adopt(ProposalResult result) {
-        if (result instanceof ProposalResult.Chosen chosen
-                && decided.adopt(chosen.ballot(), chosen.value(), true)) {
+        if (result instanceof ProposalResult.Chosen chosen && decided.adopt(chosen.ballot(), chosen.value(), true)) {
             peers.sendAll(NodeMessage.Decided.withoutValue(chosen.ballot()));
         }
     }
--- a/fleet/src/main/java/burlarch/fleet/controller/WeightsDuty.java
+++ b/fleet/src/main/java/burlarch/fleet/controller/WeightsDuty.java
@@ -26,7 +26,11 @@
     private OwnershipKeeper ownership;
     private Loop.Timer timer;
 
-    WeightsDuty(Loop loop, InstanceRegistry registry, RouterPublisher publisher, EngineOrders engines,
+    WeightsDuty(
+            Loop loop,
+            InstanceRegistry registry,
+            RouterPublisher publisher,
+            EngineOrders engines,
             WeightsRollout rollout) {
         this.loop = loop;
         this.registry = registry;
@@ -57,7 +61,8 @@
     private void look() {
         loop.schedule(PERIOD_NANOS, this::look);
         List<Instance> live = registry.snapshot().instances().stream()
-                .filter(instance -> instance.state() != InstanceState.GONE).toList();
+                .filter(instance -> instance.state() != InstanceState.GONE)
+                .toList();
         perform(rollout.onInstances(live, loop.nanoTime()));
     }
 
@@ -94,10 +99,14 @@
             loop.execute(() -> onResult(order, OrderResult.NO_ANSWER));
             return;
         }
-        Order sent = new Order(order.model(), order.version(), order.mode(), ownership.holderName(),
-                order.fenceToken(), order.ifRevision());
-        engines.order(address(instance), sent)
-                .thenAccept(result -> loop.execute(() -> onResult(order, result)));
+        Order sent = new Order(
+                order.model(),
+                order.version(),
+                order.mode(),
+                ownership.holderName(),
+                order.fenceToken(),
+                order.ifRevision());
+        engines.order(address(instance), sent).thenAccept(result -> loop.execute(() -> onResult(order, result)));
     }
 
     private void onResult(RolloutAction.SendOrder order, OrderResult result) {
@@ -111,8 +120,9 @@
             loop.execute(() -> perform(rollout.onReport(id, null, loop.nanoTime())));
             return;
         }
-        engines.report(address(instance)).thenAccept(report -> loop.execute(
-                () -> perform(rollout.onReport(id, report.orElse(null), loop.nanoTime()))));
+        engines.report(address(instance))
+                .thenAccept(report ->
+                        loop.execute(() -> perform(rollout.onReport(id, report.orElse(null), loop.nanoTime()))));
     }
 
     private static EngineAddress address(Instance instance) {
@@ -123,7 +133,7 @@
         if (timer != null) {
             timer.cancel();
         }
-        timer = loop.schedule(Math.max(0, next.atNanos() - loop.nanoTime()),
-                () -> perform(rollout.onTimer(loop.nanoTime())));
+        timer = loop.schedule(
+                Math.max(0, next.atNanos() - loop.nanoTime()), () -> perform(rollout.onTimer(loop.nanoTime())));
     }
 }
--- a/fleet/src/main/java/burlarch/fleet/controller/api/Announcements.java
+++ b/fleet/src/main/java/burlarch/fleet/controller/api/Announcements.java
@@ -14,8 +14,7 @@
 final class Announcements {
     private static final int MOST_MODELS = 64;
 
-    private Announcements() {
-    }
+    private Announcements() {}
 
     /**
      * The instance in a heartbeat's body.
@@ -24,9 +23,16 @@
      */
     static Instance read(String id, byte[] body) {
         JsonNode json = Json.object(body);
-        return new Instance(id, Json.text(json, "service"), address(json), Json.optionalText(json, "zone"),
-                Json.optionalText(json, "config_version"), Math.max(0, json.path("capacity").asInt()),
-                state(json), Math.max(0, json.path("warmup_left_ms").asLong()), models(json.path("models")),
+        return new Instance(
+                id,
+                Json.text(json, "service"),
+                address(json),
+                Json.optionalText(json, "zone"),
+                Json.optionalText(json, "config_version"),
+                Math.max(0, json.path("capacity").asInt()),
+                state(json),
+                Math.max(0, json.path("warmup_left_ms").asLong()),
+                models(json.path("models")),
                 sequence(json));
     }
 
@@ -61,7 +67,8 @@
         }
         List<ServedModel> models = new ArrayList<>(list.size());
         for (JsonNode model : list) {
-            models.add(new ServedModel(Json.text(model, "name"), model.path("config_version").asLong()));
+            models.add(new ServedModel(
+                    Json.text(model, "name"), model.path("config_version").asLong()));
         }
         return List.copyOf(models);
     }
--- a/fleet/src/main/java/burlarch/fleet/controller/api/BodyLimits.java
+++ b/fleet/src/main/java/burlarch/fleet/controller/api/BodyLimits.java
@@ -9,6 +9,5 @@
     /** Most bytes that all open calls hold together. */
     static final long MOST_TOGETHER = 16 << 20;
 
-    private BodyLimits() {
-    }
+    private BodyLimits() {}
 }
--- a/fleet/src/main/java/burlarch/fleet/controller/api/BodyReader.java
+++ b/fleet/src/main/java/burlarch/fleet/controller/api/BodyReader.java
@@ -29,7 +29,11 @@
      * @param whenRead gets the body, which stays within the budget until {@link #release}
      * @param whenFailed gets a {@link FleetException}, or the failure of a connection that broke
      */
-    BodyReader(Request request, int longest, BodyBudget budget, Consumer<byte[]> whenRead,
+    BodyReader(
+            Request request,
+            int longest,
+            BodyBudget budget,
+            Consumer<byte[]> whenRead,
             Consumer<Throwable> whenFailed) {
         this.request = request;
         this.longest = longest;
--- a/fleet/src/main/java/burlarch/fleet/controller/api/ControlCall.java
+++ b/fleet/src/main/java/burlarch/fleet/controller/api/ControlCall.java
@@ -46,7 +46,8 @@
             finish(result);
             return;
         }
-        Scheduler.Task limit = request.getComponents().getScheduler()
+        Scheduler.Task limit = request.getComponents()
+                .getScheduler()
                 .schedule(() -> giveUp(result), limitMillis, TimeUnit.MILLISECONDS);
         result.whenComplete((body, failure) -> {
             limit.cancel();
--- a/fleet/src/main/java/burlarch/fleet/controller/api/ControlHandler.java
+++ b/fleet/src/main/java/burlarch/fleet/controller/api/ControlHandler.java
@@ -64,12 +64,18 @@
             case "GET" -> call.answerWith(service.readConfiguration(), callMillis);
             case "PUT" -> {
                 long ifMatch = ifMatch(request);
-                withBody(request, call, BodyLimits.LONGEST_CONFIGURATION,
+                withBody(
+                        request,
+                        call,
+                        BodyLimits.LONGEST_CONFIGURATION,
                         body -> service.putConfiguration(body, ifMatch));
             }
             case "PATCH" -> {
                 long ifMatch = ifMatch(request);
-                withBody(request, call, BodyLimits.LONGEST_CONFIGURATION,
+                withBody(
+                        request,
+                        call,
+                        BodyLimits.LONGEST_CONFIGURATION,
                         body -> service.patchConfiguration(body, ifMatch));
             }
             default -> throw new FleetException(ErrorKind.METHOD);
@@ -91,29 +97,34 @@
             throw new FleetException(ErrorKind.NOT_FOUND);
         }
         switch (request.getMethod()) {
-            case "PUT" -> withBody(request, call, BodyLimits.LONGEST_OTHER,
-                    body -> service.announce(Announcements.read(id, body)));
+            case "PUT" -> withBody(
+                    request, call, BodyLimits.LONGEST_OTHER, body -> service.announce(Announcements.read(id, body)));
             case "DELETE" -> call.answerWith(service.leave(id), callMillis);
             default -> throw new FleetException(ErrorKind.METHOD);
         }
     }
 
-    private void withBody(Request request, ControlCall call, int longest,
-            Function<byte[], CompletableFuture<Void>> action) {
+    private void withBody(
+            Request request, ControlCall call, int longest, Function<byte[], CompletableFuture<Void>> action) {
         BodyReader[] reader = new BodyReader[1];
-        reader[0] = new BodyReader(request, longest, budget, body -> {
-            try {
-                CompletableFuture<Void> result = action.apply(body);
-                result.whenComplete((nothing, failure) -> reader[0].release());
-                call.answerWith(result, callMillis);
-            } catch (RuntimeException failure) {
-                reader[0].release();
-                call.fail(failure);
-            }
-        }, failure -> {
-            reader[0].release();
-            call.fail(failure);
-        });
+        reader[0] = new BodyReader(
+                request,
+                longest,
+                budget,
+                body -> {
+                    try {
+                        CompletableFuture<Void> result = action.apply(body);
+                        result.whenComplete((nothing, failure) -> reader[0].release());
+                        call.answerWith(result, callMillis);
+                    } catch (RuntimeException failure) {
+                        reader[0].release();
+                        call.fail(failure);
+                    }
+                },
+                failure -> {
+                    reader[0].release();
+                    call.fail(failure);
+                });
         reader[0].run();
     }
 
--- a/fleet/src/main/java/burlarch/fleet/controller/api/ControlServer.java
+++ b/fleet/src/main/java/burlarch/fleet/controller/api/ControlServer.java
@@ -78,7 +78,7 @@
         IO.close((ServerSocketChannel) connector.getTransport());
         // And it listens on until the selector looks at what it was told to let go.
         for (ManagedSelector selector : connector.getContainedBeans(ManagedSelector.class)) {
-            selector.submit(woken -> { });
+            selector.submit(woken -> {});
         }
     }
 
--- a/fleet/src/main/java/burlarch/fleet/controller/api/Json.java
+++ b/fleet/src/main/java/burlarch/fleet/controller/api/Json.java
@@ -17,8 +17,7 @@
     private static final int MOST_PROBLEMS = 16;
     private static final int LONGEST_TEXT = 256;
 
-    private Json() {
-    }
+    private Json() {}
 
     /**
      * The object in a body.
--- a/fleet/src/main/java/burlarch/fleet/controller/state/ChangeResult.java
+++ b/fleet/src/main/java/burlarch/fleet/controller/state/ChangeResult.java
@@ -8,8 +8,7 @@
 /** What a change makes of a state. */
 public sealed interface ChangeResult {
     /** The state that the change leads to. */
-    record Changed(SystemState state) implements ChangeResult {
-    }
+    record Changed(SystemState state) implements ChangeResult {}
 
     /** The state stays. {@code problems} is empty but for {@link Answer#INVALID}. */
     record Unchanged(Answer answer, List<Problem> problems) implements ChangeResult {
--- a/fleet/src/main/java/burlarch/fleet/controller/state/Lease.java
+++ b/fleet/src/main/java/burlarch/fleet/controller/state/Lease.java
@@ -6,5 +6,4 @@
  * @param holder the owner's name
  * @param token fencing token, above those of all earlier owners of any key
  */
-public record Lease(String holder, long token) {
-}
+public record Lease(String holder, long token) {}
--- a/fleet/src/main/java/burlarch/fleet/controller/state/StateChanges.java
+++ b/fleet/src/main/java/burlarch/fleet/controller/state/StateChanges.java
@@ -16,8 +16,7 @@
 public final class StateChanges {
     private static final int LONGEST_NAME = 256;
 
-    private StateChanges() {
-    }
+    private StateChanges() {}
 
     /**
      * Brings a whole configuration.
@@ -25,15 +24,15 @@
      * @param ifMatch the version that it builds on, 0 for the first
      * @param digest of the document, see {@link TakenChange}
      */
-    public static ChangeResult putConfiguration(SystemState state, long ifMatch,
-            ConfigurationDocument document, String digest) {
+    public static ChangeResult putConfiguration(
+            SystemState state, long ifMatch, ConfigurationDocument document, String digest) {
         TakenChange change = TakenChange.put(ifMatch, document.version(), digest);
         Unchanged refusal = refusal(state, ifMatch, change);
         return refusal != null ? refusal : withConfiguration(state, change, document);
     }
 
-    private static ChangeResult withConfiguration(SystemState state, TakenChange change,
-            ConfigurationDocument document) {
+    private static ChangeResult withConfiguration(
+            SystemState state, TakenChange change, ConfigurationDocument document) {
         byte[] json = document.json();
         if (json.length > SystemState.MOST_CONFIGURATION_BYTES) {
             return Unchanged.invalid("", "longer than " + SystemState.MOST_CONFIGURATION_BYTES + " bytes");
@@ -42,8 +41,8 @@
     }
 
     /** Changes named items of the current configuration. Parameters as for {@link #putConfiguration}. */
-    public static ChangeResult patchConfiguration(SystemState state, long ifMatch, ConfigurationPatch patch,
-            String digest) {
+    public static ChangeResult patchConfiguration(
+            SystemState state, long ifMatch, ConfigurationPatch patch, String digest) {
         TakenChange change = TakenChange.patch(ifMatch, patch.version(), digest);
         Unchanged refusal = refusal(state, ifMatch, change);
         if (refusal != null) {
@@ -61,7 +60,9 @@
     }
 
     private static List<Problem> problems(InvalidConfiguration invalid) {
-        return invalid.problems().stream().map(one -> new Problem(one.field(), one.reason())).toList();
+        return invalid.problems().stream()
+                .map(one -> new Problem(one.field(), one.reason()))
+                .toList();
     }
 
     /**
--- a/fleet/src/main/java/burlarch/fleet/controller/state/SystemState.java
+++ b/fleet/src/main/java/burlarch/fleet/controller/state/SystemState.java
@@ -18,17 +18,19 @@
  * @param nextToken the next owner's fencing token; only rises
  */
 @JsonIgnoreProperties(ignoreUnknown = true)
-public record SystemState(@JsonProperty("v") long configurationVersion,
-        @JsonProperty("c") byte[] configuration, @JsonProperty("k") TakenChanges taken,
-        @JsonProperty("w") Map<String, Long> weights, @JsonProperty("o") Map<String, Lease> owners,
+public record SystemState(
+        @JsonProperty("v") long configurationVersion,
+        @JsonProperty("c") byte[] configuration,
+        @JsonProperty("k") TakenChanges taken,
+        @JsonProperty("w") Map<String, Long> weights,
+        @JsonProperty("o") Map<String, Lease> owners,
         @JsonProperty("n") long nextToken) {
     /** The longest configuration that is taken, so that one message and one record on disk hold it. */
     public static final int MOST_CONFIGURATION_BYTES = 5 << 20;
     /** Most models that have named weights, and most keys that have an owner. */
     public static final int MOST_NAMES = 1024;
     /** The state of a fleet that nobody has configured yet. */
-    public static final SystemState EMPTY =
-            new SystemState(0, new byte[0], TakenChanges.NONE, Map.of(), Map.of(), 1);
+    public static final SystemState EMPTY = new SystemState(0, new byte[0], TakenChanges.NONE, Map.of(), Map.of(), 1);
 
     public SystemState {
         configuration = configuration == null ? new byte[0] : configuration;
--- a/fleet/src/main/java/burlarch/fleet/controller/state/SystemStateCodec.java
+++ b/fleet/src/main/java/burlarch/fleet/controller/state/SystemStateCodec.java
@@ -15,15 +15,14 @@
  * with another byte, is read too: it stands on disks from before.
  */
 public final class SystemStateCodec {
-    private static final ObjectMapper MAPPER = new ObjectMapper(new CBORFactory())
-            .enable(SerializationFeature.ORDER_MAP_ENTRIES_BY_KEYS);
+    private static final ObjectMapper MAPPER =
+            new ObjectMapper(new CBORFactory()).enable(SerializationFeature.ORDER_MAP_ENTRIES_BY_KEYS);
 
     private static final byte COMPRESSED = 1;
     /** The longest state before it is compressed: the longest configuration, and all that is beside it. */
     private static final int MOST_STATE_BYTES = 2 * SystemState.MOST_CONFIGURATION_BYTES;
 
-    private SystemStateCodec() {
-    }
+    private SystemStateCodec() {}
 
     public static byte[] encode(SystemState state) {
         try {
@@ -47,8 +46,7 @@
             return SystemState.EMPTY;
         }
         try {
-            byte[] plain = payload[0] == COMPRESSED
-                    ? CompressedBytes.expand(payload, 1, MOST_STATE_BYTES) : payload;
+            byte[] plain = payload[0] == COMPRESSED ? CompressedBytes.expand(payload, 1, MOST_STATE_BYTES) : payload;
             return MAPPER.readValue(plain, SystemState.class);
         } catch (DataFormatException broken) {
             throw new UncheckedIOException(new IOException(broken));
--- a/fleet/src/main/java/burlarch/fleet/controller/state/TakenChanges.java
+++ b/fleet/src/main/java/burlarch/fleet/controller/state/TakenChanges.java
@@ -138,8 +138,7 @@
                     throw new IllegalArgumentException("versions don't rise");
                 }
             }
-            return new TakenChanges(forgotten, Arrays.copyOf(versions, count),
-                    Arrays.copyOf(fingerprints, count));
+            return new TakenChanges(forgotten, Arrays.copyOf(versions, count), Arrays.copyOf(fingerprints, count));
         } catch (BufferUnderflowException | ArrayIndexOutOfBoundsException cutShort) {
             throw new IllegalArgumentException("cut short", cutShort);
         }
--- a/fleet/src/main/java/burlarch/fleet/engine/EngineClient.java
+++ b/fleet/src/main/java/burlarch/fleet/engine/EngineClient.java
@@ -47,8 +47,7 @@
 
     /** All that the source keeps. This holds its work up and is priced. */
     public CompletableFuture<KvAnswer> kvList(EngineAddress target) {
-        return send(request(target, "/burlarch/kv-list", MAXIMUM_WAIT_MILLIS),
-                new KvCall(json, MAXIMUM_LIST_BYTES));
+        return send(request(target, "/burlarch/kv-list", MAXIMUM_WAIT_MILLIS), new KvCall(json, MAXIMUM_LIST_BYTES));
     }
 
     /** The engine's report, empty where it gave none. It is priced as a probe. */
@@ -60,13 +59,15 @@
     /** Sends an order, once. */
     @Override
     public CompletableFuture<OrderResult> order(EngineAddress target, Order order) {
-        Request request = request(target, "/burlarch/order", 0).method("POST")
+        Request request = request(target, "/burlarch/order", 0)
+                .method("POST")
                 .body(new BytesRequestContent("application/json", json.order(order)));
         return send(request, new OrderCall());
     }
 
     private Request request(EngineAddress target, String path, long waitMillis) {
-        Request request = http.newRequest(target.uri(path)).followRedirects(false)
+        Request request = http.newRequest(target.uri(path))
+                .followRedirects(false)
                 .timeout(waitMillis + MARGIN_MILLIS, TimeUnit.MILLISECONDS);
         if (target.instance() != null) {
             request.headers(headers -> headers.put("X-Target-Instance", target.instance()));
--- a/fleet/src/main/java/burlarch/fleet/engine/EngineHttp.java
+++ b/fleet/src/main/java/burlarch/fleet/engine/EngineHttp.java
@@ -14,12 +14,10 @@
     private static final long IDLE_MILLIS = 5_000;
     private static final int CONNECTIONS_PER_ENGINE = 2;
 
-    private EngineHttp() {
-    }
+    private EngineHttp() {}
 
     /** A started client. */
-    public static HttpClient start(Executor executor, Scheduler scheduler, ByteBufferPool buffers)
-            throws Exception {
+    public static HttpClient start(Executor executor, Scheduler scheduler, ByteBufferPool buffers) throws Exception {
         ClientConnector connector = new PlainConnector();
         connector.setSelectors(1);
         connector.setExecutor(executor);
@@ -45,8 +43,7 @@
         protected SslContextFactory.Client newSslContextFactory() {
             return new SslContextFactory.Client() {
                 @Override
-                protected void doStart() {
-                }
+                protected void doStart() {}
             };
         }
     }
--- a/fleet/src/main/java/burlarch/fleet/engine/EventFollower.java
+++ b/fleet/src/main/java/burlarch/fleet/engine/EventFollower.java
@@ -35,16 +35,15 @@
      * @param address IP:PORT
      * @param store whether it is a store
      */
-    public record Source(String name, String address, boolean store) {
-    }
+    public record Source(String name, String address, boolean store) {}
 
     /**
      * @param reader is called on threads of the client's
      * @param clock nanoseconds of a monotonic clock
      * @param random numbers from 0 (inclusive) to 1 (exclusive)
      */
-    public EventFollower(EngineClient client, KvReader reader, Delays delays, LongSupplier clock,
-            DoubleSupplier random) {
+    public EventFollower(
+            EngineClient client, KvReader reader, Delays delays, LongSupplier clock, DoubleSupplier random) {
         this.client = client;
         this.reader = reader;
         this.delays = delays;
@@ -64,7 +63,7 @@
      */
     public synchronized void follow(Collection<Source> sources, Function<String, KvPosition> positions) {
         Set<Source> wanted = new HashSet<>(sources);
-        for (Iterator<Following> all = followed.values().iterator(); all.hasNext();) {
+        for (Iterator<Following> all = followed.values().iterator(); all.hasNext(); ) {
             Following following = all.next();
             if (!wanted.remove(following.source)) {
                 following.stopped = true;
@@ -125,8 +124,7 @@
             listing = progress.listDue(started);
             CompletableFuture<KvAnswer> call;
             try {
-                call = listing ? client.kvList(address)
-                        : client.kvEvents(address, progress.since(), WAIT_MILLIS);
+                call = listing ? client.kvList(address) : client.kvEvents(address, progress.since(), WAIT_MILLIS);
             } catch (RuntimeException e) {
                 call = CompletableFuture.failedFuture(e);
             }
--- a/fleet/src/main/java/burlarch/fleet/engine/KvNews.java
+++ b/fleet/src/main/java/burlarch/fleet/engine/KvNews.java
@@ -8,5 +8,4 @@
  *
  * @param list whether this is the whole of what is kept, as of {@code next}; events otherwise
  */
-public record KvNews(KvEvents kept, boolean list, long since, long next) {
-}
+public record KvNews(KvEvents kept, boolean list, long since, long next) {}
--- a/fleet/src/main/java/burlarch/fleet/engine/KvPosition.java
+++ b/fleet/src/main/java/burlarch/fleet/engine/KvPosition.java
@@ -5,5 +5,4 @@
  *
  * @param next the {@code since} from which the rest comes
  */
-public record KvPosition(long epoch, long next) {
-}
+public record KvPosition(long epoch, long next) {}
--- a/fleet/src/main/java/burlarch/fleet/engine/LatestEvents.java
+++ b/fleet/src/main/java/burlarch/fleet/engine/LatestEvents.java
@@ -13,11 +13,9 @@
  * in pieces makes an event for each piece.
  */
 final class LatestEvents {
-    private record Part(String salt, long id) {
-    }
+    private record Part(String salt, long id) {}
 
-    private LatestEvents() {
-    }
+    private LatestEvents() {}
 
     /** The last event of each part, in their order. */
     static List<KvEvent> of(List<KvEvent> events) {
--- a/fleet/src/main/java/burlarch/fleet/engine/SourceProgress.java
+++ b/fleet/src/main/java/burlarch/fleet/engine/SourceProgress.java
@@ -28,6 +28,7 @@
     private long since;
     /** The {@code since} that goes with what was handed on last. */
     private long handedOn;
+
     private long notBefore;
     private int failures;
     private boolean listWanted;
--- a/fleet/src/main/java/burlarch/fleet/error/Problem.java
+++ b/fleet/src/main/java/burlarch/fleet/error/Problem.java
@@ -6,5 +6,4 @@
  * @param field where, as a path into the content; empty for the whole
  * @param reason what is wrong, for a reader
  */
-public record Problem(String field, String reason) {
-}
+public record Problem(String field, String reason) {}
--- a/fleet/src/main/java/burlarch/fleet/kept/BatchCodec.java
+++ b/fleet/src/main/java/burlarch/fleet/kept/BatchCodec.java
@@ -26,8 +26,7 @@
     private static final int FLAG_BITS = 2;
     private static final int MOST_TEXT_BYTES = 1_024;
 
-    private BatchCodec() {
-    }
+    private BatchCodec() {}
 
     /** Bytes that are no batch of this version. */
     public static final class GarbledBatch extends Exception {
--- a/fleet/src/main/java/burlarch/fleet/kept/OutgoingBatch.java
+++ b/fleet/src/main/java/burlarch/fleet/kept/OutgoingBatch.java
@@ -8,6 +8,7 @@
 public final class OutgoingBatch {
     /** How long the oldest piece waits, nanoseconds. */
     public static final long DELAY_NANOS = 50_000_000;
+
     private static final int FULL_EVENTS = 64;
 
     private List<KvNews> waiting = new ArrayList<>();
--- a/fleet/src/main/java/burlarch/fleet/kept/SourcePositions.java
+++ b/fleet/src/main/java/burlarch/fleet/kept/SourcePositions.java
@@ -73,8 +73,8 @@
         if (!gap || kept.lost()) {
             return news;
         }
-        return new KvNews(new KvEvents(kept.source(), kept.epoch(), true, kept.events()), news.list(),
-                news.since(), news.next());
+        return new KvNews(
+                new KvEvents(kept.source(), kept.epoch(), true, kept.events()), news.list(), news.since(), news.next());
     }
 
     /** How far the source is known, or null where it is not. */
--- a/fleet/src/main/java/burlarch/fleet/node/HangUp.java
+++ b/fleet/src/main/java/burlarch/fleet/node/HangUp.java
@@ -10,8 +10,7 @@
     private static Runnable listener;
     private static boolean pending;
 
-    private HangUp() {
-    }
+    private HangUp() {}
 
     /** Takes the signal from now on. */
     @SuppressWarnings("sunapi")
--- a/fleet/src/main/java/burlarch/fleet/node/Membership.java
+++ b/fleet/src/main/java/burlarch/fleet/node/Membership.java
@@ -27,6 +27,7 @@
 public final class Membership implements AutoCloseable {
     /** Addresses kept ready for sending; beyond it they are made anew. */
     private static final int MOST_SOCKETS = 4_096;
+
     private static final long LEAVE_MILLIS = 300;
 
     private final NodeLoop loop;
@@ -44,8 +45,7 @@
      *
      * @param process drawn anew at each start, never 0
      */
-    public record Self(String name, String role, String zone, long process) {
-    }
+    public record Self(String name, String role, String zone, long process) {}
 
     /** Told on the loop. */
     public interface Listener {
@@ -60,12 +60,12 @@
      * @param seeds addresses at which other members may be, IP:PORT
      * @throws IOException where the address cannot be bound
      */
-    public Membership(NodeLoop loop, Self self, InetSocketAddress bind, List<String> seeds,
-            SwimSettings settings) throws IOException {
+    public Membership(NodeLoop loop, Self self, InetSocketAddress bind, List<String> seeds, SwimSettings settings)
+            throws IOException {
         this.loop = loop;
         endpoint = new DatagramEndpoint(loop, bind, this::onDatagram);
-        MemberInfo own = new MemberInfo(self.name(), text(endpoint.address()), self.role(), self.zone(),
-                self.process());
+        MemberInfo own =
+                new MemberInfo(self.name(), text(endpoint.address()), self.role(), self.zone(), self.process());
         swim = new Swim(own, seeds, settings, self.process(), loop.nanoTime());
     }
 
--- a/fleet/src/main/java/burlarch/fleet/node/NodeAddresses.java
+++ b/fleet/src/main/java/burlarch/fleet/node/NodeAddresses.java
@@ -6,8 +6,7 @@
 
 /** Where nodes take messages of one another: the first port of the range, which is alike on all machines. */
 public final class NodeAddresses {
-    private NodeAddresses() {
-    }
+    private NodeAddresses() {}
 
     /** This process's own, IP:PORT. */
     public static String own(NodeSettings settings) {
@@ -20,7 +19,8 @@
     }
 
     private static String atNodePort(NodeSettings settings, String seed) {
-        return seed.substring(0, seed.lastIndexOf(':')) + ":" + settings.portRange().first();
+        return seed.substring(0, seed.lastIndexOf(':')) + ":"
+                + settings.portRange().first();
     }
 
     /** An address as a socket takes it. */
--- a/fleet/src/main/java/burlarch/fleet/node/NodeBounds.java
+++ b/fleet/src/main/java/burlarch/fleet/node/NodeBounds.java
@@ -28,10 +28,28 @@
  * @param versionNanos after its acknowledgement requests run on a version of a model, in one stretch
  * @param versionAllNanos the same over all stretches
  */
-public record NodeBounds(long seedLagNanos, long reuseAfterNanos, long contactNanos, long ackNanos,
-        long catchUpNanos, long drainTimeoutNanos, long graceNanos, long lossSlackNanos,
-        long configApplyNanos, long downgradeNanos, long outerNanos, boolean revocation, long revokeNanos,
-        double retryBudget, long budgetWindowNanos, int budgetSlack, long recoveryNanos, long transitNanos,
-        long againNanos, boolean fencing, long leaseNanos, long thawNanos, long versionNanos,
-        long versionAllNanos) {
-}
+public record NodeBounds(
+        long seedLagNanos,
+        long reuseAfterNanos,
+        long contactNanos,
+        long ackNanos,
+        long catchUpNanos,
+        long drainTimeoutNanos,
+        long graceNanos,
+        long lossSlackNanos,
+        long configApplyNanos,
+        long downgradeNanos,
+        long outerNanos,
+        boolean revocation,
+        long revokeNanos,
+        double retryBudget,
+        long budgetWindowNanos,
+        int budgetSlack,
+        long recoveryNanos,
+        long transitNanos,
+        long againNanos,
+        boolean fencing,
+        long leaseNanos,
+        long thawNanos,
+        long versionNanos,
+        long versionAllNanos) {}
