--- a/admission/src/main/java/burlarch/admission/CallGapping.java
+++ b/admission/src/main/java/burlarch/admission/CallGapping.java
@@ -3,105 +3,112 @@
 import java.util.Arrays;
 
 /**
- * The rate based call gapping throttle γ_g of Kovács's paper. Per tenant it keeps decaying estimates of the
- * offered and the admitted rate; an offer is admitted while the tenant's provisional rate stays within its
- * bound: its share of the capacity plus a split of what the others leave unused.
+ * Rate-based call gapping throttle γ_g of Kovács's paper. For each tenant it keeps decaying estimates of the
+ * offered and the admitted rate. It admits an offer while the tenant's provisional rate stays within its bound:
+ * the tenant's share of the capacity plus a part of the capacity that the other tenants leave unused.
+ *
+ * <p>Symbols of the paper: capacity c, window W, time constant T = W / c, arrival indicator χ, offered rate ρ,
+ * admitted rate a, bound g. Rates are per second. Not thread-safe.
  */
 public final class CallGapping {
-    private final double[] share;
+    private final double[] shareOf;
     final double[] offered;
     final double[] admitted;
-    private long lastNanos;
-    private double offeredTotal;
+    private long lastOfferNanos;
+    private double lastOfferedTotal;
     private double lastCapacity;
-    private boolean withinShare;
+    private boolean lastOfferWithinShare;
 
-    /** @param shares one per tenant; scaled to sum one. An unlisted tenant has no share of its own. */
+    /** @param shares one for each tenant, scaled to a sum of one; offers of other tenants have no share */
     public CallGapping(double[] shares) {
-        int n = shares.length;
-        double sum = Arrays.stream(shares).map(s -> Math.max(0, s)).sum();
-        share = new double[n + 1];
-        Arrays.setAll(share, i -> sum > 0 && i < n ? Math.max(0, shares[i]) / sum : i < n ? 1.0 / n : 0);
-        share[n] = n == 0 ? 1 : 0;
-        offered = new double[n + 1];
-        admitted = new double[n + 1];
+        int count = shares.length;
+        double sum = Arrays.stream(shares).map(share -> Math.max(0, share)).sum();
+        shareOf = new double[count + 1];
+        Arrays.setAll(shareOf, i -> sum > 0 && i < count ? Math.max(0, shares[i]) / sum : i < count ? 1.0 / count : 0);
+        shareOf[count] = count == 0 ? 1 : 0;
+        offered = new double[count + 1];
+        admitted = new double[count + 1];
     }
 
-    /** The paper's estimator: λ̂ := χ/T + max{0, λ̂ − gap·λ̂/T}. */
-    public static double advance(double rate, double chi, double gapSeconds, double timeConstant) {
-        return chi / timeConstant + Math.max(0, rate - gapSeconds * rate / timeConstant);
+    /** The paper's rate estimator: λ̂ := χ/T + max{0, λ̂ − gap·λ̂/T}, where the gap is the elapsed time. */
+    public static double nextRate(double estimate, double arrivals, double elapsedSeconds, double timeConstant) {
+        return arrivals / timeConstant + Math.max(0, estimate - elapsedSeconds * estimate / timeConstant);
     }
 
     /**
-     * One offer of tenant {@code i}. The arriving offer's T serves every estimate of this step.
+     * Decides on one offer. The T of this offer is used to update the estimates of all tenants.
      *
+     * @param tenant index into the shares; any other value stands for a tenant without a share
      * @param capacity c, per second
-     * @param window W of the offer's priority; T = W / c
+     * @param windowOffers W of the offer's priority, in offers
+     * @return whether the offer is admitted
      */
-    public boolean offer(int i, double capacity, double window, long nowNanos) {
-        int tenant = i >= 0 && i < share.length - 1 ? i : share.length - 1;
-        double timeConstant = window / capacity;
-        double gap = Math.max(0, nowNanos - lastNanos) * 1e-9;
-        lastNanos = nowNanos;
-        // T·â is how many were let through lately. A cut of c lengthens T: kept as a rate, â would count more
-        // than there were and take many of the new, long T to come down, with nothing out to prove recovery.
-        double kept = Math.min(1, lastCapacity > 0 ? capacity / lastCapacity : 1);
+    public boolean offer(int tenant, double capacity, double windowOffers, long nowNanos) {
+        int index = tenant >= 0 && tenant < shareOf.length - 1 ? tenant : shareOf.length - 1;
+        double timeConstant = windowOffers / capacity;
+        double elapsedSeconds = Math.max(0, nowNanos - lastOfferNanos) * 1e-9;
+        lastOfferNanos = nowNanos;
+        // T·â is the number of recently admitted offers. When c falls, T grows: an unscaled â would overstate
+        // that number and take many of the longer T to decay, while nothing is sent that could prove recovery.
+        double capacityRatio = Math.min(1, lastCapacity > 0 ? capacity / lastCapacity : 1);
         lastCapacity = capacity;
-        double used = 0;
-        double total = 0;
-        double provisional = 0;
-        for (int k = 0; k < share.length; k++) {
-            double chi = k == tenant ? 1 : 0;
-            offered[k] = advance(offered[k], chi, gap, timeConstant);
-            admitted[k] *= kept;
-            if (k == tenant) {
-                provisional = advance(admitted[k], 1, gap, timeConstant);
+        double usedShares = 0;
+        double totalOffered = 0;
+        double provisionalRate = 0;
+        for (int other = 0; other < shareOf.length; other++) {
+            double arrivals = other == index ? 1 : 0;
+            offered[other] = nextRate(offered[other], arrivals, elapsedSeconds, timeConstant);
+            admitted[other] *= capacityRatio;
+            if (other == index) {
+                provisionalRate = nextRate(admitted[other], 1, elapsedSeconds, timeConstant);
             }
-            admitted[k] = advance(admitted[k], 0, gap, timeConstant);
-            used += Math.min(share[k] * capacity, offered[k]);
-            total += offered[k];
+            admitted[other] = nextRate(admitted[other], 0, elapsedSeconds, timeConstant);
+            usedShares += Math.min(shareOf[other] * capacity, offered[other]);
+            totalOffered += offered[other];
         }
-        offeredTotal = total;
-        withinShare = offered[tenant] <= share[tenant] * capacity;
-        if (provisional > bound(tenant, capacity, used, total)) {
+        lastOfferedTotal = totalOffered;
+        lastOfferWithinShare = offered[index] <= shareOf[index] * capacity;
+        if (provisionalRate > rateBound(index, capacity, usedShares, totalOffered)) {
             return false;
         }
-        admitted[tenant] = provisional;
+        admitted[index] = provisionalRate;
         return true;
     }
 
-    /** Takes back an admitted offer of so long ago, of which nothing went out. */
-    public void withdraw(int i, double capacity, double window, double agoSeconds) {
-        int tenant = i >= 0 && i < share.length - 1 ? i : share.length - 1;
-        double timeConstant = window / capacity;
-        double left = advance(1 / timeConstant, 0, agoSeconds, timeConstant);
-        admitted[tenant] = Math.max(0, admitted[tenant] - left);
+    /** Reverts an offer that was admitted {@code ageSeconds} ago and of which nothing was sent. */
+    public void withdraw(int tenant, double capacity, double windowOffers, double ageSeconds) {
+        int index = tenant >= 0 && tenant < shareOf.length - 1 ? tenant : shareOf.length - 1;
+        double timeConstant = windowOffers / capacity;
+        double remainingRate = nextRate(1 / timeConstant, 0, ageSeconds, timeConstant);
+        admitted[index] = Math.max(0, admitted[index] - remainingRate);
     }
 
     /**
-     * g_i. Where all offers fit in c, or this tenant is within its share, the formula's min is the offered
-     * rate. It is said outright: rounding, or a split above one, would refuse it. It settles ρ = u.
+     * The bound g_i. Where all offers fit in c, or the tenant is within its share, the minimum in the paper's
+     * formula is the offered rate. It is returned directly, as rounding or a split above one would reject the
+     * offer; this also covers ρ = u, where the formula divides by zero.
      */
-    private double bound(int i, double capacity, double used, double total) {
-        double guaranteed = share[i] * capacity;
-        if (offered[i] <= guaranteed || total <= capacity) {
-            return offered[i];
+    private double rateBound(int tenant, double capacity, double usedShares, double totalOffered) {
+        double guaranteed = shareOf[tenant] * capacity;
+        if (offered[tenant] <= guaranteed || totalOffered <= capacity) {
+            return offered[tenant];
         }
-        return guaranteed + (offered[i] - guaranteed) * Math.max(0, capacity - used) / (total - used);
+        return guaranteed
+                + (offered[tenant] - guaranteed) * Math.max(0, capacity - usedShares) / (totalOffered - usedShares);
     }
 
-    /** ρ̂_i, the offered rate of a tenant as of the last offer. */
-    public double offered(int i) {
-        return offered[i >= 0 && i < share.length - 1 ? i : share.length - 1];
+    /** Returns ρ̂_i, the offered rate of a tenant as of the last offer. */
+    public double offered(int tenant) {
+        return offered[tenant >= 0 && tenant < shareOf.length - 1 ? tenant : shareOf.length - 1];
     }
 
-    /** ρ, the sum of the offered rates as of the last offer. */
+    /** Returns ρ, the sum of all offered rates as of the last offer. */
     public double offeredTotal() {
-        return offeredTotal;
+        return lastOfferedTotal;
     }
 
-    /** Whether the last offer's tenant was within its guaranteed share. */
+    /** Returns whether the tenant of the last offer was within its guaranteed share. */
     public boolean wasWithinShare() {
-        return withinShare;
+        return lastOfferWithinShare;
     }
 }
--- a/admission/src/main/java/burlarch/admission/LearnedCapacity.java
+++ b/admission/src/main/java/burlarch/admission/LearnedCapacity.java
@@ -1,111 +1,118 @@
 package burlarch.admission;
 
 /**
- * The capacity c that one proxy may ask of one server, learned from outcomes. It rises only while the
- * throttle binds and answers come back in time. It falls at most once for each batch of evidence: on errors,
- * time-outs and refusals, and on growing delay before any of these.
+ * The capacity c of one server for one proxy, in requests per second, learned from the outcomes of attempts. It
+ * rises only while the throttle binds and answers arrive in time. It is cut at most once for each batch of
+ * outcomes: on errors, time-outs and refusals, and on growing latency before any of these.
+ *
+ * <p>Strain is the smoothed part of the target latency that answers take; a failure counts as 1. Not thread-safe.
  */
 public final class LearnedCapacity {
-    /** A server strained beyond this part of the aim is taking more than it can do. */
-    private static final double STRAINED = 0.35;
-    /** Growth over its usual delay that counts, for a server whose usual delay is already near the aim. */
-    private static final double GROWTH = 1.5;
+    /** A server with more strain than this is overloaded. */
+    private static final double OVERLOAD_STRAIN = 0.35;
+    /** Strain over baseline that is overload, where the baseline is near the target; also c over offered rate. */
+    private static final double MARGIN_FACTOR = 1.5;
 
-    private static final double CUT = 0.9;
+    private static final double CUT_FACTOR = 0.9;
     private static final double GAIN_AFTER_CUT = 0.1;
-    /** Low enough to be harmless, high enough that a trickle of fetches can prove recovery. */
+    /** Low enough to do no harm to an overloaded server, high enough for a few fetches to prove recovery. */
     public static final double FLOOR_PER_SECOND = 2;
 
-    /** Outcomes of a batch of evidence, also W of the goodput; how much quicker c climbs as they are rare. */
+    /** Number of outcomes that one decision is based on; also the window W of the goodput estimate. */
     private final double batch;
 
     private double floorPerSecond;
-    private final double haste;
+    /** Factor of the growth of c above half the ceiling, for a proxy that sees few outcomes. */
+    private final double growthSpeed;
 
     public final CallGapping throttle;
-    private double perSecond;
+    private double capacity;
     private double strain;
     private double goodput;
-    private double gain = 1;
-    private double usualStrain = STRAINED / GROWTH;
-    /** The rate before the last cut less its part, 0 when never cut. */
+    private double growthGain = 1;
+    private double baselineStrain = OVERLOAD_STRAIN / MARGIN_FACTOR;
+    /** At each cut, {@link #CUT_FACTOR} times the larger of c and the ceiling before; 0 before the first cut. */
     private double ceiling;
 
-    private long lastNanos;
-    private long cutNanos = Long.MIN_VALUE;
-    private long boundUntilNanos = Long.MIN_VALUE;
+    private long lastOutcomeNanos;
+    private long lastCutNanos = Long.MIN_VALUE;
+    private long mayGrowUntilNanos = Long.MIN_VALUE;
 
-    public LearnedCapacity(double[] shares, double start, double floorPerSecond, double batch, double haste) {
+    public LearnedCapacity(double[] shares, double initial, double floorPerSecond, double batch, double growthSpeed) {
         throttle = new CallGapping(shares);
         this.batch = batch;
-        this.haste = haste;
+        this.growthSpeed = growthSpeed;
         this.floorPerSecond = floorPerSecond;
-        perSecond = Math.max(floorPerSecond, start);
+        capacity = Math.max(floorPerSecond, initial);
     }
 
-    /** Sets the least rate; one that was learned below it rises to it. */
-    public void setFloor(double perSecondAtLeast) {
-        floorPerSecond = perSecondAtLeast;
-        perSecond = Math.max(floorPerSecond, perSecond);
+    /** Sets the lowest capacity and raises a lower learned capacity to it. */
+    public void setFloor(double minPerSecond) {
+        floorPerSecond = minPerSecond;
+        capacity = Math.max(floorPerSecond, capacity);
     }
 
     public double perSecond() {
-        return perSecond;
+        return capacity;
     }
 
-    /** Until it has shown strain c keeps ahead of what is offered: γ_g does not bind. */
+    /** Before the first cut, raises c above the offered rate, so that the throttle does not bind. */
     public void keepAhead() {
-        perSecond = Math.max(perSecond, ceiling == 0 ? throttle.offeredTotal() * GROWTH : 0);
+        capacity = Math.max(capacity, ceiling == 0 ? throttle.offeredTotal() * MARGIN_FACTOR : 0);
     }
 
-    /** Offers to γ_g. Only where it binds, or nearly, may good outcomes raise c. */
-    public boolean offer(int tenant, double window, long nowNanos) {
-        boolean admitted = throttle.offer(tenant, perSecond, window, nowNanos);
-        if (!admitted || throttle.offeredTotal() > 0.8 * perSecond) {
-            throttleBinds(nowNanos);
+    /** Makes an offer to the throttle. Good outcomes may raise c only where the throttle binds or nearly does. */
+    public boolean offer(int tenant, double windowOffers, long nowNanos) {
+        boolean admitted = throttle.offer(tenant, capacity, windowOffers, nowNanos);
+        if (!admitted || throttle.offeredTotal() > 0.8 * capacity) {
+            onThrottleBinding(nowNanos);
         }
         return admitted;
     }
 
-    /** An admitted offer of so long ago was not sent after all. */
-    public void withdraw(int tenant, double window, long agoNanos) {
-        throttle.withdraw(tenant, perSecond, window, agoNanos * 1e-9);
+    /** Reverts an offer that was admitted {@code ageNanos} ago and was not sent. */
+    public void withdraw(int tenant, double windowOffers, long ageNanos) {
+        throttle.withdraw(tenant, capacity, windowOffers, ageNanos * 1e-9);
     }
 
-    public void throttleBinds(long nowNanos) {
-        boundUntilNanos = nowNanos + (long) (batch / perSecond * 1e9);
+    /** Allows good outcomes to raise c for the time of one batch at the current rate. */
+    public void onThrottleBinding(long nowNanos) {
+        mayGrowUntilNanos = nowNanos + (long) (batch / capacity * 1e9);
     }
 
     /**
-     * @param sentNanos when the attempt went out; one sent before the last cut tells nothing of the new c
-     * @param sample the part of the aim that the answer took, 1 for errors, time-outs and refusals
-     * @return whether this made a batch of evidence that cut c
+     * Records the outcome of an attempt and adjusts c.
+     *
+     * @param sentNanos when the attempt was sent; one sent before the last cut is no evidence about the new c
+     * @param strainSample the part of the target latency that the answer took, 1 for errors, time-outs and refusals
+     * @return whether c was cut
      */
-    public boolean onOutcome(long sentNanos, double sample, boolean accepted, long nowNanos) {
-        goodput = CallGapping.advance(goodput, accepted ? 1 : 0, (nowNanos - lastNanos) * 1e-9, batch / perSecond);
-        lastNanos = nowNanos;
-        if (sentNanos < cutNanos) {
+    public boolean onOutcome(long sentNanos, double strainSample, boolean accepted, long nowNanos) {
+        goodput =
+                CallGapping.nextRate(goodput, accepted ? 1 : 0, (nowNanos - lastOutcomeNanos) * 1e-9, batch / capacity);
+        lastOutcomeNanos = nowNanos;
+        if (sentNanos < lastCutNanos) {
             return false;
         }
-        strain += (Math.min(1, sample) - strain) / batch;
-        usualStrain += (strain - usualStrain) * (strain < usualStrain ? 0.1 : 0.001);
-        if (strain > Math.max(STRAINED, GROWTH * usualStrain)) {
-            ceiling = CUT * Math.max(perSecond, ceiling);
-            perSecond = Math.max(floorPerSecond, CUT * Math.min(perSecond, Math.max(goodput, perSecond / 2)));
-            cutNanos = nowNanos;
-            strain = usualStrain;
-            gain = GAIN_AFTER_CUT;
+        strain += (Math.min(1, strainSample) - strain) / batch;
+        baselineStrain += (strain - baselineStrain) * (strain < baselineStrain ? 0.1 : 0.001);
+        if (strain > Math.max(OVERLOAD_STRAIN, MARGIN_FACTOR * baselineStrain)) {
+            ceiling = CUT_FACTOR * Math.max(capacity, ceiling);
+            capacity = Math.max(floorPerSecond, CUT_FACTOR * Math.min(capacity, Math.max(goodput, capacity / 2)));
+            lastCutNanos = nowNanos;
+            strain = baselineStrain;
+            growthGain = GAIN_AFTER_CUT;
             return true;
         }
-        if (accepted && sample < STRAINED && nowNanos < boundUntilNanos) {
-            // Up to half of what it bore c doubles in about an answer's time, however few answers c brings:
-            // a short trouble must not leave it stuck at the floor. Beyond, with care that wears off. Harms a
-            // server whose capacity fell for good: each try costs it one answer time of overload.
-            if (ceiling == 0 || perSecond < ceiling / 2) {
-                perSecond += Math.min(perSecond / 4, 1e9 / Math.max(1, nowNanos - sentNanos));
+        if (accepted && strainSample < OVERLOAD_STRAIN && nowNanos < mayGrowUntilNanos) {
+            // Below half the ceiling, c doubles in about one answer time however few answers arrive, so that a
+            // short fault does not leave it at the floor. Above, it grows by a gain that recovers gradually.
+            // Drawback: each climb overloads a server whose capacity fell permanently for one answer time.
+            if (ceiling == 0 || capacity < ceiling / 2) {
+                capacity += Math.min(capacity / 4, 1e9 / Math.max(1, nowNanos - sentNanos));
             } else {
-                perSecond += perSecond * haste * gain / batch;
-                gain = Math.min(1, gain * (1 + 0.5 / batch));
+                capacity += capacity * growthSpeed * growthGain / batch;
+                growthGain = Math.min(1, growthGain * (1 + 0.5 / batch));
             }
         }
         return false;
--- a/decisions/src/main/java/burlarch/decisions/CachePool.java
+++ b/decisions/src/main/java/burlarch/decisions/CachePool.java
@@ -19,89 +19,92 @@
 import java.util.function.Supplier;
 import java.util.stream.Collectors;
 
-/** The listed servers: rendezvous order over the caches, their health, warm-up, drain and connections. */
+/**
+ * The servers of the server list as one proxy sees them: choice of a cache for a key by weighted rendezvous
+ * hashing, ejection of failing caches, warm-up, draining and the idle time of connections. Not thread-safe.
+ */
 final class CachePool {
-    /** Failures without a success between them that put a cache in doubt; fewer where fewer are sent it. */
-    private static final int DOUBT_AFTER = 3;
-    /** Part of all connections to caches that may break before more broken ones are needed for a doubt. */
-    private static final double BROKEN_USUALLY = 0.1;
-    /** Attempts that this part is judged by. */
-    private static final double BROKEN_ATTEMPTS = 64;
-    /** Part of the caches that may be in doubt before lateness puts a further one there. */
-    static final double LATE_DOUBTED_MOST = 0.25;
-
-    private static final long FIRST_PAUSE_NANOS = 1_000_000_000L;
-    private static final long LONGEST_PAUSE_NANOS = 8_000_000_000L;
-    /** Part of the stated collapse limit that the proxies together may use. */
-    private static final double COLD_SAFETY = 0.5;
-    /** Time constant of the warm caches' measured load. */
+    /** Consecutive failures that eject a cache; fewer for caches that get few requests. */
+    private static final int EJECT_AFTER_FAILURES = 3;
+    /** Where more than this part of all connections to caches break, ejection takes more broken ones. */
+    private static final double USUAL_BROKEN_FRACTION = 0.1;
+    /** Number of attempts that the fraction of broken connections is averaged over. */
+    private static final double BROKEN_FRACTION_ATTEMPTS = 64;
+    /** Once more than this part of the caches is ejected, no further cache is ejected for late answers. */
+    static final double MAX_EJECTED_FOR_LATENESS = 0.25;
+
+    private static final long MIN_EJECTION_NANOS = 1_000_000_000L;
+    private static final long MAX_EJECTION_NANOS = 8_000_000_000L;
+    /** Part of the stated overload limit of a cold cache that all proxies together may use. */
+    private static final double COLD_LOAD_SAFETY = 0.5;
+    /** Time constant of the measured load of the warm caches. */
     private static final double LOAD_SECONDS = 3;
-    /** Growth with each answer of the time that idle connections are kept; a refused one halves it. */
-    private static final double HOLD_GROWTH = 1.005;
-    /** Part of that time kept at least: one who closes all that stands idle opens one for every request. */
-    private static final double HOLD_LEAST = 1 / 16.0;
+    /** Growth of the idle time of connections with each answer; a refused connection halves the idle time. */
+    private static final double IDLE_GROWTH = 1.005;
+    /** Lowest factor of the idle time: a proxy that closes every idle connection opens one for each request. */
+    private static final double MIN_IDLE_FACTOR = 1 / 16.0;
 
-    /** Growth with each answer of that time at a server that had no place: few see it, so it is cut whole. */
-    private static final double SPARE_GROWTH = 1.02;
+    /** Growth with each answer at a server that was crowded. Few proxies notice that, so they cut to the minimum. */
+    private static final double CROWDED_IDLE_GROWTH = 1.02;
 
-    /** Hits that a kind's speed is judged by at most, and those that the listed sizes count for. */
-    private static final int SPEED_HITS = 96;
+    /** Most hits that the speed of a machine kind is averaged over, and the hits that the listed size counts for. */
+    private static final int MAX_SPEED_HITS = 96;
 
-    private static final int SPEED_PRIOR = 8;
+    private static final int LISTED_SIZE_HITS = 8;
 
     /**
-     * How fast caches of a kind answer, by the mean logarithm of a hit's time for its work. Listed sizes are
-     * rough and a proxy sees little of a single cache, but machines of a kind are alike. Also moves keys off
-     * a kind that became slow; harms where it is slow for a moment only, by some misses.
+     * Measured speed of the caches of one machine kind, from the mean logarithm of the time that a hit takes per
+     * work. Listed sizes are rough and a proxy sees few answers of a single cache, but machines of a kind are
+     * alike. Also moves keys away from a kind that became slow; if it is slow only briefly, that costs some misses.
      */
-    private static final class Kind {
-        double logTime;
+    private static final class MachineKind {
+        double meanLogTime;
         double speed = 1;
         int hits;
 
-        void onHit(double value, Kind all) {
-            hits = Math.min(SPEED_HITS, hits + 1);
-            logTime += (value - logTime) / hits;
-            speed = Math.exp((all.logTime - logTime) * hits / (hits + SPEED_PRIOR));
+        void onHit(double logNanosPerWork, MachineKind allKinds) {
+            hits = Math.min(MAX_SPEED_HITS, hits + 1);
+            meanLogTime += (logNanosPerWork - meanLogTime) / hits;
+            speed = Math.exp((allKinds.meanLogTime - meanLogTime) * hits / (hits + LISTED_SIZE_HITS));
         }
     }
 
-    /** One listed server, a cache or the origin, as this proxy knows it. */
+    /** State of one listed server, a cache or an origin, in this proxy. */
     static final class Node {
         final long id;
-        final long mix;
+        final long idHash;
         Server entry;
         final LearnedCapacity capacity;
-        final Kind kind;
-        int out;
-        int failures;
-        boolean doubted;
-        boolean trialOut;
-        boolean connected;
-        /** Since when this incarnation is known, and when the trial of a doubted one went out. */
+        final MachineKind machineKind;
+        int inFlight;
+        int consecutiveFailures;
+        boolean ejected;
+        boolean probeInFlight;
+        boolean hasConnection;
+        /** When this incarnation was first listed, and when the probe of an ejected one was sent. */
         final long knownSinceNanos;
 
-        long trialNanos;
-        long quietSinceNanos;
-        long usedNanos;
-        long doubtedUntilNanos;
-        long coldLevelNanos;
-        long pauseNanos = FIRST_PAUSE_NANOS;
+        long probeSentNanos;
+        long silentSinceNanos;
+        long lastUsedNanos;
+        long ejectedUntilNanos;
+        long coldLevelUpdatedNanos;
+        long ejectionNanos = MIN_EJECTION_NANOS;
         double coldLevel;
-        double fit = 1;
-        /** Part of the time that idle connections are kept here. */
-        double spare = 1;
+        double weight = 1;
+        /** Factor of the idle time of connections to this server. */
+        double idleFactor = 1;
 
-        Node(Server entry, LearnedCapacity capacity, Kind kind, long nowNanos) {
+        Node(Server entry, LearnedCapacity capacity, MachineKind machineKind, long nowNanos) {
             this.knownSinceNanos = nowNanos;
             this.id = entry.id();
-            this.mix = mix(id * 0x9E3779B97F4A7C15L);
+            this.idHash = mixBits(id * 0x9E3779B97F4A7C15L);
             this.entry = entry;
             this.capacity = capacity;
-            this.kind = kind;
+            this.machineKind = machineKind;
         }
 
-        boolean ready() {
+        boolean isReady() {
             return entry.stage() == Stage.IN;
         }
     }
@@ -109,42 +112,42 @@
     private final Settings settings;
     private final Actions actions;
     private final SplittableRandom random;
-    private final long patienceNanos;
+    private final long silenceTimeoutNanos;
     private final double quotaPerSecond;
-    private final Supplier<LearnedCapacity> gates;
-    private final Map<Integer, Kind> kinds = new HashMap<>();
-    private final Kind allKinds = new Kind();
+    private final Supplier<LearnedCapacity> capacityFactory;
+    private final Map<Integer, MachineKind> machineKinds = new HashMap<>();
+    private final MachineKind allKinds = new MachineKind();
     private final Map<Long, Node> nodes = new LinkedHashMap<>();
-    /** The ready caches and origins. */
+    /** The caches and origins that are in service. */
     private Node[] caches = {};
 
     private Node[] origins = {};
 
-    private int doubtedCount;
-    private double load;
-    private double holdPart = 1;
-    private double brokenPart;
-    private long loadNanos;
+    private int ejectedCount;
+    private double warmLoad;
+    private double idleFactor = 1;
+    private double brokenFraction;
+    private long warmLoadNanos;
 
     CachePool(
             Settings settings,
             Actions actions,
             SplittableRandom random,
-            long patienceNanos,
-            Supplier<LearnedCapacity> gates) {
+            long silenceTimeoutNanos,
+            Supplier<LearnedCapacity> capacityFactory) {
         this.settings = settings;
         this.actions = actions;
         this.random = random;
-        this.patienceNanos = patienceNanos;
-        this.gates = gates;
+        this.silenceTimeoutNanos = silenceTimeoutNanos;
+        this.capacityFactory = capacityFactory;
         this.quotaPerSecond =
                 settings.tenants().stream().mapToDouble(Tenant::quotaPerSecond).sum();
     }
 
-    static long mix(long x) {
-        long z = (x ^ (x >>> 30)) * 0xBF58476D1CE4E5B9L;
-        z = (z ^ (z >>> 27)) * 0x94D049BB133111EBL;
-        return z ^ (z >>> 31);
+    static long mixBits(long bits) {
+        long mixed = (bits ^ (bits >>> 30)) * 0xBF58476D1CE4E5B9L;
+        mixed = (mixed ^ (mixed >>> 27)) * 0x94D049BB133111EBL;
+        return mixed ^ (mixed >>> 31);
     }
 
     void update(List<Server> entries, boolean complete, long nowNanos) {
@@ -156,18 +159,20 @@
             if (entry.stage() == Stage.OUT) {
                 nodes.remove(entry.id());
             } else if (node == null || entry.bootNanos() > node.entry.bootNanos()) {
-                Kind kind = kinds.computeIfAbsent(entry.kind(), k -> new Kind());
-                nodes.put(entry.id(), new Node(entry, gates.get(), kind, nowNanos));
+                MachineKind machineKind = machineKinds.computeIfAbsent(entry.kind(), kind -> new MachineKind());
+                nodes.put(entry.id(), new Node(entry, capacityFactory.get(), machineKind, nowNanos));
             } else {
                 node.entry = entry;
             }
         }
-        caches = nodes.values().stream().filter(n -> n.ready() && !isOrigin(n)).toArray(Node[]::new);
-        origins = nodes.values().stream().filter(n -> n.ready() && isOrigin(n)).toArray(Node[]::new);
-        doubtedCount = (int) Arrays.stream(caches).filter(node -> node.doubted).count();
+        caches =
+                nodes.values().stream().filter(n -> n.isReady() && !isOrigin(n)).toArray(Node[]::new);
+        origins =
+                nodes.values().stream().filter(n -> n.isReady() && isOrigin(n)).toArray(Node[]::new);
+        ejectedCount = (int) Arrays.stream(caches).filter(node -> node.ejected).count();
     }
 
-    /** The incarnation that an attempt went to, or null: its successor has no part in how it ended. */
+    /** Returns the incarnation that an attempt was sent to, or null if it was replaced or removed since. */
     Node find(long id, long sentNanos) {
         Node node = nodes.get(id);
         return node == null || sentNanos < node.knownSinceNanos ? null : node;
@@ -181,255 +186,260 @@
         return node.entry.kind() == settings.originKind();
     }
 
-    /** The origin to use: of several, the one with least out from here. */
+    /** Returns the origin with the fewest attempts of this proxy in flight, or null. */
     Node origin() {
         return Arrays.stream(origins)
-                .min(Comparator.comparingInt(node -> node.out))
+                .min(Comparator.comparingInt(node -> node.inFlight))
                 .orElse(null);
     }
 
-    // ---- rendezvous
+    // ---- choice of a cache
 
     /**
-     * Best cache for the key by weighted rendezvous, least −ln(u)/w, among those not yet used for this
-     * request, or null. As −ln(u) is never under 1 − u, few caches need the logarithm or a further look.
+     * Returns the best cache for the key by weighted rendezvous hashing, the one with the smallest −ln(u)/w,
+     * among those not yet tried for this request, or null. As −ln(u) is at least 1 − u, few caches need the
+     * logarithm or the other checks.
      */
-    Node best(long key, List<Node> used, long nowNanos) {
-        // When most look bad the trouble is likely between them and us: ejecting most would add to it.
-        boolean mostDoubted = doubtedCount > 0.5 * caches.length;
+    Node chooseCache(long key, List<Node> tried, long nowNanos) {
+        // If most caches fail, the fault is likely in the network: ejecting most of them would make it worse.
+        boolean mostEjected = ejectedCount > 0.5 * caches.length;
         Node best = null;
-        double least = Double.MAX_VALUE;
+        double minDistance = Double.MAX_VALUE;
         for (Node node : caches) {
-            double unit = ((mix(key ^ node.mix) >>> 11) + 0.5) * 0x1.0p-53;
-            double weight = node.entry.size() * node.fit * node.kind.speed;
-            if (1 - unit < least * weight && usable(node, mostDoubted, nowNanos) && !used.contains(node)) {
-                double distance = -Math.log(unit) / (weight * warmth(node, nowNanos));
-                if (distance < least) {
+            double uniform = ((mixBits(key ^ node.idHash) >>> 11) + 0.5) * 0x1.0p-53;
+            double weight = node.entry.size() * node.weight * node.machineKind.speed;
+            if (1 - uniform < minDistance * weight && isUsable(node, mostEjected, nowNanos) && !tried.contains(node)) {
+                double distance = -Math.log(uniform) / (weight * warmFraction(node, nowNanos));
+                if (distance < minDistance) {
                     best = node;
-                    least = distance;
+                    minDistance = distance;
                 }
             }
         }
         return best;
     }
 
-    private boolean usable(Node node, boolean mostDoubted, long nowNanos) {
-        boolean trial = nowNanos >= node.doubtedUntilNanos && !node.trialOut;
-        return mostDoubted || (node.doubted ? trial : !silent(node, nowNanos));
+    private boolean isUsable(Node node, boolean mostEjected, long nowNanos) {
+        boolean probe = nowNanos >= node.ejectedUntilNanos && !node.probeInFlight;
+        return mostEjected || (node.ejected ? probe : !isSilent(node, nowNanos));
     }
 
-    /** Whether the node has work of ours out and has answered nothing for longer than patience. */
-    boolean silent(Node node, long nowNanos) {
-        return nowNanos - node.quietSinceNanos > patienceNanos && node.out >= doubtAfter();
+    /** Returns whether the node has attempts in flight and has not answered for the silence timeout. */
+    boolean isSilent(Node node, long nowNanos) {
+        return nowNanos - node.silentSinceNanos > silenceTimeoutNanos && node.inFlight >= failuresToEject();
     }
 
     /**
-     * Three failures, where several requests go to a cache in a doubt's first pause. With many proxies none
-     * does: one failure must do, and costs a request or two if wrong.
+     * Three failures, if a cache gets several requests in a first ejection time. With many proxies it gets none
+     * in that time: one failure has to suffice, and a wrong ejection affects a request or two.
      */
-    private int doubtAfter() {
-        double perPause = load * FIRST_PAUSE_NANOS * 1e-9 / Math.max(1, caches.length);
-        return (int) Math.max(1, Math.min(DOUBT_AFTER, Math.ceil(perPause * 2)));
+    private int failuresToEject() {
+        double requestsPerEjection = warmLoad * MIN_EJECTION_NANOS * 1e-9 / Math.max(1, caches.length);
+        return (int) Math.max(1, Math.min(EJECT_AFTER_FAILURES, Math.ceil(requestsPerEjection * 2)));
     }
 
     /**
-     * Where the network breaks connections at all caches, three in a row come by chance: as many count as are
-     * as unlikely there. Guards against doubting the well, whose keys would crowd the rest; harms where a
-     * cache dies meanwhile, by some more repeats.
+     * Where the network breaks connections to all caches, three in a row occur by chance. The number is raised
+     * until the run is as unlikely as otherwise. This avoids ejecting healthy caches, whose keys would load the
+     * others; a cache that dies meanwhile causes some more repeats.
      */
-    private int doubtAfterBroken() {
-        return (int)
-                Math.ceil(doubtAfter() * Math.max(1, Math.log(BROKEN_USUALLY) / Math.log(Math.min(0.9, brokenPart))));
+    private int breaksToEject() {
+        return (int) Math.ceil(failuresToEject()
+                * Math.max(1, Math.log(USUAL_BROKEN_FRACTION) / Math.log(Math.min(0.9, brokenFraction))));
     }
 
-    /** The part of its full work that the node can do, by the slowest ramp that the settings allow. */
-    double warmth(Node node, long nowNanos) {
-        double part = (nowNanos - node.entry.bootNanos())
-                / (double) settings.obligations().coldNanos();
-        double coldFrom = settings.obligations().coldFrom();
-        return node.entry.bootNanos() == 0 || part >= 1 ? 1 : coldFrom + (1 - coldFrom) * Math.max(0, part);
+    /** Returns the part of its full work that the node can do, by the slowest warm-up that the settings allow. */
+    double warmFraction(Node node, long nowNanos) {
+        double progress = (nowNanos - node.entry.bootNanos())
+                / (double) settings.obligations().warmUpNanos();
+        double coldStart = settings.obligations().coldStartFraction();
+        return node.entry.bootNanos() == 0 || progress >= 1 ? 1 : coldStart + (1 - coldStart) * Math.max(0, progress);
     }
 
     /**
-     * Work that this proxy may send a cold node in any window. Were every proxy to send it in proportion to
-     * what it sends warm nodes, the sum would be the cold part of a warm node's load; what the settings allow
-     * beyond that is halved and bounds bursts.
+     * Work that this proxy may send a cold node in any overload window. If every proxy sends it in proportion to
+     * its load on the warm nodes, the sum is the warm fraction of a warm node's load. The settings allow a
+     * multiple of that; half of it is used and bounds bursts.
      */
-    private double coldBudget(Node node, long nowNanos) {
-        double windowSeconds = settings.obligations().fallNanos() * 1e-9;
-        double warm = 0;
+    private double coldWorkBudget(Node node, long nowNanos) {
+        double windowSeconds = settings.obligations().overloadWindowNanos() * 1e-9;
+        double warmSize = 0;
         for (Node cache : caches) {
-            warm += warmth(cache, nowNanos) >= 1 ? cache.entry.size() : 0;
+            warmSize += warmFraction(cache, nowNanos) >= 1 ? cache.entry.size() : 0;
         }
-        double now = CallGapping.advance(load, 0, (nowNanos - loadNanos) * 1e-9, LOAD_SECONDS);
+        double currentLoad = CallGapping.nextRate(warmLoad, 0, (nowNanos - warmLoadNanos) * 1e-9, LOAD_SECONDS);
         return Math.max(
                 2.0 / settings.proxies(),
-                COLD_SAFETY
-                        * settings.obligations().fallMultiple()
-                        * warmth(node, nowNanos)
-                        * (warm > 0 ? now / warm : 0)
+                COLD_LOAD_SAFETY
+                        * settings.obligations().overloadMultiple()
+                        * warmFraction(node, nowNanos)
+                        * (warmSize > 0 ? currentLoad / warmSize : 0)
                         * node.entry.size()
                         * windowSeconds);
     }
 
     /**
-     * A leaky bucket: half the budget at once, half over the window, so no window holds more than all. Where
-     * half the budget is under one request, one goes out by chance, so that the many proxies together send no
-     * more than their budgets' sum, also when all learn of a start at once and one key is wanted by all.
+     * Takes work from the node's leaky bucket: half the budget at once and half over the window, so that no
+     * window gets more than the budget. Where half the budget is less than one request, a request is allowed at
+     * random, so that many proxies together send no more than the sum of their budgets, even when all learn of
+     * a new node at once and need the same key.
      */
-    boolean coldBudgetAllows(Node node, double cost, long nowNanos) {
-        if (isOrigin(node) || warmth(node, nowNanos) >= 1) {
+    boolean takeColdBudget(Node node, double cost, long nowNanos) {
+        if (isOrigin(node) || warmFraction(node, nowNanos) >= 1) {
             return true;
         }
-        double half = coldBudget(node, nowNanos) / 2;
-        double windows = (nowNanos - node.coldLevelNanos)
-                / (double) settings.obligations().fallNanos();
-        double level = Math.max(0, node.coldLevel - windows * half);
-        if (level + cost > half && (level > 0 || random.nextDouble() * cost > half)) {
+        double halfBudget = coldWorkBudget(node, nowNanos) / 2;
+        double elapsedWindows = (nowNanos - node.coldLevelUpdatedNanos)
+                / (double) settings.obligations().overloadWindowNanos();
+        double bucketLevel = Math.max(0, node.coldLevel - elapsedWindows * halfBudget);
+        if (bucketLevel + cost > halfBudget && (bucketLevel > 0 || random.nextDouble() * cost > halfBudget)) {
             return false;
         }
-        node.coldLevel = level + cost;
-        node.coldLevelNanos = nowNanos;
+        node.coldLevel = bucketLevel + cost;
+        node.coldLevelUpdatedNanos = nowNanos;
         return true;
     }
 
     /**
-     * How long an idle connection is worth its rent: until that equals a new one's charge. Less where caches
-     * refused connections, their tables being full. Guards against hundreds of proxies holding what a few
-     * could use; harms where a cache that is down refuses, by some more new connections until it is doubted.
+     * Idle time after which keeping a connection has cost as much as opening a new one. It is shorter after
+     * caches refused connections, as their connection tables are full: otherwise hundreds of proxies would hold
+     * connections that a few could use. A cache that is down refuses too, which causes some more new
+     * connections until it is ejected.
      */
-    private long holdNanos() {
+    private long idleTimeNanos() {
         Charges charges = settings.charges();
-        double worthNanos = charges.connection() == 0 || quotaPerSecond == 0
+        double breakEvenNanos = charges.perHundredConnections() == 0 || quotaPerSecond == 0
                 ? Double.MAX_VALUE
-                : charges.handshake() / charges.connection() * caches.length / quotaPerSecond * 1e11;
-        return (long) (holdPart * Math.min(worthNanos, settings.limits().idleCloseNanos()));
+                : charges.perHandshake() / charges.perHundredConnections() * caches.length / quotaPerSecond * 1e11;
+        return (long) (idleFactor * Math.min(breakEvenNanos, settings.limits().idleCloseNanos()));
     }
 
-    /** Closes the connections, the origin's too, that have been idle longer than they are worth. */
-    void closeIdle(long nowNanos) {
-        long hold = holdNanos();
-        for (Node node : hold < settings.limits().idleCloseNanos() ? nodes.values() : List.<Node>of()) {
-            if (node.connected && node.out == 0 && nowNanos - node.usedNanos >= hold) {
-                node.connected = false;
+    /** Closes connections, also to origins, that have been idle for longer than keeping them pays. */
+    void closeIdleConnections(long nowNanos) {
+        long maxIdleNanos = idleTimeNanos();
+        for (Node node : maxIdleNanos < settings.limits().idleCloseNanos() ? nodes.values() : List.<Node>of()) {
+            if (node.hasConnection && node.inFlight == 0 && nowNanos - node.lastUsedNanos >= maxIdleNanos) {
+                node.hasConnection = false;
                 actions.letGo(node.id);
             }
         }
     }
 
-    // ---- what attempts tell
+    // ---- events of attempts
 
-    /** Whether the next attempt there has to open a connection. */
-    boolean unconnected(Node node, long nowNanos) {
-        long idleNanos = nowNanos - node.usedNanos;
-        return node.out == 0
-                && (!node.connected || idleNanos >= settings.limits().idleCloseNanos());
+    /** Returns whether the next attempt at the node has to open a connection. */
+    boolean needsNewConnection(Node node, long nowNanos) {
+        long idleNanos = nowNanos - node.lastUsedNanos;
+        return node.inFlight == 0
+                && (!node.hasConnection || idleNanos >= settings.limits().idleCloseNanos());
     }
 
     void onSend(Node node, double cost, long nowNanos) {
-        if (node.out++ == 0) {
-            node.quietSinceNanos = nowNanos;
+        if (node.inFlight++ == 0) {
+            node.silentSinceNanos = nowNanos;
         }
-        if (node.doubted) {
-            node.trialOut = true;
-            node.trialNanos = nowNanos;
+        if (node.ejected) {
+            node.probeInFlight = true;
+            node.probeSentNanos = nowNanos;
         }
-        if (!isOrigin(node) && warmth(node, nowNanos) >= 1) {
-            load = CallGapping.advance(load, cost, (nowNanos - loadNanos) * 1e-9, LOAD_SECONDS);
-            loadNanos = nowNanos;
+        if (!isOrigin(node) && warmFraction(node, nowNanos) >= 1) {
+            warmLoad = CallGapping.nextRate(warmLoad, cost, (nowNanos - warmLoadNanos) * 1e-9, LOAD_SECONDS);
+            warmLoadNanos = nowNanos;
         }
     }
 
-    /** What was sent so long ago has not gone out: it is no work of the node's. */
-    void onWithdrawn(Node node, double cost, long agoNanos, long nowNanos) {
+    /** Reverts the load that {@link #onSend} counted, for an attempt that was never sent. */
+    void onWithdrawn(Node node, double cost, long ageNanos, long nowNanos) {
         node.coldLevel = Math.max(0, node.coldLevel - cost);
-        if (!isOrigin(node) && warmth(node, nowNanos) >= 1) {
-            double part = CallGapping.advance(cost / LOAD_SECONDS, 0, agoNanos * 1e-9, LOAD_SECONDS);
-            load = Math.max(0, load - part);
+        if (!isOrigin(node) && warmFraction(node, nowNanos) >= 1) {
+            double remainingLoad = CallGapping.nextRate(cost / LOAD_SECONDS, 0, ageNanos * 1e-9, LOAD_SECONDS);
+            warmLoad = Math.max(0, warmLoad - remainingLoad);
         }
     }
 
     void onHit(Node node, double nanosPerWork) {
-        double value = Math.log(Math.max(1, nanosPerWork));
-        allKinds.onHit(value, allKinds);
-        node.kind.onHit(value, allKinds);
+        double logNanosPerWork = Math.log(Math.max(1, nanosPerWork));
+        allKinds.onHit(logNanosPerWork, allKinds);
+        node.machineKind.onHit(logNanosPerWork, allKinds);
     }
 
     void onEnded(Node node, Outcome outcome, long elapsedNanos, long nowNanos) {
-        node.out = Math.max(0, node.out - 1);
-        // One sent before the trial says nothing of it, and leaves it out.
-        boolean trial = node.trialOut && nowNanos - elapsedNanos >= node.trialNanos;
-        node.usedNanos = nowNanos;
-        node.connected |= outcome == Outcome.GOOD || outcome == Outcome.MISS;
+        node.inFlight = Math.max(0, node.inFlight - 1);
+        // An attempt that was sent before the probe is not the probe, which stays in flight.
+        boolean probe = node.probeInFlight && nowNanos - elapsedNanos >= node.probeSentNanos;
+        node.lastUsedNanos = nowNanos;
+        node.hasConnection |= outcome == Outcome.GOOD || outcome == Outcome.MISS;
         boolean broken = outcome == Outcome.NOCONN || outcome == Outcome.RST;
         if (!isOrigin(node) && outcome != Outcome.CXL && outcome != Outcome.NOP) {
-            brokenPart += ((broken ? 1 : 0) - brokenPart) / BROKEN_ATTEMPTS;
+            brokenFraction += ((broken ? 1 : 0) - brokenFraction) / BROKEN_FRACTION_ATTEMPTS;
         }
         switch (outcome) {
             case GOOD, MISS -> {
-                if (node.spare < 1) {
-                    keepSpare(node, Math.min(1, node.spare * SPARE_GROWTH));
+                if (node.idleFactor < 1) {
+                    setIdleFactor(node, Math.min(1, node.idleFactor * CROWDED_IDLE_GROWTH));
                 }
-                holdPart = Math.min(1, holdPart * HOLD_GROWTH);
-                node.quietSinceNanos = nowNanos;
-                node.failures = 0;
-                if (node.doubted) {
-                    node.doubted = false;
-                    doubtedCount -= node.ready() ? 1 : 0;
-                    node.pauseNanos = FIRST_PAUSE_NANOS;
+                idleFactor = Math.min(1, idleFactor * IDLE_GROWTH);
+                node.silentSinceNanos = nowNanos;
+                node.consecutiveFailures = 0;
+                if (node.ejected) {
+                    node.ejected = false;
+                    ejectedCount -= node.isReady() ? 1 : 0;
+                    node.ejectionNanos = MIN_EJECTION_NANOS;
                 }
             }
             case NOCONN, RST, LATE, BAD -> {
-                node.connected &= !broken;
+                node.hasConnection &= !broken;
                 if (outcome == Outcome.NOCONN
                         && elapsedNanos < settings.limits().connectTimeoutNanos() / 2) {
-                    holdPart = Math.max(HOLD_LEAST, holdPart / 2);
+                    idleFactor = Math.max(MIN_IDLE_FACTOR, idleFactor / 2);
                 }
-                if (++node.failures >= (broken ? doubtAfterBroken() : doubtAfter()) || trial) {
-                    doubt(node, broken ? 1 : LATE_DOUBTED_MOST, nowNanos);
+                if (++node.consecutiveFailures >= (broken ? breaksToEject() : failuresToEject()) || probe) {
+                    eject(node, broken ? 1 : MAX_EJECTED_FOR_LATENESS, nowNanos);
                 }
             }
-            case FULL -> node.quietSinceNanos = nowNanos;
+            case FULL -> node.silentSinceNanos = nowNanos;
             case CROWDED -> {
-                node.quietSinceNanos = nowNanos;
-                keepSpare(node, spareLeast());
+                node.silentSinceNanos = nowNanos;
+                setIdleFactor(node, minIdleFactor());
             }
             default -> {}
         }
-        node.trialOut &= !trial && node.doubted;
+        node.probeInFlight &= !probe && node.ejected;
     }
 
     /**
-     * While places are short, each idle moment keeps another proxy's request from one: over an answer's time,
-     * which patience stands for, a whole request. So one is kept until that equals a new one's charge.
+     * Idle time factor at a crowded server. There an idle connection blocks requests of other proxies: one
+     * request in each answer time, for which the silence timeout stands. A connection is kept until that cost
+     * equals the charge of a new one.
      */
-    private double spareLeast() {
-        double leastNanos = Math.max(settings.quantumNanos(), settings.charges().handshake() * patienceNanos);
-        return Math.min(1, leastNanos / settings.limits().idleCloseNanos());
+    private double minIdleFactor() {
+        double minNanos = Math.max(settings.quantumNanos(), settings.charges().perHandshake() * silenceTimeoutNanos);
+        return Math.min(1, minNanos / settings.limits().idleCloseNanos());
     }
 
     /**
-     * A server's places for connections are shared by all proxies. Two or three idle ones do no harm from
-     * one proxy and fill the places from many, and whoever has none at that moment is shut out. Who meets
-     * that lets its own go soon. Harms by more new connections, up to one a request.
+     * Sets how long connections to a server may stay idle. All proxies share the connection table of a server:
+     * two or three idle connections of one proxy do no harm, but those of many fill it and shut out a proxy
+     * without one. A proxy that is refused therefore closes its own soon, which costs up to one new connection
+     * for each request.
      */
-    private void keepSpare(Node node, double part) {
-        node.spare = part;
-        actions.trim(node.id, (long) (part * settings.limits().idleCloseNanos()));
+    private void setIdleFactor(Node node, double factor) {
+        node.idleFactor = factor;
+        actions.trim(node.id, (long) (factor * settings.limits().idleCloseNanos()));
     }
 
     /**
-     * Takes the node out of the order for a pause that grows while its trials fail. Of those that only answer
-     * late, at most a quarter: in an overload each one ejected would crowd the rest and make its keys misses.
+     * Ejects the node for a time that doubles while its probes fail. Of caches that only answer late, at most a
+     * quarter is ejected: in an overload, each ejection loads the others and turns its keys into misses.
      */
-    void doubt(Node node, double mostPart, long nowNanos) {
+    void eject(Node node, double maxEjected, long nowNanos) {
         if (isOrigin(node)
-                || (node.doubted ? nowNanos < node.doubtedUntilNanos : doubtedCount > mostPart * caches.length)) {
+                || (node.ejected ? nowNanos < node.ejectedUntilNanos : ejectedCount > maxEjected * caches.length)) {
             return;
         }
-        node.doubtedUntilNanos = nowNanos + node.pauseNanos;
-        node.pauseNanos = Math.min(LONGEST_PAUSE_NANOS, node.pauseNanos * 2);
-        doubtedCount += node.doubted || !node.ready() ? 0 : 1;
-        node.doubted = true;
+        node.ejectedUntilNanos = nowNanos + node.ejectionNanos;
+        node.ejectionNanos = Math.min(MAX_EJECTION_NANOS, node.ejectionNanos * 2);
+        ejectedCount += node.ejected || !node.isReady() ? 0 : 1;
+        node.ejected = true;
     }
 }
--- a/overload/src/main/java/burlarch/overload/OwnLoad.java
+++ b/overload/src/main/java/burlarch/overload/OwnLoad.java
@@ -3,84 +3,84 @@
 import java.util.Arrays;
 
 /**
- * What a proxy admits while its own loop is behind, told by its host, which passes the time with every call.
- * It knows how far the loop is behind from a beat that the host lets it hear at a steady period: one that
- * comes late waited for the work before it.
+ * Admission control of a proxy against overload of its own event loop. The host calls {@link #beat} at a steady
+ * period and passes the time with every call. The lag of the loop is measured by the delay of a beat, which
+ * waits for the work queued before it.
  *
- * <p>Short bursts and stops are no overload. As in CoDel (Nichols and Jacobson, ACM Queue 2012) what counts
- * is the least lag within an interval: a queue that was empty once has been worked off. While that stands
- * over its target, the part of the requests that is admitted shrinks each interval, at most to a half, and
- * grows again by a fixed step once it does not (AIMD, as in gradient limits); the part is shared out by
- * worth, as in DAGOR (Zhou and others, SoCC 2018): the less worthy are refused first, and all of them before
- * any of the more worthy. What can't be answered in its time is refused whatever its worth.
+ * <p>Short bursts and pauses are no overload. As in CoDel (Nichols and Jacobson, ACM Queue 2012), the minimum lag
+ * within an interval counts, the standing lag: a queue that was empty once has been worked off. While the
+ * standing lag exceeds its target, the admitted fraction of the requests shrinks in each interval, at most to a
+ * half, and otherwise grows by a fixed step (AIMD, as in gradient limits). The fraction is distributed by worth,
+ * as in DAGOR (Zhou and others, SoCC 2018): requests of the lowest worth are refused first, and all of them
+ * before any of a higher worth. A request that cannot be answered in its time is refused whatever its worth.
  *
- * <p>State is a few numbers for each rank of worth. Confined to one thread. Times are nanoseconds of one
- * clock.
+ * <p>State is a few numbers for each rank of worth, where rank 0 has the highest worth. Not thread-safe. Times are
+ * nanoseconds of one clock.
  */
 public final class OwnLoad {
-    /** How long the least lag is looked for: long enough for a process that is stopped in each 100 ms. */
+    /** Interval over which the minimum lag is taken: covers a CPU quota that stops the process in each 100 ms. */
     static final long INTERVAL_NANOS = 100_000_000L;
-    /** Beats in it at least: one that is late tells of one stop, not of a queue that stands. */
-    static final int BEATS_LEAST = 3;
-    /** A standing lag beyond this is overload. */
+    /** Fewest beats in an interval: a single late beat may be caused by one pause and not by a standing queue. */
+    static final int MIN_BEATS = 3;
+    /** A longer standing lag is overload. */
     static final long TARGET_NANOS = 10_000_000L;
-    /** How much of the admitted part one interval may take, and what one gives back. */
-    static final double SHRINK_MOST = 0.5;
+    /** Lowest factor on the admitted fraction in an overloaded interval, and its growth in any other. */
+    static final double MIN_SHRINK_FACTOR = 0.5;
 
-    static final double GROWTH = 0.05;
-    /** Some are always let in, or it would not be seen when they could be served. */
-    static final double PART_LEAST = 0.02;
-    /** Shares of the ranks follow arrivals within about this many intervals. */
+    static final double GROWTH_STEP = 0.05;
+    /** Some requests are always admitted, as otherwise it would not show when they can be served again. */
+    static final double MIN_ADMITTED_FRACTION = 0.02;
+    /** Weight of the last interval in the moving average of each rank's share of arrivals. */
     private static final double SHARE_GAIN = 0.3;
 
-    private static final long RETRY_LEAST_NANOS = 200_000_000L;
-    /** Steps of the golden ratio lie evenly, however many: refused clients come back apart. */
-    private static final double SPREAD_STEP = 0.6180339887498949;
+    private static final long MIN_RETRY_AFTER_NANOS = 200_000_000L;
+    /** Multiples of the golden ratio, modulo 1, are spread evenly: refused clients return at different times. */
+    private static final double GOLDEN_RATIO_STEP = 0.6180339887498949;
 
-    private final long beatNanos;
-    private final double[] worths;
-    /** By rank, the most worthy first: arrivals of this interval, their part of all, and what is saved up. */
+    private final long beatPeriodNanos;
+    private final double[] worthsByRank;
+    /** By rank: arrivals in this interval, share of all arrivals, and accumulated credit for admissions. */
     private final double[] arrivals;
 
-    private final double[] shares;
-    private final double[] credit;
+    private final double[] arrivalShares;
+    private final double[] credits;
     private long lastBeatNanos;
     private long intervalEndNanos;
     private int beats;
-    private long leastLagNanos = Long.MAX_VALUE;
+    private long minLagNanos = Long.MAX_VALUE;
     private long standingLagNanos;
-    private double part = 1;
-    private double spread;
-    private long refused;
+    private double admittedFraction = 1;
+    private double retrySpread;
+    private long refusedCount;
 
     /**
-     * @param nowNanos  the time
-     * @param beatNanos the beat's period
-     * @param worths    of the classes, by their numbers; what is of none counts as of the least
+     * @param nowNanos current time
+     * @param beatPeriodNanos period of the calls of {@link #beat}
+     * @param worths worths of the request classes, in any order; a lower worth counts as the lowest of them
      */
-    public OwnLoad(long nowNanos, long beatNanos, double[] worths) {
-        this.beatNanos = beatNanos;
-        this.worths = Arrays.stream(worths).distinct().sorted().toArray();
-        for (int i = 0, j = this.worths.length - 1; i < j; i++, j--) {
-            double swapped = this.worths[i];
-            this.worths[i] = this.worths[j];
-            this.worths[j] = swapped;
+    public OwnLoad(long nowNanos, long beatPeriodNanos, double[] worths) {
+        this.beatPeriodNanos = beatPeriodNanos;
+        this.worthsByRank = Arrays.stream(worths).distinct().sorted().toArray();
+        for (int i = 0, j = this.worthsByRank.length - 1; i < j; i++, j--) {
+            double swapped = this.worthsByRank[i];
+            this.worthsByRank[i] = this.worthsByRank[j];
+            this.worthsByRank[j] = swapped;
         }
-        int ranks = Math.max(1, this.worths.length);
-        arrivals = new double[ranks];
-        shares = new double[ranks];
-        credit = new double[ranks];
-        Arrays.fill(shares, 1.0 / ranks);
+        int rankCount = Math.max(1, this.worthsByRank.length);
+        arrivals = new double[rankCount];
+        arrivalShares = new double[rankCount];
+        credits = new double[rankCount];
+        Arrays.fill(arrivalShares, 1.0 / rankCount);
         lastBeatNanos = nowNanos;
         intervalEndNanos = nowNanos + INTERVAL_NANOS;
     }
 
-    /** The beat has come. A clock that stood still or went back is taken for no lag. */
+    /** Measures the lag; called once per beat period. A clock that stands still or goes back counts as no lag. */
     public void beat(long nowNanos) {
-        long lagNanos = Math.max(0, nowNanos - lastBeatNanos - beatNanos);
+        long lagNanos = Math.max(0, nowNanos - lastBeatNanos - beatPeriodNanos);
         lastBeatNanos = nowNanos;
-        leastLagNanos = Math.min(leastLagNanos, lagNanos);
-        if (++beats >= BEATS_LEAST && nowNanos >= intervalEndNanos) {
+        minLagNanos = Math.min(minLagNanos, lagNanos);
+        if (++beats >= MIN_BEATS && nowNanos >= intervalEndNanos) {
             endInterval(nowNanos);
         }
     }
@@ -88,77 +88,79 @@
     private void endInterval(long nowNanos) {
         intervalEndNanos = nowNanos + INTERVAL_NANOS;
         beats = 0;
-        standingLagNanos = leastLagNanos;
-        leastLagNanos = Long.MAX_VALUE;
+        standingLagNanos = minLagNanos;
+        minLagNanos = Long.MAX_VALUE;
         if (standingLagNanos > TARGET_NANOS) {
-            part *= Math.max(SHRINK_MOST, (double) TARGET_NANOS / standingLagNanos);
-            part = Math.max(PART_LEAST, part);
+            admittedFraction *= Math.max(MIN_SHRINK_FACTOR, (double) TARGET_NANOS / standingLagNanos);
+            admittedFraction = Math.max(MIN_ADMITTED_FRACTION, admittedFraction);
         } else {
-            part = Math.min(1, part + GROWTH);
+            admittedFraction = Math.min(1, admittedFraction + GROWTH_STEP);
         }
-        double sum = Arrays.stream(arrivals).sum();
-        for (int i = 0; i < shares.length && sum > 0; i++) {
-            shares[i] += SHARE_GAIN * (arrivals[i] / sum - shares[i]);
+        double totalArrivals = Arrays.stream(arrivals).sum();
+        for (int i = 0; i < arrivalShares.length && totalArrivals > 0; i++) {
+            arrivalShares[i] += SHARE_GAIN * (arrivals[i] / totalArrivals - arrivalShares[i]);
             arrivals[i] = 0;
         }
     }
 
     /**
-     * A request has been read.
+     * Decides on a request that has been read.
      *
-     * @param lagNanos  how long it may have lain there
-     * @param leftNanos from now to when its answer has to be back, if it was read as soon as it came
-     * @return whether it is admitted; if not it is to be refused at once
+     * @param lagNanos how long the request may have waited before it was read
+     * @param timeLeftNanos time until its answer is due, counted as if it had been read on arrival
+     * @return whether it is admitted; otherwise it has to be refused at once
      */
-    public boolean admits(double worth, long lagNanos, long leftNanos) {
-        int rank = rank(worth);
+    public boolean admits(double worth, long lagNanos, long timeLeftNanos) {
+        int rank = rankOf(worth);
         arrivals[rank]++;
-        if (part >= 1) {
+        if (admittedFraction >= 1) {
             return true;
         }
-        // Its answer will lie there for as long as it did.
-        boolean hopeless = standingLagNanos > TARGET_NANOS && 2 * lagNanos >= leftNanos;
-        double before = 0;
+        // The answer will wait for as long as the request did.
+        boolean tooLate = standingLagNanos > TARGET_NANOS && 2 * lagNanos >= timeLeftNanos;
+        double higherRanksShare = 0;
         for (int i = 0; i < rank; i++) {
-            before += shares[i];
+            higherRanksShare += arrivalShares[i];
         }
-        double admitted = shares[rank] <= 0 ? part - before : (part - before) / shares[rank];
-        credit[rank] = Math.min(2, credit[rank] + Math.min(1, Math.max(0, admitted)));
-        if (hopeless || credit[rank] < 1) {
-            refused++;
+        double rankAdmittedFraction = arrivalShares[rank] <= 0
+                ? admittedFraction - higherRanksShare
+                : (admittedFraction - higherRanksShare) / arrivalShares[rank];
+        credits[rank] = Math.min(2, credits[rank] + Math.min(1, Math.max(0, rankAdmittedFraction)));
+        if (tooLate || credits[rank] < 1) {
+            refusedCount++;
             return false;
         }
-        credit[rank]--;
+        credits[rank]--;
         return true;
     }
 
-    private int rank(double worth) {
-        for (int i = 0; i < worths.length; i++) {
-            if (worth >= worths[i]) {
+    private int rankOf(double worth) {
+        for (int i = 0; i < worthsByRank.length; i++) {
+            if (worth >= worthsByRank[i]) {
                 return i;
             }
         }
-        return credit.length - 1;
+        return credits.length - 1;
     }
 
-    /** @return when a client that has just been refused may come again, from now; spread out */
+    /** Returns the delay, different in each call, after which a client that was just refused may retry. */
     public long retryAfterNanos() {
-        spread = (spread + SPREAD_STEP) % 1;
-        return (long) ((RETRY_LEAST_NANOS + 4 * standingLagNanos) * (0.5 + spread));
+        retrySpread = (retrySpread + GOLDEN_RATIO_STEP) % 1;
+        return (long) ((MIN_RETRY_AFTER_NANOS + 4 * standingLagNanos) * (0.5 + retrySpread));
     }
 
-    /** @return the part of the requests that is admitted, 1 without overload */
-    public double admittedPart() {
-        return part;
+    /** Returns the fraction of the requests that is admitted, 1 without overload. */
+    public double admittedFraction() {
+        return admittedFraction;
     }
 
-    /** @return the least lag of the last whole interval, in nanoseconds */
+    /** Returns the minimum lag of the last complete interval. */
     public long standingLagNanos() {
         return standingLagNanos;
     }
 
-    /** @return how many it has refused */
+    /** Returns the number of requests refused so far. */
     public long refused() {
-        return refused;
+        return refusedCount;
     }
 }
