--- a/admission/src/main/java/burlarch/admission/LearnedCapacity.java
+++ b/admission/src/main/java/burlarch/admission/LearnedCapacity.java
@@ -38,6 +38,7 @@
     private long lastCutNanos = Long.MIN_VALUE;
     private long mayGrowUntilNanos = Long.MIN_VALUE;
 
+    /** Starts with c at {@code initial} per second, or at the floor if that is higher. */
     public LearnedCapacity(double[] shares, double initial, double floorPerSecond, double batch, double growthSpeed) {
         throttle = new CallGapping(shares);
         this.batch = batch;
@@ -52,6 +53,7 @@
         capacity = Math.max(floorPerSecond, capacity);
     }
 
+    /** Returns c. */
     public double perSecond() {
         return capacity;
     }
--- a/decisions/src/main/java/burlarch/decisions/Policy.java
+++ b/decisions/src/main/java/burlarch/decisions/Policy.java
@@ -425,12 +425,10 @@
 
     /**
      * Schedules a retry after the origin refused an attempt because it is full; a place becomes free in about one
-     * answer time. If many proxies retried at once, their attempts would meet the same full origin up to the
-     * attempt cap, and each would count as evidence of overload. So each waits a random part of the answer time,
-     * doubled with each refusal, and the other readers of the key wait with it. A place that is free sooner
-     * stays unused meanwhile.
-     *
-     * @return false, and the request has to be refused, if no time, attempt or retry budget is left
+     * answer time. If many proxies retried at once, they would meet the same full origin up to the attempt cap,
+     * and each would count that as evidence of overload. So each waits a random part of the answer time, doubled
+     * with each refusal, and the other readers of the key wait with it, even if a place is free sooner. Returns
+     * false if no time, attempt or retry budget is left: the request has to be refused then.
      */
     private boolean scheduleOriginRetry(Pending pending, long nowNanos) {
         double usualNanos = originNanos > 0 ? originNanos : minTargetNanos * DEFAULT_ORIGIN_ANSWER_PER_TARGET;
