--- a/routing/src/main/java/burlarch/routing/AttemptObserver.java
+++ b/routing/src/main/java/burlarch/routing/AttemptObserver.java
@@ -1,31 +1,34 @@
 package burlarch.routing;
 
-/** Is notified of each ended attempt, under the planner's lock; must not block and must not call the planner. */
+/**
+ * Receives a report of each ended attempt. It is called under the planner's lock, and must neither block nor call the
+ * planner.
+ */
 @FunctionalInterface
 public interface AttemptObserver {
-    /** Observes nothing. */
+    /** Ignores all reports. */
     AttemptObserver NONE = attempt -> {};
 
-    /** An attempt has ended. */
+    /** Called once when an attempt has ended. */
     void onEnded(ObservedAttempt attempt);
 
     /**
-     * What was planned for one attempt, and what became of it.
+     * One ended attempt: what the planner expected, and what was measured.
      *
-     * @param request the request as it was planned
+     * @param request as it was given to the planner
      * @param instance id of the instance that received it
      * @param sameZone whether the instance runs in the router's zone
-     * @param fetch whether it was offered to admission as a fetch
+     * @param fetch whether it was offered to admission control as a cache miss
      * @param cachedTokens prompt tokens that the instance was assumed to cache
-     * @param transferredTokens prompt tokens that a transfer was to bring
-     * @param prefillTokens prompt tokens that were left to prefill
-     * @param ownRequests requests of this router that were at the instance before
-     * @param expectedWaitNanos how long the request was expected to wait there for others
+     * @param transferredTokens prompt tokens that a KV transfer was expected to deliver
+     * @param prefillTokens prompt tokens that remained to be prefilled
+     * @param ownRequests requests of this router that were in flight at the instance when the attempt was sent
+     * @param expectedWaitNanos expected wait for other requests at the instance, as of sending
      * @param predictedNanos expected time from sending to the first event
-     * @param sentNanos when it was sent
+     * @param sentNanos time of sending
      * @param firstEventNanos time from sending to the first event; negative if there was none
-     * @param endedNanos time from sending to its end
-     * @param outcome how it ended
+     * @param endedNanos time from sending to the end
+     * @param outcome how the attempt ended
      */
     record ObservedAttempt(
             RouteRequest request,
--- a/routing/src/main/java/burlarch/routing/AttemptOutcome.java
+++ b/routing/src/main/java/burlarch/routing/AttemptOutcome.java
@@ -1,32 +1,34 @@
 package burlarch.routing;
 
-/** How an attempt, the sending of a request to one instance, ended. */
+/** Outcome of an attempt. An attempt is one sending of a request to one instance. */
 public enum AttemptOutcome {
     /** A complete response arrived. */
     ANSWERED(false),
-    /** The instance declared that it had not executed the request: its queue is full or a rate limit holds. */
+    /**
+     * The instance declared that it had not executed the request, because its queue was full or a rate limit applied.
+     */
     REJECTED(true),
-    /** Status 421: the instance serves another model or other weights than the request expects. */
+    /** Status 421: the instance serves another model or another weights version than the request expects. */
     MISDIRECTED(true),
-    /** No connection was established; nothing was written. */
+    /** No connection could be established, so nothing was written. */
     NOT_CONNECTED(true),
-    /** Ended without a complete response after the instance may have read part of the request. */
+    /** The attempt ended without a complete response after the instance may have read part of the request. */
     BROKEN(false),
-    /** No response arrived in time. */
+    /** No response arrived before the time-out. */
     TIMED_OUT(false),
     /** The client closed its connection, or the attempt was no longer needed. */
     CANCELLED(false),
-    /** The instance executed the request and failed, status 5xx. */
+    /** The instance executed the request and responded with status 5xx. */
     FAILED(false);
 
-    private final boolean neverRan;
+    private final boolean certainlyNotExecuted;
 
-    AttemptOutcome(boolean neverRan) {
-        this.neverRan = neverRan;
+    AttemptOutcome(boolean certainlyNotExecuted) {
+        this.certainlyNotExecuted = certainlyNotExecuted;
     }
 
-    /** Whether it is certain that the request was not executed, so that any route may retry it. */
-    public boolean neverRan() {
-        return neverRan;
+    /** Whether the request was certainly not executed, so that it may be retried on any route. */
+    public boolean certainlyNotExecuted() {
+        return certainlyNotExecuted;
     }
 }
--- a/routing/src/main/java/burlarch/routing/CacheSalt.java
+++ b/routing/src/main/java/burlarch/routing/CacheSalt.java
@@ -5,10 +5,10 @@
 import org.apache.commons.codec.digest.MurmurHash3;
 
 /**
- * The salt under which engines cache prompt segments. It names the model, the weights version and, for an
- * isolated tenant, the tenant. Segments are shared only under equal salts, so no request can run on cache
- * entries of other weights or of a tenant from which it is isolated. The characters that separate the parts are
- * escaped within names, so that no two combinations of parts have one salt.
+ * Cache salt: the namespace in which engines cache prompt segments. It consists of the model, the weights version and,
+ * for an isolated tenant, the tenant. Segments are shared only under equal salts, so no request can use cache entries
+ * of other weights or of a tenant from which it is isolated. The characters that separate the parts are escaped within
+ * names, so different combinations of parts always have different salts.
  */
 public final class CacheSalt {
     private static final char SEPARATOR = '|';
@@ -19,10 +19,10 @@
     private CacheSalt() {}
 
     /**
-     * The salt of a request at one engine.
+     * Returns the salt of a request at one engine.
      *
-     * @param version weights version of the engine; if it is unknown (0), the salt is unique to the engine
-     * @param tenant null for requests of no tenant
+     * @param version weights version of the engine; if it is 0 (unknown), the salt is unique to the engine
+     * @param tenant null for a request without a tenant
      * @param instance id of the engine
      */
     public static String of(String model, long version, Tenant tenant, String instance) {
@@ -38,7 +38,7 @@
         return salt.toString();
     }
 
-    /** The name with percent codes in place of the characters that have a meaning in a salt. */
+    /** Replaces the characters that have a meaning in a salt by percent codes. */
     private static String escape(String name) {
         if (name.indexOf(SEPARATOR) < 0 && name.indexOf(UNKNOWN_VERSION) < 0 && name.indexOf(ESCAPE) < 0) {
             return name;
@@ -51,19 +51,19 @@
         return salt.indexOf(UNKNOWN_VERSION) >= 0;
     }
 
-    /** 64 bits of the salt's hash. */
+    /** Returns a 64-bit hash of the salt. */
     public static long hash(String salt) {
         byte[] bytes = salt.getBytes(StandardCharsets.UTF_8);
         return MurmurHash3.hash128x64(bytes, 0, bytes.length, 0)[0];
     }
 
-    /** The index key of a segment under the salt with that {@link #hash}. */
+    /** Returns the index key of a segment under the salt with the given {@link #hash}. */
     public static long key(long saltHash, long segment) {
         long mixed = (saltHash ^ segment) * MIX;
         return mixed ^ mixed >>> 29;
     }
 
-    /** A number that all salts of one model and weights version have in common, whatever the tenant. */
+    /** Returns a number that is equal for all salts of one model and weights version, whatever the tenant. */
     public static short group(String salt) {
         int end = salt.indexOf(SEPARATOR, salt.indexOf(SEPARATOR) + 1);
         return (short) salt.substring(0, end < 0 ? salt.length() : end).hashCode();
--- a/routing/src/main/java/burlarch/routing/KvEvents.java
+++ b/routing/src/main/java/burlarch/routing/KvEvents.java
@@ -7,7 +7,7 @@
  *
  * @param source instance id of the engine, or name of the store's service
  * @param epoch identifies the run of the source; a new epoch (a restart) invalidates all earlier events
- * @param lost whether events before these are missing
+ * @param lost whether events that precede these are missing
  * @param events in the order in which they happened
  */
 public record KvEvents(String source, long epoch, boolean lost, List<KvEvent> events) {
--- a/routing/src/main/java/burlarch/routing/admission/RetryBudget.java
+++ b/routing/src/main/java/burlarch/routing/admission/RetryBudget.java
@@ -3,38 +3,41 @@
 import java.util.Arrays;
 
 /**
- * One router's part of the fleet's retry budget for one service: a fraction of its own first attempts in a
- * sliding window, and an equal part of the slack.
+ * One router's part of the fleet-wide retry budget for one service: a fraction of the router's own first attempts in a
+ * sliding window, plus an equal part of the slack.
  *
- * <p>Invariant <em>fleet-wide retry budget</em>: the retries of all routers in any window do not exceed the
- * fraction of all first attempts plus the slack, although routers do not exchange counts. The window is
- * counted in buckets, so that the oldest one lies only partly within it. It counts for retries and does not
- * count for first attempts, so the approximation errs to the safe side.
+ * <p>Invariant <em>fleet-wide retry budget</em>: the retries of all routers in any window do not exceed the fraction
+ * of all first attempts plus the slack, although routers exchange no counts. The window is counted in buckets, so the
+ * oldest bucket lies only partly within it. That bucket counts for retries but not for first attempts, so the
+ * approximation errs on the safe side.
  */
 public final class RetryBudget {
     private static final int BUCKETS = 20;
-    /** Fraction of the slack in use. The rest covers routers that others do not count as live, as in a partition. */
+    /**
+     * Fraction of the slack in use. The rest covers routers that others do not count as live, for example in a
+     * partition.
+     */
     private static final double USED_SLACK_FRACTION = 0.5;
-    /** How long a lower number of live routers is ignored: half of them may just be partitioned off. */
+    /** Delay before a lower number of live routers applies: half of them may just be partitioned off. */
     private static final long LOWER_COUNT_DELAY_NANOS = 30_000_000_000L;
 
     private final double ratio;
     private final double slack;
     private final long bucketNanos;
-    /** Counts by bucket, in a ring: one bucket more than the window has. */
+    /** Counts by bucket, as ring buffers with one bucket more than the window has. */
     private final int[] firstSends = new int[BUCKETS + 1];
 
     private final int[] retries = new int[BUCKETS + 1];
     private long currentBucket = Long.MIN_VALUE;
     private int liveRouters = 1;
     private int lowerLiveRouters = 1;
-    private long lowerSinceNanos;
+    private long lowerLiveRoutersSinceNanos;
 
     /**
-     * An empty budget, for a single router.
+     * Creates an empty budget for a single router.
      *
-     * @param ratio retries for each first attempt
-     * @param slack retries of the whole fleet beyond that in each window
+     * @param ratio allowed retries per first attempt
+     * @param slack retries of all routers together that are allowed in each window beyond that
      */
     public RetryBudget(double ratio, double windowSeconds, double slack) {
         this.ratio = ratio;
@@ -42,31 +45,31 @@
         this.bucketNanos = Math.max(1, (long) (windowSeconds * 1e9 / BUCKETS));
     }
 
-    /** The number of routers that divide the slack. A higher number counts at once, a lower one after 30 s. */
+    /** Sets the number of routers that divide the slack. A higher number applies at once, a lower one after 30 s. */
     public void onLiveRouters(int count, long nowNanos) {
-        int live = Math.max(1, count);
-        if (live >= liveRouters) {
-            liveRouters = live;
-        } else if (live != lowerLiveRouters || lowerLiveRouters >= liveRouters) {
-            lowerSinceNanos = nowNanos;
+        int liveCount = Math.max(1, count);
+        if (liveCount >= liveRouters) {
+            liveRouters = liveCount;
+        } else if (liveCount != lowerLiveRouters || lowerLiveRouters >= liveRouters) {
+            lowerLiveRoutersSinceNanos = nowNanos;
         }
-        lowerLiveRouters = live;
+        lowerLiveRouters = liveCount;
     }
 
-    /** A first attempt was sent. */
+    /** Counts a first attempt that was sent. */
     public void onFirstSend(long nowNanos) {
         firstSends[bucket(nowNanos)]++;
     }
 
-    /** A retry was sent. */
+    /** Counts a retry that was sent. */
     public void onRetry(long nowNanos) {
         retries[bucket(nowNanos)]++;
     }
 
-    /** Whether one more retry stays within the budget. */
+    /** Whether one more retry is within the budget. */
     public boolean allows(long nowNanos) {
         int newest = bucket(nowNanos);
-        if (lowerLiveRouters < liveRouters && nowNanos - lowerSinceNanos > LOWER_COUNT_DELAY_NANOS) {
+        if (lowerLiveRouters < liveRouters && nowNanos - lowerLiveRoutersSinceNanos > LOWER_COUNT_DELAY_NANOS) {
             liveRouters = lowerLiveRouters;
         }
         int oldest = (newest + 1) % firstSends.length;
@@ -74,7 +77,7 @@
         return sum(retries) + 1 <= ratio * firstSendsInWindow + USED_SLACK_FRACTION * slack / liveRouters;
     }
 
-    /** Index of the bucket of the current time; empties those that begin since the last call. */
+    /** Returns the index of the current bucket, after emptying the buckets that started since the last call. */
     private int bucket(long nowNanos) {
         long number = Math.floorDiv(nowNanos, bucketNanos);
         if (currentBucket == Long.MIN_VALUE || number - currentBucket > BUCKETS) {
@@ -84,9 +87,9 @@
         }
         while (currentBucket < number) {
             currentBucket++;
-            int begun = indexOf(currentBucket);
-            firstSends[begun] = 0;
-            retries[begun] = 0;
+            int emptiedBucket = indexOf(currentBucket);
+            firstSends[emptiedBucket] = 0;
+            retries[emptiedBucket] = 0;
         }
         return indexOf(currentBucket);
     }
--- a/routing/src/main/java/burlarch/routing/index/ConfirmedKeys.java
+++ b/routing/src/main/java/burlarch/routing/index/ConfirmedKeys.java
@@ -1,12 +1,14 @@
 package burlarch.routing.index;
 
 /**
- * The index keys that some source has confirmed, approximately: a table of fixed size in which a newer key displaces an
- * older one of the same slot. Most events are about segments that no other source has, and this spares them the search
- * through all sources.
+ * Approximate set of the index keys that some source has confirmed: a table of fixed size in which a newer key
+ * displaces an older one in the same slot. Most events are about segments that no other source caches; this set avoids
+ * a search through all sources for them.
  */
 final class ConfirmedKeys {
-    /** Power of two; several times the number of segments that the engines of a large fleet cache together. */
+    /**
+     * Number of slots, a power of two: several times the number of segments that the engines of a large fleet cache.
+     */
     private static final int SIZE = 16_384;
 
     private static final long HASH_MULTIPLIER = 0x9E3779B97F4A7C15L;
@@ -20,9 +22,8 @@
     }
 
     /**
-     * Whether the key was added and has not been displaced. True for a key that a source has removed since; key 0
-     * always
-     * counts as added.
+     * Whether the key was added and has not been displaced. It is also true for a key that a source has removed since,
+     * and always for key 0.
      */
     boolean mayContain(long key) {
         return keys[slot(key)] == key;
--- a/routing/src/main/java/burlarch/routing/index/PrefixCacheIndex.java
+++ b/routing/src/main/java/burlarch/routing/index/PrefixCacheIndex.java
@@ -10,28 +10,31 @@
 import java.util.Set;
 
 /**
- * Which source caches which prompt segments. A source is an engine, named by its instance id, or a store,
- * named by its service.
+ * Index of the prompt segments that each source caches. A source is an engine, identified by its instance id, or a
+ * store, identified by the name of its service.
  *
- * <p>An entry is <em>confirmed</em> if the source reported it or a request that the source answered proves it,
- * and <em>expected</em> if it only follows from a request that was sent there. Expected entries expire.
- * After an event was lost the source is <em>uncertain</em> until its next complete list.
+ * <p>An entry is <em>confirmed</em> if the source reported it or if the response to a request proves it, and
+ * <em>expected</em> if it only follows from a request that was sent to the source. Expected entries expire. After an
+ * event was lost, the source is <em>uncertain</em> until its next complete list.
  *
- * <p>Operations on a source that was not added have no effect, and lookups find nothing.
+ * <p>Operations on a source that was not added have no effect, and lookups for it find nothing.
  */
 public final class PrefixCacheIndex {
-    /** Tokens of one block of an engine's KV cache. Engines cache full blocks only, so a shorter tail never misses. */
+    /**
+     * Tokens of one block of an engine's KV cache. Engines cache full blocks only, so a shorter remainder is not a
+     * miss.
+     */
     private static final int BLOCK_TOKENS = 16;
-    /** After how many ticks an expected entry that was not confirmed is ignored. */
+    /** Ticks after which an expected entry that was not confirmed is ignored. */
     private static final int EXPECTED_TICKS = 40;
 
     private static final long TICK_NANOS = 100_000_000L;
-    /** A table holds one segment for each so many tokens of its source's capacity, within the two bounds. */
+    /** Tokens of a source's capacity for each segment of its table, within the minimum and maximum below. */
     private static final int TOKENS_PER_SEGMENT = 64;
 
     private static final int MIN_SEGMENTS = 256;
     private static final int MAX_SEGMENTS = 16_384;
-    /** Assumed where the configuration does not state the capacity. */
+    /** Capacity assumed where none is configured. */
     private static final long UNKNOWN_CAPACITY_TOKENS = 100_000;
 
     private static final class Source {
@@ -43,31 +46,32 @@
         boolean uncertain;
 
         Source(long capacityTokens) {
-            long count = capacityTokens / TOKENS_PER_SEGMENT;
-            this.segments =
-                    new SegmentTable((int) Math.max(MIN_SEGMENTS, Math.min(MAX_SEGMENTS, count)), capacityTokens);
+            long segmentCount = capacityTokens / TOKENS_PER_SEGMENT;
+            this.segments = new SegmentTable(
+                    (int) Math.max(MIN_SEGMENTS, Math.min(MAX_SEGMENTS, segmentCount)), capacityTokens);
         }
 
         /**
-         * A new epoch invalidates what is known of the source. Expected entries from before its first event
-         * stay: they stem from requests to the run that now reports its epoch.
+         * Starts a new epoch, if the reported one is new: all entries become invalid. Expected entries from before the
+         * first known epoch are kept, because they stem from requests to the run that now reports its epoch.
          */
-        void enterEpoch(long reported) {
-            if (epoch == reported) {
+        void enterEpoch(long reportedEpoch) {
+            if (epoch == reportedEpoch) {
                 return;
             }
             if (epoch != NO_EPOCH) {
                 segments.clear();
                 uncertain = false;
             }
-            epoch = reported;
+            epoch = reportedEpoch;
         }
 
         int cachedTokens(long key, int maxExpectedTicks, int nowTicks) {
-            int cached = segments.tokens(key);
-            boolean expired =
-                    cached > 0 && segments.isExpected(key) && nowTicks - segments.lastUsedAt(key) > maxExpectedTicks;
-            return expired ? 0 : cached;
+            int cachedTokens = segments.tokens(key);
+            boolean expired = cachedTokens > 0
+                    && segments.isExpected(key)
+                    && nowTicks - segments.lastUsedAt(key) > maxExpectedTicks;
+            return expired ? 0 : cachedTokens;
         }
     }
 
@@ -75,9 +79,9 @@
     private final ConfirmedKeys confirmedKeys = new ConfirmedKeys();
 
     /**
-     * Adds a source; one that was added before keeps its entries and its capacity.
+     * Adds a source. A source that was added before keeps its entries and its capacity.
      *
-     * @param capacityTokens of its cache, 0 if unknown
+     * @param capacityTokens capacity of its cache in tokens, 0 if unknown
      */
     public void addSource(String source, long capacityTokens) {
         if (!sources.containsKey(source)) {
@@ -85,15 +89,15 @@
         }
     }
 
-    /** Removes all sources but these. */
-    public void retainSources(Set<String> known) {
-        sources.keySet().retainAll(known);
+    /** Removes all sources except the given ones. */
+    public void retainSources(Set<String> retained) {
+        sources.keySet().retainAll(retained);
     }
 
     /**
-     * Applies events of a source, in their order.
+     * Applies events of a source in their order.
      *
-     * @return tokens that are new to the source and confirmed for no other one: what it has prefilled itself
+     * @return tokens that are new at the source and not confirmed for any other source: those that it prefilled itself
      *     rather than fetched
      */
     public long onEvents(KvEvents events, long nowNanos) {
@@ -106,7 +110,9 @@
         return apply(source, events.events(), nowNanos);
     }
 
-    /** Applies the complete list of a source: entries that it does not name are removed, expected ones too. */
+    /**
+     * Applies the complete list of a source. Entries that it does not contain are removed, including expected ones.
+     */
     public void onFullList(KvEvents list, long nowNanos) {
         Source source = sources.get(list.source());
         if (source == null) {
@@ -119,8 +125,8 @@
     }
 
     private long apply(Source source, List<KvEvent> events, long nowNanos) {
-        int nowTicks = ticks(nowNanos);
-        long prefilled = 0;
+        int nowTicks = toTicks(nowNanos);
+        long prefilledTokens = 0;
         String salt = null;
         long saltHash = 0;
         short group = 0;
@@ -134,34 +140,34 @@
             }
             long key = CacheSalt.key(saltHash, event.segment());
             if (event.tokens() > 0) {
-                int before = source.segments.isExpected(key) ? 0 : source.segments.tokens(key);
-                int added = Math.max(0, event.tokens() - before);
-                prefilled += added == 0 || isCachedElsewhere(source, key) ? 0 : added;
+                int tokensBefore = source.segments.isExpected(key) ? 0 : source.segments.tokens(key);
+                int addedTokens = Math.max(0, event.tokens() - tokensBefore);
+                prefilledTokens += addedTokens == 0 || isCachedElsewhere(source, key) ? 0 : addedTokens;
                 source.segments.put(key, event.tokens(), group, nowTicks, false);
                 confirmedKeys.add(key);
             } else if (!event.added()) {
                 source.segments.remove(key);
             }
         }
-        return prefilled;
+        return prefilledTokens;
     }
 
-    private boolean isCachedElsewhere(Source except, long key) {
+    private boolean isCachedElsewhere(Source excluded, long key) {
         if (!confirmedKeys.mayContain(key)) {
             return false;
         }
         for (Source source : sources.values()) {
-            if (source != except && source.segments.tokens(key) > 0 && !source.segments.isExpected(key)) {
+            if (source != excluded && source.segments.tokens(key) > 0 && !source.segments.isExpected(key)) {
                 return true;
             }
         }
         return false;
     }
 
-    /** A request with these segments was sent to the source, which is expected to cache them soon. */
+    /** Records that a request with these segments was sent to the source, which is expected to cache them soon. */
     public void expectCached(String source, String salt, List<PromptSegment> segments, long nowNanos) {
-        Source known = sources.get(source);
-        if (known == null) {
+        Source knownSource = sources.get(source);
+        if (knownSource == null) {
             return;
         }
         long saltHash = CacheSalt.hash(salt);
@@ -170,92 +176,96 @@
             PromptSegment segment = segments.get(i);
             if (segment.tokens() > 0) {
                 long key = CacheSalt.key(saltHash, segment.id());
-                known.segments.put(key, segment.tokens(), group, ticks(nowNanos), true);
+                knownSource.segments.put(key, segment.tokens(), group, toTicks(nowNanos), true);
             }
         }
     }
 
-    /** The source has prefilled these segments: expected entries of them become confirmed. */
+    /** Records that the source has prefilled these segments: their expected entries become confirmed. */
     public void confirm(String source, String salt, List<PromptSegment> segments, long nowNanos) {
-        Source known = sources.get(source);
+        Source knownSource = sources.get(source);
         long saltHash = CacheSalt.hash(salt);
-        for (int i = 0; known != null && i < segments.size(); i++) {
+        for (int i = 0; knownSource != null && i < segments.size(); i++) {
             long key = CacheSalt.key(saltHash, segments.get(i).id());
-            known.segments.recordUse(key, ticks(nowNanos), true);
+            knownSource.segments.recordUse(key, toTicks(nowNanos), true);
             confirmedKeys.add(key);
         }
     }
 
-    /** A request to the source was not executed: its expected entries that nothing confirmed are removed. */
+    /** Removes the expected entries of a request that the source did not execute. Confirmed entries are kept. */
     public void withdrawExpected(String source, String salt, List<PromptSegment> segments) {
-        Source known = sources.get(source);
+        Source knownSource = sources.get(source);
         long saltHash = CacheSalt.hash(salt);
-        for (int i = 0; known != null && i < segments.size(); i++) {
+        for (int i = 0; knownSource != null && i < segments.size(); i++) {
             long key = CacheSalt.key(saltHash, segments.get(i).id());
-            if (known.segments.isExpected(key)) {
-                known.segments.remove(key);
+            if (knownSource.segments.isExpected(key)) {
+                knownSource.segments.remove(key);
             }
         }
     }
 
-    /** The source has discarded all entries of the salt's model and weights version, of all tenants. */
+    /**
+     * Removes all entries of the salt's model and weights version, of all tenants, because the source has discarded
+     * them.
+     */
     public void forgetVersion(String source, String salt) {
-        Source known = sources.get(source);
-        if (known != null) {
-            known.segments.removeGroup(CacheSalt.group(salt));
+        Source knownSource = sources.get(source);
+        if (knownSource != null) {
+            knownSource.segments.removeGroup(CacheSalt.group(salt));
         }
     }
 
     /**
-     * Tokens of the longest prefix of the segments that the source caches, by confirmed and unexpired expected
-     * entries. A segment of which only the beginning is cached adds that and ends the prefix.
+     * Returns the tokens of the longest prefix of the segments that the source caches, by confirmed entries and
+     * expected entries that have not expired. A partly cached segment counts with its cached tokens and ends the
+     * prefix.
      */
     public int cachedPrefixTokens(String source, long saltHash, List<PromptSegment> segments, long nowNanos) {
         return prefixTokens(source, saltHash, segments, EXPECTED_TICKS, nowNanos);
     }
 
-    /** As {@link #cachedPrefixTokens(String, long, List, long)}, by confirmed entries alone. */
+    /** As {@link #cachedPrefixTokens(String, long, List, long)}, by confirmed entries only. */
     public int confirmedPrefixTokens(String source, long saltHash, List<PromptSegment> segments, long nowNanos) {
         return prefixTokens(source, saltHash, segments, -1, nowNanos);
     }
 
-    /** As {@link #cachedPrefixTokens(String, long, List, long)}, for a salt that is not hashed yet. */
+    /** As {@link #cachedPrefixTokens(String, long, List, long)}, for a salt that has not been hashed yet. */
     public int cachedPrefixTokens(String source, String salt, List<PromptSegment> segments, long nowNanos) {
         return cachedPrefixTokens(source, CacheSalt.hash(salt), segments, nowNanos);
     }
 
     private int prefixTokens(
             String source, long saltHash, List<PromptSegment> segments, int maxExpectedTicks, long nowNanos) {
-        Source known = sources.get(source);
-        if (known == null || known.segments.size() == 0) {
+        Source knownSource = sources.get(source);
+        if (knownSource == null || knownSource.segments.size() == 0) {
             return 0;
         }
         int sum = 0;
         for (int i = 0; i < segments.size(); i++) {
             PromptSegment segment = segments.get(i);
             long key = CacheSalt.key(saltHash, segment.id());
-            int cached = known.cachedTokens(key, maxExpectedTicks, ticks(nowNanos));
-            if (cached + BLOCK_TOKENS <= segment.tokens()) {
-                return sum + cached;
+            int cachedTokens = knownSource.cachedTokens(key, maxExpectedTicks, toTicks(nowNanos));
+            if (cachedTokens + BLOCK_TOKENS <= segment.tokens()) {
+                return sum + cachedTokens;
             }
-            sum += Math.min(cached, segment.tokens());
+            sum += Math.min(cachedTokens, segment.tokens());
         }
         return sum;
     }
 
     /** Whether events of the source were lost since its last complete list. */
     public boolean isUncertain(String source) {
-        Source known = sources.get(source);
-        return known != null && known.uncertain;
+        Source knownSource = sources.get(source);
+        return knownSource != null && knownSource.uncertain;
     }
 
-    /** Number of segments with an entry for the source. */
+    /** Returns the number of segments with an entry for the source. */
     public int size(String source) {
-        Source known = sources.get(source);
-        return known == null ? 0 : known.segments.size();
+        Source knownSource = sources.get(source);
+        return knownSource == null ? 0 : knownSource.segments.size();
     }
 
-    private static int ticks(long nowNanos) {
+    private static int toTicks(long nowNanos) {
         return (int) (nowNanos / TICK_NANOS);
     }
 }
--- a/routing/src/main/java/burlarch/routing/index/SegmentTable.java
+++ b/routing/src/main/java/burlarch/routing/index/SegmentTable.java
@@ -3,21 +3,22 @@
 import java.util.Arrays;
 
 /**
- * The cached segments of one source with the number of cached tokens of each: a hash table with open
- * addressing and linear probing, in parallel arrays, so that lookups and updates allocate nothing.
+ * Hash table of the cached segments of one source, with the number of cached tokens of each. It uses open addressing
+ * with linear probing in parallel arrays, so lookups and updates allocate nothing.
  *
- * <p>Two bounds hold after each {@link #put}: the number of segments, and the sum of their tokens unless a
- * single segment exceeds it. Beyond either an approximate LRU evicts: the least recently used of a few entries.
+ * <p>Two bounds hold after each {@link #put}: on the number of segments, and on the sum of their tokens unless a
+ * single segment exceeds it. Entries beyond a bound are evicted by approximate LRU: the least recently used of a
+ * sample of entries.
  *
  * <p>Invariant <em>no gap in a probe sequence</em>: every slot from an entry's home slot to its own is occupied.
  * {@link #remove} keeps it by moving later entries back, so no tombstones are needed.
  */
 final class SegmentTable {
     private static final int INITIAL_CAPACITY = 16;
-    /** Occupied slots that an eviction compares: close to least recently used, at a fixed cost. */
+    /** Occupied slots that an eviction compares. A sample approximates LRU at a fixed cost. */
     private static final int EVICTION_SAMPLE = 8;
 
-    /** Key 0 marks a free slot; the real key 0 is stored as this one, which hashes practically never equal. */
+    /** Key 0 marks a free slot. The real key 0 is stored as this value, to which practically no other key is equal. */
     private static final long ZERO_KEY_SUBSTITUTE = 0x5851F42D4C957F2DL;
 
     private static final long HASH_MULTIPLIER = 0x9E3779B97F4A7C15L;
@@ -33,7 +34,7 @@
     private int evictionCursor;
     private long tokenSum;
 
-    /** An empty table; bounds below one count as one. */
+    /** Creates an empty table. Bounds below 1 count as 1. */
     SegmentTable(int maxSegments, long maxTokens) {
         this.maxSegments = Math.max(1, maxSegments);
         this.maxTokens = Math.max(1, maxTokens);
@@ -42,13 +43,13 @@
     /**
      * Sets the cached tokens of a segment.
      *
-     * @param key of the segment under its salt
-     * @param cachedTokens above 0
-     * @param group by which {@link #removeGroup} removes segments
-     * @param now time of the use, in any unit that increases
-     * @param onlyExpected whether this is not confirmed; a confirmed entry stays confirmed
+     * @param key index key of the segment under its salt
+     * @param cachedTokens number of cached tokens, greater than 0
+     * @param group number by which {@link #removeGroup} selects segments
+     * @param nowTicks time of the use
+     * @param onlyExpected whether the entry is not confirmed; a confirmed entry stays confirmed
      */
-    void put(long key, int cachedTokens, short group, int now, boolean onlyExpected) {
+    void put(long key, int cachedTokens, short group, int nowTicks, boolean onlyExpected) {
         long stored = stored(key);
         int slot = find(stored);
         if (keys[slot] == 0) {
@@ -62,36 +63,39 @@
             expected[slot] &= onlyExpected;
         }
         tokens[slot] = cachedTokens;
-        lastUsed[slot] = now;
+        lastUsed[slot] = nowTicks;
         groups[slot] = group;
         tokenSum += cachedTokens;
     }
 
-    /** Cached tokens of the segment, 0 if it has no entry. */
+    /** Returns the cached tokens of the segment, 0 if it has no entry. */
     int tokens(long key) {
         return tokens[find(stored(key))];
     }
 
-    /** Whether the segment has an entry that is only expected. */
+    /** Whether the segment has an entry that is expected but not confirmed. */
     boolean isExpected(long key) {
         return expected[find(stored(key))];
     }
 
-    /** When the segment was last used; meaningful only where {@link #tokens} is above 0. */
+    /** Returns when the segment was last used; meaningful only if {@link #tokens} is greater than 0. */
     int lastUsedAt(long key) {
         return lastUsed[find(stored(key))];
     }
 
-    /** Records a use of the segment, if it has an entry; {@code confirms} makes an expected entry confirmed. */
-    void recordUse(long key, int now, boolean confirms) {
+    /**
+     * Records a use of the segment, if it has an entry. If {@code confirms} is true, an expected entry becomes
+     * confirmed.
+     */
+    void recordUse(long key, int nowTicks, boolean confirms) {
         int slot = find(stored(key));
         if (keys[slot] != 0) {
-            lastUsed[slot] = now;
+            lastUsed[slot] = nowTicks;
             expected[slot] &= !confirms;
         }
     }
 
-    /** Removes the segment's entry, if there is one. */
+    /** Removes the entry of the segment, if there is one. */
     void remove(long key) {
         int slot = find(stored(key));
         if (keys[slot] != 0) {
@@ -121,12 +125,12 @@
         tokenSum = 0;
     }
 
-    /** Number of segments with an entry. */
+    /** Returns the number of segments with an entry. */
     int size() {
         return size;
     }
 
-    /** Sum of the cached tokens of all segments. */
+    /** Returns the sum of the cached tokens of all segments. */
     long tokenSum() {
         return tokenSum;
     }
@@ -135,7 +139,7 @@
         return key == 0 ? ZERO_KEY_SUBSTITUTE : key;
     }
 
-    /** The slot of the key, or the free slot where it would be inserted. */
+    /** Returns the slot of the key, or the free slot where it would be inserted. */
     private int find(long stored) {
         int mask = keys.length - 1;
         int slot = home(stored);
@@ -150,7 +154,7 @@
         return (int) (mixed >>> 40) & keys.length - 1;
     }
 
-    /** Makes room for one more segment of so many tokens. */
+    /** Evicts and grows until one more segment with this number of tokens fits. */
     private void evictFor(int moreTokens) {
         while (size > 0 && (size >= maxSegments || tokenSum + moreTokens > maxTokens)) {
             removeAt(oldestNearCursor());
@@ -163,10 +167,10 @@
     private int oldestNearCursor() {
         int mask = keys.length - 1;
         int oldest = -1;
-        for (int seen = 0, steps = 0; seen < EVICTION_SAMPLE && steps < keys.length; steps++) {
+        for (int sampled = 0, steps = 0; sampled < EVICTION_SAMPLE && steps < keys.length; steps++) {
             evictionCursor = evictionCursor + 1 & mask;
             if (keys[evictionCursor] != 0) {
-                seen++;
+                sampled++;
                 oldest = oldest < 0 || lastUsed[evictionCursor] < lastUsed[oldest] ? evictionCursor : oldest;
             }
         }
@@ -174,8 +178,8 @@
     }
 
     /**
-     * Frees a slot and moves later entries of the same run of occupied slots back into the gap. An entry may
-     * move if its home slot is not behind the gap, cyclically: a search for it still passes its new slot.
+     * Frees a slot and moves later entries of the same run of occupied slots back into the gap. An entry may be moved
+     * if its home slot does not lie cyclically after the gap, so that a search for it still reaches its new slot.
      */
     private void removeAt(int slot) {
         int mask = keys.length - 1;
--- a/routing/src/main/java/burlarch/routing/instance/Engine.java
+++ b/routing/src/main/java/burlarch/routing/instance/Engine.java
@@ -9,26 +9,27 @@
 import java.util.Map;
 
 /**
- * One incarnation of an instance, a model engine or a plain server, as this router sees it: what it last
- * announced, and the estimates that the router has made of it.
+ * One router's view of an instance: its last announcement, and the estimates that the router has made of it. The
+ * instance is a model engine or a plain server; this module calls both engines. A restarted instance has a new id and
+ * thus a new object.
  *
- * <p>Invariant <em>clean source</em>: an engine that was seen to load other weights is no source of KV transfers until
- * its newer version is known ({@link #holdsCleanCache}). Requests that it retained while it loaded have computed a
- * part of their prompts under the new weights, but cached it under the old salt.
+ * <p>Invariant <em>consistent source</em>: an engine that was seen to load other weights is no source of KV transfers
+ * until its newer version is known ({@link #hasConsistentCache}). Requests that it retained while it loaded have
+ * computed a part of their prompts under the new weights, but cached it under the old salt.
  *
- * <p>Invariant <em>versions only rise</em>: the weights version of a model never decreases by what responses
- * say, which may arrive late; only {@link #distrustVersion} returns to what the instance announced.
+ * <p>Invariant <em>versions only rise</em>: reported weights versions of a model never decrease the known one, because
+ * responses may arrive late. Only {@link #resetToAnnouncedVersion} returns to what the instance announced.
  */
 public final class Engine {
-    private static final double FREE_PREFILL_LOAD = 0.5;
+    private static final double MAX_LIGHT_PREFILL_LOAD = 0.5;
     /**
-     * The mark of loading ends so much later than the new version is announced, at most: by then it says nothing of a
-     * further load.
+     * Maximum delay from the announcement of a new version to the end of the LOADING state. Within this time, the
+     * state does not indicate a further load.
      */
-    private static final long MARK_LAG_NANOS = 1_000_000_000L;
+    private static final long LOADING_STATE_LAG_NANOS = 1_000_000_000L;
 
-    /** Heartbeats and responses tell the version that was loaded well within this time after the load. */
-    private static final long LOADING_MEMORY_NANOS = 3_000_000_000L;
+    /** Time after a load within which heartbeats and responses have surely reported the version that was loaded. */
+    private static final long LOADING_RECENT_NANOS = 3_000_000_000L;
 
     private static final long NEVER_NANOS = Long.MIN_VALUE / 2;
 
@@ -40,15 +41,15 @@
     private final PrefillLoadEstimate prefillLoad = new PrefillLoadEstimate();
     private final KvTransferSpeed transferSpeed = new KvTransferSpeed();
     private final Map<String, Long> versions = new HashMap<>(2);
-    /** The version of each model that the engine had when it was last seen to load others. */
-    private final Map<String, Long> versionsWhenLoading = new HashMap<>(2);
+    /** Version of each model that the engine had when it was last seen to load others. */
+    private final Map<String, Long> versionsBeforeLoading = new HashMap<>(2);
 
-    private long versionRoseNanos = NEVER_NANOS;
+    private long versionIncreasedNanos = NEVER_NANOS;
     private long lastLoadingNanos = NEVER_NANOS;
     private Instance instance;
     private int subsetDistance;
 
-    /** @param serviceAverage speed of the instances of its service, used until its own is known */
+    /** @param serviceAverage speed of the instances of its service, used until the speed of this one is known */
     public Engine(Instance instance, EngineSpeed serviceAverage) {
         this.speed = new EngineSpeed(serviceAverage);
         this.id = instance.id();
@@ -57,47 +58,47 @@
         this.instance = instance;
     }
 
-    /** The instance's id. */
+    /** Returns the instance's id. */
     public String id() {
         return id;
     }
 
-    /** The {@link RendezvousHash#hash} of the id. */
+    /** Returns the {@link RendezvousHash#hash} of the id. */
     public long idHash() {
         return idHash;
     }
 
-    /** Whether it may receive requests, by how attempts there ended. */
+    /** Returns its health, which tells whether it may receive requests. */
     public InstanceHealth health() {
         return health;
     }
 
-    /** How fast it prefills and responds. */
+    /** Returns the estimate of its prefill and response speed. */
     public EngineSpeed speed() {
         return speed;
     }
 
-    /** Its running and waiting requests. */
+    /** Returns the estimate of its running and waiting requests. */
     public EngineLoad load() {
         return load;
     }
 
-    /** How busy it is with prefilling, by its prefix-cache events. */
+    /** Returns the estimate of its prefill utilization by prefix-cache events. */
     public PrefillLoadEstimate prefillLoad() {
         return prefillLoad;
     }
 
-    /** How fast KV transfers to it are. */
+    /** Returns the estimate of the speed of KV transfers to it. */
     public KvTransferSpeed transferSpeed() {
         return transferSpeed;
     }
 
-    /** Its last announcement. */
+    /** Returns its last announcement. */
     public Instance instance() {
         return instance;
     }
 
-    /** Applies a new announcement of the same instance. */
+    /** Applies a new announcement of the instance. */
     public void update(Instance announced, long nowNanos) {
         if (isLoading() || announced.state() == InstanceState.LOADING) {
             lastLoadingNanos = nowNanos;
@@ -106,10 +107,10 @@
         if (announced.capacity() > 0) {
             load.setSlots(announced.capacity());
         }
-        if (isLoading() && nowNanos - versionRoseNanos >= MARK_LAG_NANOS && announced.models() != null) {
+        if (isLoading() && nowNanos - versionIncreasedNanos >= LOADING_STATE_LAG_NANOS && announced.models() != null) {
             for (ServedModel model : announced.models()) {
                 long known = version(model.name());
-                versionsWhenLoading.put(model.name(), known > 0 ? known : model.version());
+                versionsBeforeLoading.put(model.name(), known > 0 ? known : model.version());
             }
         }
     }
@@ -119,21 +120,24 @@
     }
 
     /**
-     * The version of the model's weights that it had when it was seen to load others; 0 if it was not seen to, or so
-     * long ago that the newer version would be known by now: then the mark of loading led to nothing, or it was the
-     * new version already that was seen with it.
+     * Returns the version of the model's weights that the engine had when it was seen to load others, or 0. It is 0 if
+     * no load was seen, or if the load is so long ago that the newer version would be known by now: then either the
+     * LOADING state led to no new version, or the recorded version was already the new one.
      */
-    public long versionWhenLoading(String model, long nowNanos) {
-        boolean recent = isLoading() || nowNanos - lastLoadingNanos < LOADING_MEMORY_NANOS;
-        return recent ? versionsWhenLoading.getOrDefault(model, 0L) : 0;
+    public long versionBeforeLoading(String model, long nowNanos) {
+        boolean recent = isLoading() || nowNanos - lastLoadingNanos < LOADING_RECENT_NANOS;
+        return recent ? versionsBeforeLoading.getOrDefault(model, 0L) : 0;
     }
 
-    /** Whether all that it caches of the model under its known version's salt was computed under that version. */
-    public boolean holdsCleanCache(String model, long nowNanos) {
-        return !isLoading() && version(model) > versionWhenLoading(model, nowNanos);
+    /**
+     * Whether all entries that it caches of the model under the salt of its known version were computed with that
+     * version.
+     */
+    public boolean hasConsistentCache(String model, long nowNanos) {
+        return !isLoading() && version(model) > versionBeforeLoading(model, nowNanos);
     }
 
-    /** How many subsets lie between the own one of this router and that of the engine; 0 for the own subset. */
+    /** Returns the number of subsets between this router's own subset and that of the engine; 0 for the own subset. */
     public int subsetDistance() {
         return subsetDistance;
     }
@@ -143,24 +147,24 @@
         subsetDistance = subsets;
     }
 
-    /** Whether it announced that it accepts requests. */
+    /** Whether it is announced as ready to accept requests. */
     public boolean isReady() {
         return instance.state() == InstanceState.READY;
     }
 
-    /** Whether it is ready but still slower than usual. */
+    /** Whether it is warming up, that is ready but still slower than usual. */
     public boolean isWarmingUp() {
         return instance.warmupLeftMillis() > 0;
     }
 
-    /** Whether under half of its slots are in use, no queue is known, and it has prefilled little lately. */
-    public boolean isFree(long nowNanos) {
+    /** Whether fewer than half of its slots are in use, no queue is known, and it has prefilled little recently. */
+    public boolean isLightlyLoaded(long nowNanos) {
         return load.requests(nowNanos) < load.slots() / 2.0
                 && !load.hasQueue(nowNanos)
-                && prefillLoad.load(nowNanos) < FREE_PREFILL_LOAD;
+                && prefillLoad.load(nowNanos) < MAX_LIGHT_PREFILL_LOAD;
     }
 
-    /** Whether it may serve the model: it does unless it announces models and this is not one of them. */
+    /** Whether it may serve the model: true unless it announces models and this is not one of them. */
     public boolean serves(String model) {
         List<ServedModel> models = instance.models();
         if (model == null || models == null || models.isEmpty()) {
@@ -174,15 +178,15 @@
         return false;
     }
 
-    /** Weights version of a model, 0 if unknown or if {@code model} is null. */
+    /** Returns the weights version of a model, 0 if it is unknown or {@code model} is null. */
     public long version(String model) {
         return model == null ? 0 : versions.getOrDefault(model, 0L);
     }
 
     /**
-     * Applies a reported weights version.
+     * Applies a reported weights version, if it is newer than the known one.
      *
-     * @return the version before, 0 if there was none; -1 if the reported one is not newer and was ignored
+     * @return the previous version, 0 if there was none; -1 if the reported one is not newer and was ignored
      */
     public long onVersion(String model, long version, long nowNanos) {
         long before = version(model);
@@ -190,14 +194,16 @@
             return -1;
         }
         if (before > 0) {
-            versionRoseNanos = nowNanos;
+            versionIncreasedNanos = nowNanos;
         }
         versions.put(model, version);
         return before;
     }
 
-    /** The known version of the model proved wrong: returns to the one that the instance announced, if any. */
-    public void distrustVersion(String model) {
+    /**
+     * Returns to the version that the instance announced, if any, because the known version of the model proved wrong.
+     */
+    public void resetToAnnouncedVersion(String model) {
         versions.remove(model);
         List<ServedModel> models = instance.models();
         for (int i = 0; models != null && i < models.size(); i++) {
--- a/routing/src/main/java/burlarch/routing/instance/EngineLoad.java
+++ b/routing/src/main/java/burlarch/routing/instance/EngineLoad.java
@@ -3,29 +3,30 @@
 import burlarch.routing.ServerLoad;
 
 /**
- * The load of one instance: this router's own requests exactly, those of other routers by what responses
- * report and by how long first events take. Reported values fade linearly to 0, as they get outdated.
+ * Estimate of the load of one instance. Requests of this router are counted exactly; those of other routers are
+ * estimated from reported loads and from delays of first events. Reported values fade linearly to 0 as they become
+ * outdated.
  */
 public final class EngineLoad {
-    /** After which reported requests of other routers count nothing. */
+    /** Time after which reported requests of other routers no longer count. */
     private static final double OTHER_REQUESTS_FADE_NANOS = 4e9;
-    /** How long a reported queue is assumed to remain. */
+    /** Time for which a reported queue is assumed to remain. */
     private static final long QUEUE_VALID_NANOS = 1_000_000_000L;
-    /** After which an observed wait no longer predicts the wait of the next request. */
+    /** Time after which an observed wait no longer predicts the wait of the next request. */
     private static final double WAIT_FADE_NANOS = 8e8;
-    /** After which an observed wait no longer counts as a queue. */
-    private static final double STRAIN_FADE_NANOS = 2e9;
+    /** Time after which an observed wait no longer indicates a queue. */
+    private static final double QUEUE_FADE_NANOS = 2e9;
 
     /** Weight of the newest wait in the running average. */
     private static final double WAIT_GAIN = 0.5;
-    /** Fraction of own unprefilled tokens that are in the backlog until their first events arrive. */
+    /** Minimum fraction of own unprefilled tokens that counts as backlog until their first events arrive. */
     private static final double MIN_BACKLOG_FRACTION = 0.5;
-    /** Shorter waits are noise, or a single prompt that was being prefilled. */
+    /** Minimum wait that indicates a queue. Shorter ones are noise, or a single prompt that was being prefilled. */
     private static final long QUEUE_WAIT_NANOS = 200_000_000L;
 
     private int ownRequests;
     private double ownMemoryTokens;
-    /** Estimated own prompt tokens that are not prefilled yet, as of {@link #backlogAtNanos}. */
+    /** Estimated own prompt tokens that are not yet prefilled, as of {@link #backlogAtNanos}. */
     private double backlogTokens;
 
     private long backlogAtNanos;
@@ -37,7 +38,7 @@
     private long otherRequestsAtNanos;
     private int slots;
     private int waiting;
-    private boolean loadWasReported;
+    private boolean hasReportedLoad;
     private double waitNanos;
     private long waitAtNanos;
 
@@ -45,41 +46,41 @@
         this.slots = Math.max(1, slots);
     }
 
-    /** Requests of this router that are at the instance. */
+    /** Returns the requests of this router that are in flight at the instance. */
     public int ownRequests() {
         return ownRequests;
     }
 
-    /** Those of them whose first event has not arrived. */
+    /** Returns the number of own requests whose first event has not arrived. */
     public int ownPrefilling() {
         return ownPrefilling;
     }
 
-    /** Requests that the instance can execute at once, at least 1. */
+    /** Returns the number of requests that the instance can execute at once, at least 1. */
     public int slots() {
         return slots;
     }
 
-    void setSlots(int count) {
-        slots = Math.max(1, count);
+    void setSlots(int slotCount) {
+        slots = Math.max(1, slotCount);
     }
 
     private double otherRequests(long nowNanos) {
         return otherRequests * Math.max(0, 1 - (nowNanos - otherRequestsAtNanos) / OTHER_REQUESTS_FADE_NANOS);
     }
 
-    /** Estimated requests there, of all routers. */
+    /** Returns the estimated number of requests of all routers at the instance. */
     public double requests(long nowNanos) {
         return ownRequests + otherRequests(nowNanos);
     }
 
-    /** Whether requests wait there, by a recent report or by recent waits for first events. */
+    /** Whether requests are queued there, by a recent report or by recent delays of first events. */
     public boolean hasQueue(long nowNanos) {
         return waiting > 0 && nowNanos - otherRequestsAtNanos < QUEUE_VALID_NANOS
-                || fadedWaitNanos(STRAIN_FADE_NANOS, nowNanos) > QUEUE_WAIT_NANOS;
+                || fadedWaitNanos(QUEUE_FADE_NANOS, nowNanos) > QUEUE_WAIT_NANOS;
     }
 
-    /** How long a new request is expected to wait for those of all routers, by recent waits. */
+    /** Returns the expected wait of a new request for those of all routers, by recent waits. */
     public double waitNanos(long nowNanos) {
         return fadedWaitNanos(WAIT_FADE_NANOS, nowNanos);
     }
@@ -88,27 +89,31 @@
         return waitNanos * Math.max(0, 1 - (nowNanos - waitAtNanos) / fadeNanos);
     }
 
-    /** A request has waited at least so long for others, and its first event has not arrived. */
+    /** Records that a request has waited at least this long for others and its first event has not arrived. */
     public void onStillWaiting(double waitedNanos, long nowNanos) {
         waitNanos = Math.max(waitNanos(nowNanos), waitedNanos);
         waitAtNanos = nowNanos;
     }
 
-    /** A first event arrived so much later than without other requests; less than 0 counts as 0. */
+    /** Records how much later a first event arrived than without other requests. Negative values count as 0. */
     public void onWaited(double waitedNanos, long nowNanos) {
-        double before = waitNanos(nowNanos);
-        waitNanos = before + (Math.max(0, waitedNanos) - before) * WAIT_GAIN;
+        double waitNanosBefore = waitNanos(nowNanos);
+        waitNanos = waitNanosBefore + (Math.max(0, waitedNanos) - waitNanosBefore) * WAIT_GAIN;
         waitAtNanos = nowNanos;
     }
 
-    /** KV cache used by running requests, in tokens; each request of other routers counts {@code meanTokens}. */
+    /**
+     * Returns the KV cache in tokens that running requests use. Each request of other routers counts as {@code
+     * meanTokens}.
+     */
     public double memoryTokens(double meanTokens, long nowNanos) {
         return ownMemoryTokens + otherRequests(nowNanos) * meanTokens;
     }
 
     /**
-     * Own prompt tokens that are still to be prefilled, by the time since they were sent. Half of them count
-     * until their first events arrive, because requests of other routers are prefilled in between.
+     * Returns the own prompt tokens that are still to be prefilled, estimated from the time since they were sent. At
+     * least half of them count until their first events arrive, because requests of other routers are prefilled in
+     * between.
      */
     public double backlogTokens(EngineSpeed speed, long nowNanos) {
         double prefilled = Math.max(0, nowNanos - backlogAtNanos) * speed.tokensPerNano();
@@ -117,7 +122,12 @@
         return backlogTokens;
     }
 
-    /** An own request was sent, with so many tokens to prefill and so much memory, in tokens. */
+    /**
+     * Records that an own request was sent.
+     *
+     * @param tokensToPrefill prompt tokens to be prefilled for it
+     * @param memoryTokens KV cache that it uses, in tokens
+     */
     public void onSent(int tokensToPrefill, double memoryTokens, EngineSpeed speed, long nowNanos) {
         backlogTokens(speed, nowNanos);
         backlogTokens += tokensToPrefill;
@@ -127,43 +137,46 @@
         ownRequests++;
     }
 
-    /** The first event of an own request arrived, or it ended without one. Once for each {@link #onSent}. */
+    /**
+     * Records that the first event of an own request arrived, or that it ended without one. Called once for each
+     * {@link #onSent}.
+     */
     public void onPrefilled(int tokensToPrefill) {
         ownPrefilling--;
         ownPrefillTokens = Math.max(0, ownPrefillTokens - tokensToPrefill);
     }
 
-    /** An own request ended. Once for each {@link #onSent}. */
+    /** Records the end of an own request. Called once for each {@link #onSent}. */
     public void onEnded(double memoryTokens) {
         ownRequests--;
         ownMemoryTokens = ownRequests == 0 ? 0 : Math.max(0, ownMemoryTokens - memoryTokens);
     }
 
-    /** An own request was not executed: its prompt will not be prefilled. */
+    /** Removes the prompt of an own request that was not executed from the backlog. */
     public void withdraw(int tokensToPrefill) {
         backlogTokens = Math.max(0, backlogTokens - tokensToPrefill);
     }
 
     /**
-     * A response reported the instance's load; a report that is older than the last one is ignored.
+     * Applies a load report of a response. A report that is older than the last one is ignored.
      *
-     * @param ownThen own requests that were there when the response began
+     * @param ownRequestsThen own requests that were in flight when the response began
      * @param ownPrefillingThen those of them without a first event
-     * @param meanPrefillTokens of a request, assumed for those that wait there
-     * @param atNanos when the response began
+     * @param meanPrefillTokens mean tokens to prefill for a request, assumed for each queued request
+     * @param atNanos time at which the response began
      */
     public void onLoadReported(
             ServerLoad reported,
-            int ownThen,
+            int ownRequestsThen,
             int ownPrefillingThen,
             double meanPrefillTokens,
             EngineSpeed speed,
             long atNanos) {
-        if (loadWasReported && atNanos - otherRequestsAtNanos < 0) {
+        if (hasReportedLoad && atNanos - otherRequestsAtNanos < 0) {
             return;
         }
-        loadWasReported = true;
-        otherRequests = Math.max(0, reported.running() + reported.waiting() - ownThen);
+        hasReportedLoad = true;
+        otherRequests = Math.max(0, reported.running() + reported.waiting() - ownRequestsThen);
         otherRequestsAtNanos = atNanos;
         waiting = reported.waiting();
         if (reported.slots() > 0) {
--- a/routing/src/main/java/burlarch/routing/instance/StoreLivenessMonitor.java
+++ b/routing/src/main/java/burlarch/routing/instance/StoreLivenessMonitor.java
@@ -1,9 +1,9 @@
 package burlarch.routing.instance;
 
 /**
- * Detects that a store is down. A store reports an event for each segment saved to it; several saves without
- * any report for a while mean that it is down, and that fetches from it would wait in vain. A store that has
- * never reported anything is one whose events this router does not receive, and is assumed to be up.
+ * Failure detector of one store. A store reports an event for each segment saved to it. Several saves without any
+ * report for some time mean that it is down and that fetches from it would wait in vain. A store that has never
+ * reported anything is assumed to be up, because this router may not receive its events.
  */
 public final class StoreLivenessMonitor {
     private static final int MAX_UNACKNOWLEDGED_SAVES = 3;
@@ -13,13 +13,13 @@
     private int unacknowledgedSaves;
     private long unacknowledgedSinceNanos;
 
-    /** Events or a complete list of the store arrived. */
+    /** Records that events or a complete list of the store arrived. */
     public void onEventsReceived() {
         hasEverReported = true;
         unacknowledgedSaves = 0;
     }
 
-    /** An engine has prefilled what it was to save to the store, so a report is due. */
+    /** Records that an engine has prefilled segments that it saves to the store, so that a report is due. */
     public void onSaveDue(long nowNanos) {
         if (unacknowledgedSaves == 0) {
             unacknowledgedSinceNanos = nowNanos;
--- a/routing/src/main/java/burlarch/routing/planner/CandidateSelector.java
+++ b/routing/src/main/java/burlarch/routing/planner/CandidateSelector.java
@@ -6,23 +6,23 @@
 import java.util.List;
 
 /**
- * Selects the instances of a service that may receive an attempt: those that are ready, serve the model, have
- * not failed this request, do not have outdated weights, and are neither ejected nor resting.
+ * Selects the instances of a service that may receive an attempt: those that are ready, serve the model, have not
+ * failed this request, have no outdated weights, and are neither ejected nor cooling down.
  *
- * <p>Invariant <em>ejection bound</em>: ejection removes at most half of the instances that remain by the
- * other conditions, except those that cannot be reached. If all are ejected, the one whose ejection ends first
- * receives the attempt, reachable or not.
+ * <p>Invariant <em>ejection bound</em>: ejection and cooldown remove at most half of the instances that meet the other
+ * conditions, except that unreachable instances stay removed beyond that. If no instance is left, the one that is
+ * available again first receives the attempt, reachable or not.
  */
 final class CandidateSelector {
     private static final double MAX_EJECTED_FRACTION = 0.5;
 
     private final List<Engine> usable = new ArrayList<>();
-    private final List<Engine> ejected = new ArrayList<>();
+    private final List<Engine> unavailable = new ArrayList<>();
 
     /**
-     * The candidates for an attempt, empty if no instance is ready. The list is reused by the next call.
+     * Returns the candidates for an attempt, empty if no instance is ready. The next call reuses the list.
      *
-     * @param graceNanos after which instances with older weights than the newest known ones are excluded
+     * @param graceNanos time after which instances with older weights than the newest known ones are excluded
      */
     List<Engine> select(
             ServiceState service,
@@ -33,7 +33,7 @@
         long minVersion = request.model() == null ? 0 : service.minVersion(request.model(), graceNanos, nowNanos);
         collect(service, request, previous, minVersion, nowNanos);
         if (usable.isEmpty() && minVersion > 0) {
-            // No instance has the new weights: their distribution has failed, and old weights serve on.
+            // No instance has the new weights: their distribution has failed, so instances with old weights are used.
             collect(service, request, previous, 0, nowNanos);
         }
         return usable;
@@ -46,7 +46,7 @@
             long minVersion,
             long nowNanos) {
         usable.clear();
-        ejected.clear();
+        unavailable.clear();
         List<Engine> engines = service.engines();
         for (int i = 0; i < engines.size(); i++) {
             Engine engine = engines.get(i);
@@ -56,57 +56,57 @@
                     || minVersion > 0 && isOutdated(engine, request.model(), minVersion)) {
                 continue;
             }
-            boolean unavailable =
-                    engine.health().isEjected(nowNanos) || engine.health().isResting(nowNanos);
-            (unavailable ? ejected : usable).add(engine);
+            boolean isUnavailable =
+                    engine.health().isEjected(nowNanos) || engine.health().isCoolingDown(nowNanos);
+            (isUnavailable ? unavailable : usable).add(engine);
         }
-        int enough = (int) Math.ceil((usable.size() + ejected.size()) * MAX_EJECTED_FRACTION);
-        for (Engine next = firstReachable(); next != null && usable.size() < enough; next = firstReachable()) {
+        int minUsable = (int) Math.ceil((usable.size() + unavailable.size()) * MAX_EJECTED_FRACTION);
+        for (Engine next = earliestReachable(); next != null && usable.size() < minUsable; next = earliestReachable()) {
             readmit(next);
         }
-        Engine last = usable.isEmpty() ? firstToReturn() : null;
-        if (last != null) {
-            readmit(last);
+        Engine lastResort = usable.isEmpty() ? earliestAvailable() : null;
+        if (lastResort != null) {
+            readmit(lastResort);
         }
     }
 
-    /** An instance of unknown version is not outdated. */
+    /** Whether an instance has a version older than {@code minVersion}. An unknown version is not outdated. */
     private static boolean isOutdated(Engine engine, String model, long minVersion) {
         long version = engine.version(model);
         return version > 0 && version < minVersion;
     }
 
     private void readmit(Engine engine) {
-        ejected.remove(engine);
+        unavailable.remove(engine);
         usable.add(engine);
     }
 
-    /** The ejected engine whose ejection ends first, null if there is none. */
-    private Engine firstToReturn() {
-        Engine first = null;
-        for (int i = 0; i < ejected.size(); i++) {
-            first = earlier(first, ejected.get(i));
+    /** Returns the unavailable engine that is available again first, null if there is none. */
+    private Engine earliestAvailable() {
+        Engine earliest = null;
+        for (int i = 0; i < unavailable.size(); i++) {
+            earliest = earlier(earliest, unavailable.get(i));
         }
-        return first;
+        return earliest;
     }
 
-    /** As {@link #firstToReturn}, without those to which no connection can be established. */
-    private Engine firstReachable() {
-        Engine first = null;
-        for (int i = 0; i < ejected.size(); i++) {
-            if (!ejected.get(i).health().isUnreachable()) {
-                first = earlier(first, ejected.get(i));
+    /** As {@link #earliestAvailable}, without engines to which no connection can be established. */
+    private Engine earliestReachable() {
+        Engine earliest = null;
+        for (int i = 0; i < unavailable.size(); i++) {
+            if (!unavailable.get(i).health().isUnreachable()) {
+                earliest = earlier(earliest, unavailable.get(i));
             }
         }
-        return first;
+        return earliest;
     }
 
-    private static Engine earlier(Engine first, Engine other) {
-        return first == null
+    private static Engine earlier(Engine earliest, Engine other) {
+        return earliest == null
                         || other.health().unavailableUntilNanos()
-                                        - first.health().unavailableUntilNanos()
+                                        - earliest.health().unavailableUntilNanos()
                                 < 0
                 ? other
-                : first;
+                : earliest;
     }
 }
--- a/routing/src/main/java/burlarch/routing/planner/EngineSubsets.java
+++ b/routing/src/main/java/burlarch/routing/planner/EngineSubsets.java
@@ -8,14 +8,14 @@
 import java.util.List;
 
 /**
- * Assigns to each router of a zone a part of the zone's engines as its own subset. A router knows at once what it sends
- * to an engine itself, and what others send only later; an engine that mostly one router uses has a load that this
- * router knows. So routers prefer their own subset and move on to the next ones, in the same direction around the ring,
- * as its engines fill.
+ * Deterministic subsetting: assigns to each router of a zone a part of the zone's engines as its own subset. A router
+ * knows at once what it sends to an engine itself, but learns only later what other routers send; so the load of an
+ * engine that mostly one router uses is known to that router. Routers prefer their own subset, and move on to the next
+ * ones around the ring, in the same direction, as its engines fill.
  *
- * <p>The ring is the order of the ids' hashes, equal at all routers. With fewer engines than routers several routers
- * share one; with more, a subset has several. Invariant <em>even use</em>: of all routers together, each engine of a
- * zone is the first choice of the same number, rounded up or down, as long as routers agree on who is alive.
+ * <p>The ring is ordered by the hashes of the ids, equally at all routers. With fewer engines than routers, several
+ * routers share one; with more, a subset has several. Invariant <em>even use</em>: each engine of a zone is the first
+ * choice of the same number of routers, rounded up or down, as long as routers agree on which are live.
  */
 final class EngineSubsets {
     private static final Comparator<Engine> RING_ORDER =
--- a/routing/src/main/java/burlarch/routing/planner/FleetPlanner.java
+++ b/routing/src/main/java/burlarch/routing/planner/FleetPlanner.java
@@ -19,36 +19,39 @@
 import java.util.List;
 
 /**
- * The planner of one router. It combines the decisions of its parts, see the package's description; what
- * they share is in {@link FleetState}, and what attempts show is evaluated by {@link InFlightAttempts}.
+ * The planner of one router. It combines the decisions of its components, see the package documentation. Their shared
+ * state is in {@link FleetState}; {@link InFlightAttempts} evaluates the attempts.
  */
 public final class FleetPlanner implements Planner {
-    /** Fraction of the time for new weights after which engines with old ones receive no more requests. */
-    private static final double VERSION_GRACE_FRACTION = 0.75;
-    /** An engine counts as free only if the first event is expected within this fraction of the time left. */
-    private static final double FREE_ENGINE_TARGET_FRACTION = 0.6;
+    /** Fraction of the time for a weights update after which engines with old weights receive no more requests. */
+    private static final double WEIGHTS_GRACE_FRACTION = 0.75;
+    /**
+     * Maximum expected time to the first event at a lightly loaded engine, as a fraction of the time left until the
+     * latency target.
+     */
+    private static final double LIGHT_LOAD_TARGET_FRACTION = 0.6;
 
     private final PlannerSettings settings;
-    private final long versionGraceNanos;
+    private final long weightsGraceNanos;
     private final FleetState fleet;
     private final AttemptHistory history = new AttemptHistory();
-    private final CandidateSelector candidates = new CandidateSelector();
+    private final CandidateSelector candidateSelector = new CandidateSelector();
     private final RequestCacheSalt salts = new RequestCacheSalt();
     private final KvTransferPlanner transfers;
     private final PromptScheduler promptScheduler;
     private final PlainScheduler plainScheduler;
     private final InFlightAttempts attempts;
 
-    /** A planner that knows no services and no instances yet. */
+    /** Creates a planner that knows no services and no instances. */
     public FleetPlanner(PlannerSettings settings) {
         this(settings, AttemptObserver.NONE);
     }
 
-    /** As {@link #FleetPlanner(PlannerSettings)}; the observer is notified of each attempt that has ended. */
+    /** As {@link #FleetPlanner(PlannerSettings)}, with an observer that is notified of each ended attempt. */
     public FleetPlanner(PlannerSettings settings, AttemptObserver observer) {
         PrefixCacheIndex index = new PrefixCacheIndex();
         this.settings = settings;
-        this.versionGraceNanos = (long) (settings.versionMillis() * 1e6 * VERSION_GRACE_FRACTION);
+        this.weightsGraceNanos = (long) (settings.weightsUpdateMillis() * 1e6 * WEIGHTS_GRACE_FRACTION);
         this.transfers = new KvTransferPlanner(settings, index);
         this.fleet = new FleetState(settings, index, transfers);
         this.promptScheduler = new PromptScheduler(settings, index, transfers);
@@ -96,41 +99,43 @@
         attempts.checkOverdue(nowNanos);
         ServiceState service = fleet.service(serviceOf(request));
         if (service == null) {
-            return Refusals.withoutInstance(request, "no such service", nowNanos);
+            return Rejections.withoutInstance(request, "no such service", nowNanos);
         }
         AttemptHistory.PreviousAttempts previous = attempt == 0 ? AttemptHistory.NONE : history.of(request.id());
         if (attempt > 0) {
             RetryPolicy.Decision decision = RetryPolicy.decide(request, service.budget(), previous, attempt, nowNanos);
             if (decision != RetryPolicy.Decision.ALLOWED) {
-                return Refusals.retry(decision);
+                return Rejections.retryDenied(decision);
             }
         }
         if (nowNanos >= request.deadlineNanos()) {
-            return Refusals.deadlinePassed();
+            return Rejections.deadlinePassed();
         }
-        List<Engine> usable = candidates.select(service, request, previous, versionGraceNanos, nowNanos);
-        if (usable.isEmpty()) {
-            return Refusals.withoutInstance(request, "no instance is ready", nowNanos);
+        List<Engine> candidates = candidateSelector.select(service, request, previous, weightsGraceNanos, nowNanos);
+        if (candidates.isEmpty()) {
+            return Rejections.withoutInstance(request, "no instance is ready", nowNanos);
         }
         Placement placement = service.isModelService() && request.model() != null
-                ? planPrompt(request, service, usable, attempt, nowNanos)
-                : planPlain(request, service, usable, attempt, nowNanos);
+                ? planPrompt(request, service, candidates, attempt, nowNanos)
+                : planPlain(request, service, candidates, attempt, nowNanos);
         if (attempt == 0) {
-            service.urgencyExchange().onPlanned(request.rank(), placement instanceof Placement.Send, nowNanos);
+            service.priorityShedding().onPlanned(request.rank(), placement instanceof Placement.Send, nowNanos);
         }
         return placement;
     }
 
-    /** The service of the route, or one of its weighted services; the same for all attempts of a request. */
+    /**
+     * Returns the service of the route, or one of its weighted services. It is the same for all attempts of a request.
+     */
     private static String serviceOf(RouteRequest request) {
         return TrafficSplitter.pick(request.route(), RendezvousHash.hash(request.id()));
     }
 
     private Placement planPlain(
-            RouteRequest request, ServiceState service, List<Engine> usable, int attempt, long nowNanos) {
-        SchedulingChoice choice = plainScheduler.choose(request, usable, nowNanos);
+            RouteRequest request, ServiceState service, List<Engine> candidates, int attempt, long nowNanos) {
+        SchedulingChoice choice = plainScheduler.choose(request, candidates, nowNanos);
         if (attempt == 0 && wouldMissTarget(request, service, choice.predictedNanos(), nowNanos)) {
-            return Refusals.busy(request, choice.predictedNanos(), nowNanos);
+            return Rejections.overloaded(request, choice.predictedNanos(), nowNanos);
         }
         Placement.Send send = new Placement.Send(
                 choice.engine().instance(),
@@ -145,21 +150,21 @@
     }
 
     private Placement planPrompt(
-            RouteRequest request, ServiceState service, List<Engine> usable, int attempt, long nowNanos) {
+            RouteRequest request, ServiceState service, List<Engine> candidates, int attempt, long nowNanos) {
         salts.begin(request, service.newestSupersededVersion(request.model(), nowNanos));
         SchedulingChoice choice =
-                promptScheduler.choose(request, service, usable, salts, fleet.liveRouters(), nowNanos);
+                promptScheduler.choose(request, service, candidates, salts, fleet.liveRouters(), nowNanos);
         if (attempt == 0 && wouldMissTarget(request, service, choice.predictedNanos(), nowNanos)) {
-            return Refusals.busy(request, choice.predictedNanos(), nowNanos);
+            return Rejections.overloaded(request, choice.predictedNanos(), nowNanos);
         }
-        boolean offered = choice.isFetch() && attempt == 0;
-        if (offered
+        boolean offeredToAdmission = choice.isCacheMiss() && attempt == 0;
+        if (offeredToAdmission
                 && !admits(request, service, choice, nowNanos)
-                && !placesUrgent(request, service, choice, nowNanos)) {
-            return Refusals.overFetchQuota(request, service.admission(), nowNanos);
+                && !placesOnCredit(request, service, choice, nowNanos)) {
+            return Rejections.overCacheMissQuota(request, service.admission(), nowNanos);
         }
-        if (attempt == 0 && yieldsToUrgent(request, service, choice, nowNanos)) {
-            return Refusals.busy(request, choice.predictedNanos(), nowNanos);
+        if (attempt == 0 && shedsForUrgent(request, service, choice, nowNanos)) {
+            return Rejections.overloaded(request, choice.predictedNanos(), nowNanos);
         }
         KvTransferPlanner.TransferSource source = transfers.chooseSource(request, service, choice, salts, nowNanos);
         String salt = salts.text(choice.engine());
@@ -171,45 +176,50 @@
                 transfers.storeToSaveTo(request, salts, choice.engine(), nowNanos),
                 settings.priorityOf(request.rank()),
                 (long) choice.predictedNanos());
-        attempts.prepare(send, InFlightAttempt.prompt(service, request, attempt, choice, source, offered));
+        attempts.prepare(send, InFlightAttempt.prompt(service, request, attempt, choice, source, offeredToAdmission));
         return send;
     }
 
-    /** Whether a fetch may be sent: it is admitted, or a rejection would leave free capacity unused. */
+    /** Whether a cache miss may be sent: it is admitted, or a rejection would leave free capacity unused. */
     private boolean admits(RouteRequest request, ServiceState service, SchedulingChoice choice, long nowNanos) {
-        double sustainablePerSecond = service.sustainableFetchesPerSecond() / fleet.liveRouters();
+        double sustainablePerSecond = service.sustainableMissesPerSecond() / fleet.liveRouters();
         return service.admission().offer(request, sustainablePerSecond, nowNanos)
                 || service.hasSpareSlots(nowNanos)
-                || choice.engine().isFree(nowNanos)
+                || choice.engine().isLightlyLoaded(nowNanos)
                         && choice.predictedNanos()
-                                < FREE_ENGINE_TARGET_FRACTION * request.latencyTargetLeftNanos(nowNanos);
+                                < LIGHT_LOAD_TARGET_FRACTION * request.latencyTargetLeftNanos(nowNanos);
     }
 
-    /** Whether a fetch that is not admitted takes the place of less urgent requests; not for a tenant that floods. */
-    private static boolean placesUrgent(
+    /**
+     * Whether a cache miss that is not admitted is placed on the credit of shed requests. A flooding tenant gets no
+     * credit.
+     */
+    private static boolean placesOnCredit(
             RouteRequest request, ServiceState service, SchedulingChoice choice, long nowNanos) {
         return !service.admission().isFlooding(request)
-                && service.urgencyExchange().placesUrgent(request.rank(), tokensToPrefill(request, choice), nowNanos);
+                && service.priorityShedding()
+                        .placesOnCredit(request.rank(), tokensToPrefill(request, choice), nowNanos);
     }
 
-    /** Whether the request gives way to more urgent fetches that are not admitted. */
-    private static boolean yieldsToUrgent(
+    /** Whether the request is shed in favour of more urgent cache misses that are not admitted. */
+    private static boolean shedsForUrgent(
             RouteRequest request, ServiceState service, SchedulingChoice choice, long nowNanos) {
         return !service.hasSpareSlots(nowNanos)
-                && service.urgencyExchange().yieldsToUrgent(request.rank(), tokensToPrefill(request, choice), nowNanos);
+                && service.priorityShedding()
+                        .shedsForUrgent(request.rank(), tokensToPrefill(request, choice), nowNanos);
     }
 
     private static int tokensToPrefill(RouteRequest request, SchedulingChoice choice) {
         return Math.max(0, request.totalPromptTokens() - choice.cachedTokens());
     }
 
-    /** Whether the first event is expected so late that the request is not worth a slot that others could use. */
+    /** Whether the first event is expected so late that the request should not take a slot that others could use. */
     private boolean wouldMissTarget(RouteRequest request, ServiceState service, double predictedNanos, long nowNanos) {
         double limitNanos =
-                settings.refuseBeyondLatencyTargets() * request.route().targetLatencyMillis() * 1e6;
-        boolean late =
+                settings.rejectBeyondLatencyTargets() * request.route().targetLatencyMillis() * 1e6;
+        boolean tooLate =
                 predictedNanos > request.deadlineNanos() - nowNanos || limitNanos > 0 && predictedNanos > limitNanos;
-        return late && !service.hasSpareSlots(nowNanos);
+        return tooLate && !service.hasSpareSlots(nowNanos);
     }
 
     @Override
--- a/routing/src/main/java/burlarch/routing/planner/FleetState.java
+++ b/routing/src/main/java/burlarch/routing/planner/FleetState.java
@@ -8,7 +8,7 @@
 import burlarch.routing.KvEvents;
 import burlarch.routing.PlannerSettings;
 import burlarch.routing.RouterPosition;
-import burlarch.routing.admission.FetchAdmission;
+import burlarch.routing.admission.CacheMissAdmission;
 import burlarch.routing.admission.RetryBudget;
 import burlarch.routing.index.PrefixCacheIndex;
 import burlarch.routing.instance.Engine;
@@ -20,15 +20,15 @@
 import java.util.Set;
 
 /**
- * The services and instances that a planner knows, by configuration, announcements and responses. It keeps the
- * sources of the prefix-cache index equal to the known engines and stores.
+ * The services and instances that a planner knows, by configuration, announcements and responses. The sources of the
+ * prefix-cache index are always the known engines and stores.
  *
- * <p>Invariant <em>one engine, one estimate</em>: an {@link Engine} lives as long as its instance id is known,
- * across configurations and announcements, so that attempts in flight and their estimates refer to one object.
+ * <p>Invariant <em>one object per engine</em>: an {@link Engine} exists as long as its instance id is known, across
+ * configurations and announcements, so that attempts in flight and their estimates refer to one object.
  */
 final class FleetState {
-    /** Assumed number of fetches that one engine can prefill in a second, until a rate has been learned. */
-    private static final double INITIAL_FETCHES_PER_ENGINE = 10;
+    /** Cache misses that one engine is assumed to prefill in a second, until a rate has been learned. */
+    private static final double INITIAL_MISSES_PER_ENGINE_SECOND = 10;
 
     private final PlannerSettings settings;
     private final PrefixCacheIndex index;
@@ -46,25 +46,25 @@
         this.subsets = new EngineSubsets(settings);
     }
 
-    /** The service of that name, null if it is not configured or is a store. */
+    /** Returns the service of that name, null if it is not configured or is a store. */
     ServiceState service(String name) {
         return services.get(name);
     }
 
-    /** Number of live routers, at least 1. */
+    /** Returns the number of live routers, at least 1. */
     int liveRouters() {
         return liveRouters;
     }
 
     void onConfiguration(Configuration configuration, long nowNanos) {
-        Set<String> named = new HashSet<>();
+        Set<String> configuredNames = new HashSet<>();
         for (Service service : configuration.services()) {
             if (service.kvStore() == null) {
-                named.add(service.name());
+                configuredNames.add(service.name());
                 configure(service, configuration, nowNanos);
             }
         }
-        services.keySet().retainAll(named);
+        services.keySet().retainAll(configuredNames);
         transfers.configure(configuration.services());
         onInstances(instances, nowNanos);
     }
@@ -72,12 +72,12 @@
     private void configure(Service service, Configuration configuration, long nowNanos) {
         ServiceState state = services.get(service.name());
         if (state == null) {
-            state = new ServiceState(service, newBudget(nowNanos), new FetchAdmission());
+            state = new ServiceState(service, newBudget(nowNanos), new CacheMissAdmission());
             services.put(service.name(), state);
         }
         state.update(service);
         double initialPerSecond =
-                INITIAL_FETCHES_PER_ENGINE * Math.max(1, state.engines().size());
+                INITIAL_MISSES_PER_ENGINE_SECOND * Math.max(1, state.engines().size());
         state.admission().configure(configuration.tenants(), initialPerSecond, liveRouters);
     }
 
@@ -161,10 +161,10 @@
     }
 
     private void onVersion(Engine engine, String model, long version, long nowNanos) {
-        long before = engine.onVersion(model, version, nowNanos);
-        if (before > 0) {
+        long previousVersion = engine.onVersion(model, version, nowNanos);
+        if (previousVersion > 0) {
             // An engine that loads new weights discards its cache entries of the old ones.
-            index.forgetVersion(engine.id(), CacheSalt.of(model, before, null, engine.id()));
+            index.forgetVersion(engine.id(), CacheSalt.of(model, previousVersion, null, engine.id()));
         }
         ServiceState service = services.get(engine.instance().service());
         if (service != null) {
--- a/routing/src/main/java/burlarch/routing/planner/InFlightAttempt.java
+++ b/routing/src/main/java/burlarch/routing/planner/InFlightAttempt.java
@@ -7,8 +7,8 @@
 import burlarch.routing.instance.Engine;
 
 /**
- * One attempt, from its placement to its end: what was planned, and what was measured when it was sent and
- * when its first event arrived. Owned by {@link InFlightAttempts}.
+ * One attempt, from its placement to its end: what was planned, and what was measured at sending and at its first
+ * event. Owned by {@link InFlightAttempts}.
  *
  * <pre>
  * state       sent   first event  end     not sent
@@ -25,30 +25,33 @@
         ENDED
     }
 
-    /** Fraction of the latency target, beyond the uncontended time, after which a missing first event shows a queue. */
+    /**
+     * Fraction of the latency target, added to the uncontended time, after which a missing first event indicates a
+     * queue.
+     */
     private static final double OVERDUE_FRACTION_OF_TARGET = 0.4;
 
     private final Engine engine;
     private final ServiceState service;
     private final int attemptNumber;
-    /** Weights version that the engine was known to have when the attempt was planned. */
+    /** Weights version of the engine that was known when the attempt was planned. */
     private final long versionAtPlanning;
 
-    private final boolean plannedAsFetch;
+    private final boolean plannedAsCacheMiss;
     private final int cachedTokens;
     private final int tokensToPrefill;
     private final int tokensToTransfer;
     private final long transferNanos;
     private final double memoryTokens;
-    /** Whether admission awaits the outcome of this attempt as a fetch. */
-    private boolean fetch;
+    /** Whether admission control awaits the outcome of this attempt as a cache miss. */
+    private boolean cacheMiss;
 
     private State state = State.PLANNED;
     private long sentNanos;
     private boolean trial;
     private boolean engineWasIdle;
     private int ownRequestsWhenSent;
-    private double waitNanosWhenSent;
+    private double expectedWaitNanosWhenSent;
     private long overdueNanos;
     private long firstEventNanos;
 
@@ -57,7 +60,7 @@
             ServiceState service,
             RouteRequest request,
             int attemptNumber,
-            boolean fetch,
+            boolean cacheMiss,
             int cachedTokens,
             int tokensToPrefill,
             int tokensToTransfer,
@@ -67,8 +70,8 @@
         this.service = service;
         this.attemptNumber = attemptNumber;
         this.versionAtPlanning = engine.version(request.model());
-        this.fetch = fetch;
-        this.plannedAsFetch = fetch;
+        this.cacheMiss = cacheMiss;
+        this.plannedAsCacheMiss = cacheMiss;
         this.cachedTokens = cachedTokens;
         this.tokensToPrefill = tokensToPrefill;
         this.tokensToTransfer = tokensToTransfer;
@@ -77,7 +80,7 @@
     }
 
     /**
-     * An attempt of a request without a cached prompt.
+     * Creates an attempt of a request without a cached prompt.
      *
      * @param attemptNumber from 0
      */
@@ -86,11 +89,11 @@
     }
 
     /**
-     * An attempt of a request with a cached prompt.
+     * Creates an attempt of a request with a cached prompt.
      *
      * @param attemptNumber from 0
-     * @param source of the transfer of cached segments, null for none
-     * @param offeredAsFetch whether it was offered to admission as a fetch
+     * @param source source of the transfer of cached segments, null for none
+     * @param offeredAsCacheMiss whether it was offered to admission control as a cache miss
      */
     static InFlightAttempt prompt(
             ServiceState service,
@@ -98,28 +101,28 @@
             int attemptNumber,
             SchedulingChoice choice,
             KvTransferPlanner.TransferSource source,
-            boolean offeredAsFetch) {
-        int transferred = source == null ? 0 : source.gainedTokens();
+            boolean offeredAsCacheMiss) {
+        int transferredTokens = source == null ? 0 : source.gainedTokens();
         return new InFlightAttempt(
                 choice.engine(),
                 service,
                 request,
                 attemptNumber,
-                offeredAsFetch,
+                offeredAsCacheMiss,
                 choice.cachedTokens(),
-                Math.max(0, request.totalPromptTokens() - choice.cachedTokens() - transferred),
-                transferred,
+                Math.max(0, request.totalPromptTokens() - choice.cachedTokens() - transferredTokens),
+                transferredTokens,
                 source == null ? 0 : source.nanos(),
                 CostModel.memoryTokens(request, choice.cachedTokens()));
     }
 
-    /** The attempt is sent: counts it at the engine and the service. */
+    /** Records the sending, and counts the attempt at the engine and the service. */
     void onSent(RouteRequest request, long nowNanos) {
         state = State.SENT;
         sentNanos = nowNanos;
         trial = engine.health().onSent();
         ownRequestsWhenSent = engine.load().ownRequests();
-        waitNanosWhenSent = engine.load().waitNanos(nowNanos);
+        expectedWaitNanosWhenSent = engine.load().waitNanos(nowNanos);
         engineWasIdle = engine.load().backlogTokens(engine.speed(), nowNanos) < 1;
         engine.load().onSent(tokensToPrefill, memoryTokens, engine.speed(), nowNanos);
         service.onSent(this);
@@ -128,7 +131,7 @@
                         + OVERDUE_FRACTION_OF_TARGET * request.route().targetLatencyMillis() * 1e6);
     }
 
-    /** The first event arrived: the engine has prefilled the prompt. */
+    /** Records the first event, which shows that the engine has prefilled the prompt. */
     void onFirstEvent(long nowNanos) {
         state = State.RESPONDING;
         firstEventNanos = nowNanos;
@@ -136,7 +139,7 @@
         engine.health().onResponse(nowNanos);
     }
 
-    /** The attempt ended; returns whether its first event had arrived. */
+    /** Records the end. Returns whether the first event had arrived. */
     boolean onEnded() {
         boolean hadFirstEvent = state == State.RESPONDING;
         state = State.ENDED;
@@ -146,32 +149,32 @@
         return hadFirstEvent;
     }
 
-    /** What an observer is told of it after its end. */
+    /** Returns the report on the ended attempt for an observer. */
     ObservedAttempt observed(
             RouteRequest request, Placement.Send send, boolean sameZone, AttemptOutcome outcome, long nowNanos) {
         return new ObservedAttempt(
                 request,
                 engine.id(),
                 sameZone,
-                plannedAsFetch,
+                plannedAsCacheMiss,
                 cachedTokens,
                 tokensToTransfer,
                 tokensToPrefill,
                 ownRequestsWhenSent,
-                waitNanosWhenSent,
-                send.predictedFirstNanos(),
+                expectedWaitNanosWhenSent,
+                send.predictedFirstEventNanos(),
                 sentNanos,
                 firstEventNanos == 0 ? -1 : firstEventNanos - sentNanos,
                 nowNanos - sentNanos,
                 outcome);
     }
 
-    /** Its first event is still missing at the time when it was overdue; the next time is half as long again. */
+    /** Sets the next time at which a missing first event is evaluated: after half the time elapsed since sending. */
     void postponeOverdue(long nowNanos) {
         overdueNanos = nowNanos + (nowNanos - sentNanos) / 2;
     }
 
-    /** Whether it was sent and neither its first event nor its end was reported. */
+    /** Whether it was sent, and neither its first event nor its end was reported. */
     boolean awaitsFirstEvent() {
         return state == State.SENT;
     }
@@ -188,7 +191,7 @@
         return service;
     }
 
-    /** Number of the attempt among those of its request, from 0. */
+    /** Returns the number of the attempt among those of its request, from 0. */
     int attemptNumber() {
         return attemptNumber;
     }
@@ -197,31 +200,31 @@
         return versionAtPlanning;
     }
 
-    boolean isFetch() {
-        return fetch;
+    boolean isCacheMiss() {
+        return cacheMiss;
     }
 
-    /** The outcome of the fetch has been reported to admission. */
-    void onFetchReported() {
-        fetch = false;
+    /** Records that the outcome of the cache miss has been reported to admission control. */
+    void onMissReported() {
+        cacheMiss = false;
     }
 
-    /** Prompt tokens that the engine has to prefill. */
+    /** Returns the prompt tokens that the engine has to prefill. */
     int tokensToPrefill() {
         return tokensToPrefill;
     }
 
-    /** Prompt tokens that a transfer brings to the engine. */
+    /** Returns the prompt tokens that a transfer delivers to the engine. */
     int tokensToTransfer() {
         return tokensToTransfer;
     }
 
-    /** Expected time of the transfer. */
+    /** Returns the expected time of the transfer. */
     long transferNanos() {
         return transferNanos;
     }
 
-    /** KV cache that the request uses, in tokens. */
+    /** Returns the KV cache that the request uses, in tokens. */
     double memoryTokens() {
         return memoryTokens;
     }
@@ -235,12 +238,12 @@
         return trial;
     }
 
-    /** Whether the engine had no own prompt left to prefill when the attempt was sent. */
+    /** Whether no prompt of this router was left to prefill at the engine when the attempt was sent. */
     boolean engineWasIdle() {
         return engineWasIdle;
     }
 
-    /** Time from sending to the first event that the request would need if it were alone at the engine. */
+    /** Returns the expected time from sending to the first event if the request were alone at the engine. */
     double uncontendedNanos() {
         return engine.speed().baseNanos() + engine.speed().prefillNanos(tokensToPrefill) + transferNanos;
     }
--- a/routing/src/main/java/burlarch/routing/planner/InFlightAttempts.java
+++ b/routing/src/main/java/burlarch/routing/planner/InFlightAttempts.java
@@ -14,14 +14,14 @@
 import java.util.Map;
 
 /**
- * The attempts that are planned or in flight. Passes on what they show to the estimates of their engines, to
- * the prefix-cache index, to admission, to the retry budget and to the attempt history.
+ * The planned and in-flight attempts of one planner. Their progress updates the estimates of their engines, the
+ * prefix-cache index, admission control, the retry budget and the attempt history.
  *
- * <p>An attempt is identified by its {@link Placement.Send} object, not by equality. Reports about one that is
- * unknown are ignored, so that a repeated end counts once.
+ * <p>An attempt is identified by its {@link Placement.Send} object, not by equality. Reports about an unknown attempt
+ * are ignored, so that a repeated end counts once.
  */
 final class InFlightAttempts {
-    /** Bound of planned attempts. Callers send at once, so that more than a few were abandoned. */
+    /** Maximum number of planned attempts. Callers send at once, so more than a few planned ones were abandoned. */
     private static final int MAX_PREPARED = 256;
 
     private final PrefixCacheIndex index;
@@ -31,7 +31,10 @@
     private final AttemptObserver observer;
     private final Map<Placement.Send, InFlightAttempt> prepared = new IdentityHashMap<>();
     private final Map<Placement.Send, InFlightAttempt> inFlight = new IdentityHashMap<>();
-    /** Attempts without a first event, roughly in the order in which they become overdue. Ended ones leave late. */
+    /**
+     * Attempts without a first event, roughly in the order in which they become overdue. Ended ones are removed
+     * lazily.
+     */
     private final ArrayDeque<InFlightAttempt> awaitingFirstEvent = new ArrayDeque<>();
 
     InFlightAttempts(
@@ -47,7 +50,7 @@
         this.history = history;
     }
 
-    /** An attempt was planned and may be sent. */
+    /** Adds an attempt that was planned and may be sent. */
     void prepare(Placement.Send send, InFlightAttempt attempt) {
         if (prepared.size() >= MAX_PREPARED) {
             prepared.clear();
@@ -65,7 +68,7 @@
             index.expectCached(attempt.engine().id(), send.cacheSalt(), request.segments(), nowNanos);
         }
         if (send.kvSave() != null) {
-            transfers.onSaved(send.kvSave(), request, send.cacheSalt(), nowNanos);
+            transfers.onSaveRequested(send.kvSave(), request, send.cacheSalt(), nowNanos);
         }
         RetryPolicy.countSend(attempt.service().budget(), history.of(request.id()), attempt.attemptNumber(), nowNanos);
         inFlight.put(send, attempt);
@@ -73,8 +76,8 @@
     }
 
     /**
-     * Evaluates attempts whose first event is overdue. This is needed because the first events of an overloaded
-     * engine arrive too late to learn from.
+     * Evaluates attempts whose first event is overdue, because the first events of an overloaded engine arrive too
+     * late to learn from.
      */
     void checkOverdue(long nowNanos) {
         for (InFlightAttempt next = awaitingFirstEvent.peek(); next != null; next = awaitingFirstEvent.peek()) {
@@ -91,8 +94,8 @@
     private void learnFromMissingFirstEvent(InFlightAttempt attempt, long nowNanos) {
         double waitedNanos = nowNanos - attempt.sentNanos() - attempt.uncontendedNanos();
         attempt.engine().load().onStillWaiting(waitedNanos, nowNanos);
-        if (attempt.isFetch()) {
-            attempt.onFetchReported();
+        if (attempt.isCacheMiss()) {
+            attempt.onMissReported();
             attempt.service().admission().onOutcome(attempt.sentNanos(), 1, false, nowNanos);
         }
         attempt.postponeOverdue(nowNanos);
@@ -111,7 +114,7 @@
         double othersWaitedNanos = engine.load().waitNanos(nowNanos);
         double waitedNanos = Math.max(0, lateNanos);
         engine.load().onWaited(waitedNanos, nowNanos);
-        if (attempt.isFetch()) {
+        if (attempt.isCacheMiss()) {
             double targetNanos = Math.max(1, request.route().targetLatencyMillis() * 1e6);
             attempt.service().admission().onOutcome(attempt.sentNanos(), waitedNanos / targetNanos, true, nowNanos);
         }
@@ -132,8 +135,8 @@
     }
 
     /**
-     * Learns from a transfer that other own prompts did not delay. For the source only that lateness counts
-     * which exceeds the time to prefill the tokens after a transfer that brought nothing.
+     * Learns from a transfer that was not delayed by other prompts of this router. For the source, only the lateness
+     * beyond the time to prefill the tokens counts, as after a transfer that delivered nothing.
      */
     private void learnTransferTime(InFlightAttempt attempt, String address, double lateNanos, long nowNanos) {
         if (attempt.engineWasIdle()) {
@@ -155,7 +158,7 @@
             applyReportedLoad(attempt, reportedLoad, nowNanos);
         }
         engine.load().onEnded(attempt.memoryTokens());
-        if (outcome.neverRan()) {
+        if (outcome.certainlyNotExecuted()) {
             engine.load().withdraw(attempt.tokensToPrefill());
             if (send.cacheSalt() != null) {
                 index.withdrawExpected(engine.id(), send.cacheSalt(), request.segments());
@@ -164,23 +167,24 @@
         if (outcome == AttemptOutcome.ANSWERED) {
             engine.speed().onAnswered(nowNanos - attempt.sentNanos());
         }
-        if (attempt.isFetch() && !hadFirstEvent) {
-            reportFetchOutcome(request, attempt, outcome, nowNanos);
+        if (attempt.isCacheMiss() && !hadFirstEvent) {
+            reportMissOutcome(request, attempt, outcome, nowNanos);
         }
-        boolean corrected = outcome == AttemptOutcome.MISDIRECTED && correctVersion(request, attempt);
-        // A misdirection by a wrong version was this router's fault: the instance is healthy and may be tried again.
+        boolean versionCorrected = outcome == AttemptOutcome.MISDIRECTED && correctVersion(request, attempt);
+        // A misdirection because of a wrong version was this router's fault: the instance is healthy and may be tried
+        // again.
         engine.health()
                 .onEnded(
-                        corrected ? AttemptOutcome.CANCELLED : outcome,
+                        versionCorrected ? AttemptOutcome.CANCELLED : outcome,
                         attempt.isTrial(),
                         attempt.sentNanos(),
                         nowNanos);
-        history.onEnded(request.id(), corrected ? null : engine.id(), outcome);
+        history.onEnded(request.id(), versionCorrected ? null : engine.id(), outcome);
         boolean sameZone = settings.distance(settings.zone(), engine.instance().zone()) <= 1;
         observer.onEnded(attempt.observed(request, send, sameZone, outcome, nowNanos));
     }
 
-    /** The head of a response, which has just arrived, reported the load. */
+    /** Applies the load reported in the head of a response that has just arrived. */
     private static void applyReportedLoad(InFlightAttempt attempt, ServerLoad reportedLoad, long nowNanos) {
         EngineLoad load = attempt.engine().load();
         load.onLoadReported(
@@ -193,19 +197,22 @@
     }
 
     /**
-     * Whether a misdirected attempt is explained by a wrong weights version. If a response has not corrected the
-     * version yet, it returns to the announced one.
+     * Whether a wrong weights version explains a misdirected attempt. If no response has corrected the version yet, it
+     * is reset to the announced one.
      */
     private static boolean correctVersion(RouteRequest request, InFlightAttempt attempt) {
         Engine engine = attempt.engine();
         if (engine.version(request.model()) == attempt.versionAtPlanning()) {
-            engine.distrustVersion(request.model());
+            engine.resetToAnnouncedVersion(request.model());
         }
         return engine.version(request.model()) != attempt.versionAtPlanning();
     }
 
-    /** Reports a fetch that ended without a first event. Its offer is taken back if it did not reach an instance. */
-    private static void reportFetchOutcome(
+    /**
+     * Reports to admission control a cache miss that ended without a first event. Its offer is taken back if it did
+     * not reach an instance.
+     */
+    private static void reportMissOutcome(
             RouteRequest request, InFlightAttempt attempt, AttemptOutcome outcome, long nowNanos) {
         long elapsedNanos = nowNanos - attempt.sentNanos();
         boolean missedTarget = elapsedNanos > request.route().targetLatencyMillis() * 1_000_000L;
--- a/routing/src/main/java/burlarch/routing/planner/KvTransferPlanner.java
+++ b/routing/src/main/java/burlarch/routing/planner/KvTransferPlanner.java
@@ -16,28 +16,29 @@
 import java.util.Set;
 
 /**
- * Plans the transfers of cached segments between engines and stores: from where the chosen engine fetches what
- * it does not cache, and to which store it saves the shared segments.
+ * Plans the transfers of cached segments between engines and stores: from where the chosen engine fetches what it does
+ * not cache, and to which store it saves the shared segments.
  *
- * <p>A source is <em>suspect</em> after several consecutive late transfers, for a while, or while its store is
+ * <p>A source is <em>suspect</em> for some time after several consecutive late transfers, and while its store is
  * unresponsive. Nothing is fetched from a suspect source, because engines would wait for it.
  */
 final class KvTransferPlanner {
-    /** A transfer that ends so much later than expected counts as late. */
-    private static final long LATE_NANOS = 200_000_000L;
+    /** Lateness beyond which a transfer counts as late. */
+    private static final long LATE_TRANSFER_NANOS = 200_000_000L;
 
     /** Consecutive late transfers from one source after which it is suspect. */
     private static final int MAX_LATE_TRANSFERS = 2;
 
     private static final long SUSPECT_NANOS = 3_000_000_000L;
-    /** Bound of the sources with late transfers that are remembered. */
+    /** Maximum number of sources whose late transfers are counted. */
     private static final int MAX_LATE_SOURCES = 256;
 
     /**
-     * The source of a transfer.
+     * Source of a transfer.
      *
      * @param address of the engine or store
-     * @param gainedTokens tokens beyond those that the receiving engine caches; 0 for a store that is only probed
+     * @param gainedTokens tokens in addition to those that the receiving engine caches; 0 for a store that is only
+     *     probed
      * @param nanos expected time of the transfer
      */
     record TransferSource(String address, int gainedTokens, long nanos) {}
@@ -45,7 +46,7 @@
     private final PlannerSettings settings;
     private final PrefixCacheIndex index;
     private final List<Service> stores = new ArrayList<>();
-    /** By address of the store. */
+    /** Monitors by address of the store. */
     private final Map<String, StoreLivenessMonitor> monitors = new HashMap<>();
     /** Consecutive late transfers by address. */
     private final Map<String, Integer> lateTransfers = new HashMap<>();
@@ -72,7 +73,7 @@
         monitors.keySet().retainAll(addresses);
     }
 
-    /** Names of the stores' services, by which they are sources of the index. */
+    /** Returns the names of the stores' services, by which the index identifies them. */
     List<String> storeNames() {
         List<String> names = new ArrayList<>(stores.size());
         for (Service store : stores) {
@@ -82,8 +83,8 @@
     }
 
     /**
-     * The source from which the chosen engine gains most, or null where prefilling is not slower. A store that
-     * may cache the segments without the index knowing is probed if there is no better source.
+     * Returns the source from which the chosen engine gains most, or null if prefilling is not slower. If there is no
+     * source, a store is probed that may cache the segments without the index knowing.
      */
     TransferSource chooseSource(
             RouteRequest request,
@@ -122,7 +123,7 @@
         return best == null && !superseded ? storeToProbe(request, nowNanos) : best;
     }
 
-    /** A store that may just have saved the segments, or whose events were lost; a miss there costs little. */
+    /** Returns a store that may have just saved the segments, or whose events were lost. A miss there costs little. */
     private TransferSource storeToProbe(RouteRequest request, long nowNanos) {
         if (request.sharedTokens() >= CostModel.MIN_STORE_PROBE_TOKENS) {
             for (int i = 0; i < stores.size(); i++) {
@@ -135,16 +136,17 @@
         return null;
     }
 
-    /** Tokens of the longest prefix that a store which is not suspect caches under the salt. */
+    /** Returns the tokens of the longest prefix that a store caches under the salt. Suspect stores are left out. */
     int storedPrefixTokens(long saltHash, List<PromptSegment> segments, long nowNanos) {
-        int most = 0;
+        int maxTokens = 0;
         for (int i = 0; i < stores.size(); i++) {
             if (isSuspect(stores.get(i).kvStore(), nowNanos)) {
                 continue;
             }
-            most = Math.max(most, index.confirmedPrefixTokens(stores.get(i).name(), saltHash, segments, nowNanos));
+            maxTokens = Math.max(
+                    maxTokens, index.confirmedPrefixTokens(stores.get(i).name(), saltHash, segments, nowNanos));
         }
-        return most;
+        return maxTokens;
     }
 
     private TransferSource fromStore(
@@ -169,7 +171,7 @@
             long nowNanos) {
         if (engine == choice.engine()
                 || engine.health().isOutlier()
-                || !engine.holdsCleanCache(request.model(), nowNanos)
+                || !engine.hasConsistentCache(request.model(), nowNanos)
                 || engine.version(request.model()) != choice.engine().version(request.model())) {
             return null;
         }
@@ -197,23 +199,23 @@
             return null;
         }
         double distance = settings.distance(zone, choice.engine().instance().zone());
-        double slowness = choice.engine().transferSpeed().slowness(nowNanos);
+        double slowdown = choice.engine().transferSpeed().slowdown(nowNanos);
         return new TransferSource(
                 address,
                 gainedTokens,
-                CostModel.transferNanos(gainedTokens, service.tokenBytes(), linkMbps, distance, slowness));
+                CostModel.transferNanos(gainedTokens, service.tokenBytes(), linkMbps, distance, slowdown));
     }
 
     /**
-     * Address of the store that is to save the shared segments of a request: the nearest one, or null if a store
-     * caches them already, if they are too short, if the salt is unique to one engine, or if its weights are
-     * superseded.
+     * Returns the address of the nearest store, to which the shared segments of a request are to be saved. Returns
+     * null if a store caches them already, if they are too short, if the salt is unique to one engine, or if the
+     * engine's weights are superseded.
      */
     String storeToSaveTo(RouteRequest request, RequestCacheSalt salts, Engine engine, long nowNanos) {
-        int shared = request.sharedTokens();
+        int sharedTokens = request.sharedTokens();
         String salt = salts.text(engine);
         if (stores.isEmpty()
-                || shared < CostModel.MIN_SAVE_TOKENS
+                || sharedTokens < CostModel.MIN_SAVE_TOKENS
                 || CacheSalt.isOfUnknownVersion(salt)
                 || salts.isSuperseded(engine)) {
             return null;
@@ -223,8 +225,8 @@
         Service nearest = null;
         for (int i = 0; i < stores.size(); i++) {
             Service store = stores.get(i);
-            int cached = index.cachedPrefixTokens(store.name(), saltHash, sharedSegments, nowNanos);
-            if (cached + CostModel.MIN_FETCH_TOKENS >= shared) {
+            int storedTokens = index.cachedPrefixTokens(store.name(), saltHash, sharedSegments, nowNanos);
+            if (storedTokens + CostModel.MIN_MISS_TOKENS >= sharedTokens) {
                 return null;
             }
             nearest = nearest == null || distanceTo(store) < distanceTo(nearest) ? store : nearest;
@@ -241,8 +243,8 @@
         return segments.subList(0, segments.size() - 1);
     }
 
-    /** An engine was told to save the shared segments of a request to the store at that address. */
-    void onSaved(String address, RouteRequest request, String salt, long nowNanos) {
+    /** Records that an engine was told to save the shared segments of a request to the store at that address. */
+    void onSaveRequested(String address, RouteRequest request, String salt, long nowNanos) {
         for (int i = 0; i < stores.size(); i++) {
             if (stores.get(i).kvStore().equals(address)) {
                 index.expectCached(stores.get(i).name(), salt, sharedSegments(request), nowNanos);
@@ -250,7 +252,10 @@
         }
     }
 
-    /** Events or a complete list of a source arrived; has an effect if the source is a store's service. */
+    /**
+     * Records that events or a complete list of a source arrived. It has no effect unless the source is a store's
+     * service.
+     */
     void onEventsReceived(String source) {
         for (int i = 0; i < stores.size(); i++) {
             if (stores.get(i).name().equals(source)) {
@@ -259,7 +264,7 @@
         }
     }
 
-    /** An engine has prefilled what it was told to save to the store at that address. */
+    /** Records that an engine has prefilled segments that it was told to save to the store at that address. */
     void onSaveDue(String address, long nowNanos) {
         StoreLivenessMonitor monitor = monitors.get(address);
         if (monitor != null) {
@@ -267,9 +272,13 @@
         }
     }
 
-    /** A transfer from that address ended so much later than explained even if it brought nothing. */
+    /**
+     * Records the end of a transfer from that address.
+     *
+     * @param lateNanos lateness beyond what is explained even if the transfer delivered nothing
+     */
     void onTransferEnded(String address, double lateNanos, long nowNanos) {
-        if (lateNanos <= LATE_NANOS) {
+        if (lateNanos <= LATE_TRANSFER_NANOS) {
             lateTransfers.remove(address);
             return;
         }
@@ -278,7 +287,7 @@
         }
         if (lateTransfers.merge(address, 1, Integer::sum) >= MAX_LATE_TRANSFERS) {
             lateTransfers.remove(address);
-            suspectUntilNanos.values().removeIf(until -> until - nowNanos < 0);
+            suspectUntilNanos.values().removeIf(untilNanos -> untilNanos - nowNanos < 0);
             suspectUntilNanos.put(address, nowNanos + SUSPECT_NANOS);
         }
     }
@@ -288,7 +297,7 @@
         if (monitor != null && monitor.isUnresponsive(nowNanos)) {
             return true;
         }
-        Long until = suspectUntilNanos.get(address);
-        return until != null && nowNanos - until < 0;
+        Long untilNanos = suspectUntilNanos.get(address);
+        return untilNanos != null && nowNanos - untilNanos < 0;
     }
 }
--- a/routing/src/main/java/burlarch/routing/planner/PlainScheduler.java
+++ b/routing/src/main/java/burlarch/routing/planner/PlainScheduler.java
@@ -7,15 +7,15 @@
 import burlarch.routing.instance.EngineLoad;
 import java.util.List;
 
-/** Schedules requests without a cached prompt: to the instance that is expected to respond first. */
+/** Scheduler for requests without a cached prompt: chooses the instance that is expected to respond first. */
 final class PlainScheduler {
     /**
-     * Candidates that are compared for a request. If routers compared all, those with the same view would all
+     * Number of candidates that are compared for a request. If all were compared, routers with the same view would all
      * choose the same instance.
      */
     private static final int SAMPLED_CANDIDATES = 6;
-    /** Fraction by which the hash of a request changes a cost, to break ties differently for each request. */
-    private static final double NOISE = 0.08;
+    /** Maximum fraction by which the hash of a request raises a cost, to break ties differently for each request. */
+    private static final double NOISE_FRACTION = 0.08;
 
     private final PlannerSettings settings;
     private final SchedulingChoice choice = new SchedulingChoice();
@@ -28,13 +28,13 @@
     SchedulingChoice choose(RouteRequest request, List<Engine> candidates, long nowNanos) {
         long hash = RendezvousHash.hash(request.id());
         int size = candidates.size();
-        int start = (int) Long.remainderUnsigned(hash, size);
+        int startIndex = (int) Long.remainderUnsigned(hash, size);
         double lowestCost = Double.MAX_VALUE;
         for (int i = 0; i < Math.min(size, SAMPLED_CANDIDATES); i++) {
-            Engine engine = candidates.get((start + i) % size);
+            Engine engine = candidates.get((startIndex + i) % size);
             double predictedNanos = predictedNanos(engine, nowNanos);
             double noise = (RendezvousHash.weight(hash, engine.idHash()) >>> 40) * 0x1.0p-24;
-            double cost = cost(engine, predictedNanos, nowNanos) * (1 + NOISE * noise);
+            double cost = cost(engine, predictedNanos, nowNanos) * (1 + NOISE_FRACTION * noise);
             if (cost < lowestCost) {
                 lowestCost = cost;
                 choice.set(engine, predictedNanos);
@@ -45,16 +45,19 @@
 
     private static double predictedNanos(Engine engine, long nowNanos) {
         EngineLoad load = engine.load();
-        double ahead = Math.max(0, load.requests(nowNanos) + 1 - load.slots());
-        return engine.speed().serviceNanos() * (1 + ahead / load.slots());
+        double requestsAhead = Math.max(0, load.requests(nowNanos) + 1 - load.slots());
+        return engine.speed().responseNanos() * (1 + requestsAhead / load.slots());
     }
 
-    /** Servers slow down as they fill, so slots in use count even while others are free. */
+    /**
+     * Returns the cost of an instance. Slots in use count even if others are free, because servers slow down as they
+     * fill.
+     */
     private double cost(Engine engine, double predictedNanos, long nowNanos) {
         double utilization = engine.load().requests(nowNanos) / engine.load().slots();
         double zoneNanos =
                 settings.distance(settings.zone(), engine.instance().zone()) > 1 ? CostModel.OTHER_ZONE_NANOS : 0;
-        double queue = engine.load().hasQueue(nowNanos) ? 1 : 0;
-        return predictedNanos * (1 + utilization + queue) + zoneNanos;
+        double queuePenalty = engine.load().hasQueue(nowNanos) ? 1 : 0;
+        return predictedNanos * (1 + utilization + queuePenalty) + zoneNanos;
     }
 }
--- a/routing/src/main/java/burlarch/routing/planner/RequestCacheSalt.java
+++ b/routing/src/main/java/burlarch/routing/planner/RequestCacheSalt.java
@@ -6,14 +6,14 @@
 import burlarch.routing.instance.Engine;
 
 /**
- * The cache salt of the current request at each engine. Most engines have the same weights version and thus
- * the same salt; it is recomputed only when the version differs from the one asked for before.
+ * Cached cache salt of the current request at each engine. Most engines have the same weights version and thus the
+ * same salt; it is recomputed only if the version differs from that of the previous call.
  *
- * <p>Invariant <em>no store for superseded weights</em>: under the salt of a superseded version nothing is fetched
- * from a store or saved to one. A request that an engine retains while it loads new weights computes the rest of its
- * prompt under these, yet caches and saves it under the salt that it was sent with; fetched by an engine that still
- * has the old weights, it would be memory of another version. For transfers between engines see {@link
- * Engine#holdsCleanCache}.
+ * <p>Invariant <em>no store for superseded weights</em>: nothing is fetched from a store or saved to one under the
+ * salt of a superseded version. A request that an engine retains while it loads new weights computes the rest of its
+ * prompt with these, yet caches and saves it under the salt that it was sent with. An engine that still has the old
+ * weights would then fetch KV entries of another version. For transfers between engines see {@link
+ * Engine#hasConsistentCache}.
  */
 final class RequestCacheSalt {
     private static final long NOT_COMPUTED = -1;
@@ -26,9 +26,9 @@
     private long newestSupersededVersion;
 
     /**
-     * Begins with another request.
+     * Starts with another request.
      *
-     * @param newestSuperseded the newest version of its model's weights that is superseded, 0 for none
+     * @param newestSuperseded newest superseded version of its model's weights, 0 for none
      */
     void begin(RouteRequest next, long newestSuperseded) {
         request = next;
@@ -36,19 +36,19 @@
         newestSupersededVersion = newestSuperseded;
     }
 
-    /** Whether the engine has weights that newer ones are replacing. An engine of unknown version has not. */
+    /** Whether the engine has weights that newer ones are replacing. False for an engine of unknown version. */
     boolean isSuperseded(Engine engine) {
         long engineVersion = engine.version(request.model());
         return engineVersion != UNKNOWN_VERSION && engineVersion <= newestSupersededVersion;
     }
 
-    /** The salt at an engine. */
+    /** Returns the salt at an engine. */
     String text(Engine engine) {
         compute(engine);
         return text;
     }
 
-    /** The {@link CacheSalt#hash} of the salt at an engine. */
+    /** Returns the {@link CacheSalt#hash} of the salt at an engine. */
     long hash(Engine engine) {
         compute(engine);
         return hash;
@@ -56,7 +56,7 @@
 
     private void compute(Engine engine) {
         long engineVersion = engine.version(request.model());
-        // Of unknown version the salt is unique to the engine.
+        // For an unknown version the salt is unique to the engine.
         if (engineVersion != version || engineVersion == UNKNOWN_VERSION) {
             Tenant tenant = request.tenant();
             text = CacheSalt.of(request.model(), engineVersion, tenant, engine.id());
--- a/routing/src/main/java/burlarch/routing/planner/RetryPolicy.java
+++ b/routing/src/main/java/burlarch/routing/planner/RetryPolicy.java
@@ -6,22 +6,22 @@
 import burlarch.routing.admission.RetryBudget;
 
 /**
- * Decides whether a further attempt of a request may be made.
+ * Retry policy: decides whether a further attempt of a request may be made.
  *
- * <p>Invariants: <em>at most once</em>: a request whose route does not allow repetition gets no further attempt
- * once it may have been executed. <em>Bounded attempts</em>: the route bounds the attempts that may have been
- * executed; attempts that were surely not executed are bounded in addition. <em>Retry budget</em>: an attempt
- * after one that may have reached an instance needs room in the budget of its service.
+ * <p>Invariants: <em>at most once</em>: a request whose route does not allow repetition gets no further attempt once
+ * it may have been executed. <em>Bounded attempts</em>: the route bounds the attempts that may have been executed;
+ * those that were certainly not executed have an additional bound. <em>Retry budget</em>: an attempt after one that
+ * may have reached an instance must be within the retry budget of its service.
  */
 final class RetryPolicy {
-    /** Attempts of one request that were not executed, beyond the number that its route allows. */
+    /** Maximum number of attempts that were not executed, in addition to those that the route allows. */
     private static final int MAX_REJECTED_ATTEMPTS = 2;
 
-    /** What the policy says to a further attempt. */
+    /** Decision on a further attempt. */
     enum Decision {
         ALLOWED("allowed"),
-        MAY_HAVE_RUN("may have run"),
-        ATTEMPTS_USED_UP("tries used up"),
+        POSSIBLY_EXECUTED("request may have been executed"),
+        ATTEMPTS_USED_UP("attempts used up"),
         BUDGET_USED_UP("retry budget used up");
 
         private final String reason;
@@ -30,7 +30,7 @@
             this.reason = reason;
         }
 
-        /** The reason for the refusal, as responses state it. */
+        /** Returns the reason for the rejection. */
         String reason() {
             return reason;
         }
@@ -39,11 +39,11 @@
     private RetryPolicy() {}
 
     /**
-     * The decision on a further attempt.
+     * Decides on a further attempt.
      *
      * @param attempt number of the attempt, from 1
-     * @param previous {@link AttemptHistory#NONE} if nothing is retained of the earlier attempts; then each of
-     *     them counts as possibly executed
+     * @param previous earlier attempts, {@link AttemptHistory#NONE} if none is retained; then each of them counts as
+     *     possibly executed
      */
     static Decision decide(
             RouteRequest request,
@@ -51,12 +51,12 @@
             AttemptHistory.PreviousAttempts previous,
             int attempt,
             long nowNanos) {
-        int possiblyRun = previous == AttemptHistory.NONE ? attempt : previous.mayHaveRun();
+        int possiblyExecuted = previous == AttemptHistory.NONE ? attempt : previous.possiblyExecuted();
         int maxAttempts = Math.max(1, request.route().retries());
-        if (possiblyRun > 0 && !mayRepeat(request.route())) {
-            return Decision.MAY_HAVE_RUN;
+        if (possiblyExecuted > 0 && !mayRepeat(request.route())) {
+            return Decision.POSSIBLY_EXECUTED;
         }
-        if (possiblyRun >= maxAttempts || attempt >= maxAttempts + MAX_REJECTED_ATTEMPTS) {
+        if (possiblyExecuted >= maxAttempts || attempt >= maxAttempts + MAX_REJECTED_ATTEMPTS) {
             return Decision.ATTEMPTS_USED_UP;
         }
         if (previous.possiblyReceived() > 0 && !budget.allows(nowNanos)) {
@@ -69,8 +69,8 @@
      * Counts an attempt that is sent: as a first one, as a retry, or not at all if no instance received any before.
      *
      * @param attempt number of the attempt, from 0
-     * @param previous {@link AttemptHistory#NONE} if nothing is retained of the earlier attempts; then an instance may
-     *     have received one of them
+     * @param previous earlier attempts, {@link AttemptHistory#NONE} if none is retained; then an instance may have
+     *     received one of them
      */
     static void countSend(RetryBudget budget, AttemptHistory.PreviousAttempts previous, int attempt, long nowNanos) {
         if (attempt == 0) {
--- a/routing/src/main/java/burlarch/routing/planner/ServiceState.java
+++ b/routing/src/main/java/burlarch/routing/planner/ServiceState.java
@@ -1,9 +1,9 @@
 package burlarch.routing.planner;
 
 import burlarch.configuration.Configuration.Service;
-import burlarch.routing.admission.FetchAdmission;
+import burlarch.routing.admission.CacheMissAdmission;
+import burlarch.routing.admission.PriorityShedding;
 import burlarch.routing.admission.RetryBudget;
-import burlarch.routing.admission.UrgencyExchange;
 import burlarch.routing.instance.Engine;
 import burlarch.routing.instance.EngineSpeed;
 import java.util.ArrayList;
@@ -12,27 +12,27 @@
 import java.util.Map;
 
 /**
- * One service: its configuration, its instances, the newest weights versions that were seen, and averages over
- * its requests. {@link FleetState} owns it and sets its instances.
+ * State of one service: its configuration, its instances, the newest known weights versions, and averages over its
+ * requests. {@link FleetState} owns it and sets its instances.
  */
 final class ServiceState {
     private static final double MEAN_GAIN = 0.02;
-    private static final double FETCH_GAIN = 0.1;
+    private static final double MISS_GAIN = 0.1;
 
-    private record SeenVersion(long version, long sinceNanos) {}
+    private record ObservedVersion(long version, long sinceNanos) {}
 
     private final EngineSpeed speed = new EngineSpeed();
     private final List<Engine> engines = new ArrayList<>();
     private final RetryBudget budget;
-    private final FetchAdmission admission;
-    private final UrgencyExchange urgencyExchange = new UrgencyExchange();
-    private final Map<String, SeenVersion> newestVersions = new HashMap<>(2);
+    private final CacheMissAdmission admission;
+    private final PriorityShedding priorityShedding = new PriorityShedding();
+    private final Map<String, ObservedVersion> newestVersions = new HashMap<>(2);
     private Service service;
     private double meanPrefillTokens = 1_000;
-    private double meanFetchTokens = 2_000;
+    private double meanMissTokens = 2_000;
     private double meanMemoryTokens = 2_000;
 
-    ServiceState(Service service, RetryBudget budget, FetchAdmission admission) {
+    ServiceState(Service service, RetryBudget budget, CacheMissAdmission admission) {
         this.service = service;
         this.budget = budget;
         this.admission = admission;
@@ -42,12 +42,12 @@
         service = configured;
     }
 
-    /** Average speed of its instances. */
+    /** Returns the average speed of its instances. */
     EngineSpeed speed() {
         return speed;
     }
 
-    /** Its instances in any state; the list itself, which {@link FleetState} changes. */
+    /** Returns its instances in any state. This is the list itself, which {@link FleetState} changes. */
     List<Engine> engines() {
         return engines;
     }
@@ -56,13 +56,13 @@
         return budget;
     }
 
-    FetchAdmission admission() {
+    CacheMissAdmission admission() {
         return admission;
     }
 
-    /** Gives its urgent fetches the capacity of less urgent requests. */
-    UrgencyExchange urgencyExchange() {
-        return urgencyExchange;
+    /** Returns the shedding of less urgent requests in favour of urgent cache misses. */
+    PriorityShedding priorityShedding() {
+        return priorityShedding;
     }
 
     /** Whether its instances are model engines, with a prefix cache. */
@@ -70,79 +70,82 @@
         return service.engine() != null;
     }
 
-    /** KV cache of each engine in tokens, 0 if not configured. */
+    /** Returns the KV cache of each engine in tokens, 0 if not configured. */
     long kvCapacity() {
         return service.engine() == null ? 0 : service.engine().kvCapacity();
     }
 
-    /** Bytes of KV cache for each token. Only for model services. */
+    /** Returns the bytes of KV cache for each token. Only for model services. */
     long tokenBytes() {
         return service.engine().kvTokenBytes();
     }
 
-    /** Nominal link speed of its engines in Mbit/s. Only for model services. */
+    /** Returns the nominal link speed of its engines in Mbit/s. Only for model services. */
     double linkMbps() {
         return service.engine().linkMbps();
     }
 
-    /** Mean number of tokens that a request leaves to prefill. */
+    /** Returns the mean number of tokens to prefill for a request. */
     double meanPrefillTokens() {
         return meanPrefillTokens;
     }
 
-    /** Mean KV cache that a request uses, in tokens. */
+    /** Returns the mean KV cache that a request uses, in tokens. */
     double meanMemoryTokens() {
         return meanMemoryTokens;
     }
 
-    /** Fetches that all ready engines together can prefill in a second. */
-    double sustainableFetchesPerSecond() {
+    /** Returns the cache misses that all ready engines together can prefill in a second. */
+    double sustainableMissesPerSecond() {
         double tokensPerSecond = 0;
         for (int i = 0; i < engines.size(); i++) {
             Engine engine = engines.get(i);
             tokensPerSecond += engine.isReady() ? engine.speed().tokensPerNano() * 1e9 : 0;
         }
-        return tokensPerSecond / Math.max(1, meanFetchTokens);
+        return tokensPerSecond / Math.max(1, meanMissTokens);
     }
 
-    /** An attempt of a request to this service was sent. */
+    /** Records that an attempt of a request to this service was sent. */
     void onSent(InFlightAttempt attempt) {
-        if (attempt.isFetch()) {
-            meanFetchTokens += (attempt.tokensToPrefill() - meanFetchTokens) * FETCH_GAIN;
+        if (attempt.isCacheMiss()) {
+            meanMissTokens += (attempt.tokensToPrefill() - meanMissTokens) * MISS_GAIN;
         }
         meanPrefillTokens += (attempt.tokensToPrefill() - meanPrefillTokens) * MEAN_GAIN;
         meanMemoryTokens += (attempt.memoryTokens() - meanMemoryTokens) * MEAN_GAIN;
     }
 
-    /** An instance has that weights version. */
+    /** Records that an instance has that weights version. */
     void onVersion(String model, long version, long nowNanos) {
-        SeenVersion seen = newestVersions.get(model);
-        if (seen == null || version > seen.version()) {
-            newestVersions.put(model, new SeenVersion(version, nowNanos));
+        ObservedVersion newest = newestVersions.get(model);
+        if (newest == null || version > newest.version()) {
+            newestVersions.put(model, new ObservedVersion(version, nowNanos));
         }
     }
 
-    /** The newest weights version once it has been known for {@code graceNanos}, so that all can have it; before, 0. */
+    /**
+     * Returns the newest weights version if it has been known for {@code graceNanos}, so that all instances can have
+     * it; else 0.
+     */
     long minVersion(String model, long graceNanos, long nowNanos) {
-        SeenVersion seen = newestVersions.get(model);
-        return seen == null || nowNanos - seen.sinceNanos() < graceNanos ? 0 : seen.version();
+        ObservedVersion newest = newestVersions.get(model);
+        return newest == null || nowNanos - newest.sinceNanos() < graceNanos ? 0 : newest.version();
     }
 
     /**
-     * The newest weights version that is being replaced by a newer one: versions up to it are superseded. A newer
-     * version was seen, or an engine with that version was lately seen to load another. 0 if none is known to be
-     * replaced.
+     * Returns the newest weights version that is being replaced by a newer one, 0 if none is known to be replaced. All
+     * versions up to it are superseded. A version is being replaced if a newer one was seen, or if an engine with that
+     * version was recently seen to load another.
      */
     long newestSupersededVersion(String model, long nowNanos) {
-        SeenVersion seen = newestVersions.get(model);
-        long superseded = seen == null ? 0 : seen.version() - 1;
+        ObservedVersion newest = newestVersions.get(model);
+        long supersededVersion = newest == null ? 0 : newest.version() - 1;
         for (int i = 0; i < engines.size(); i++) {
-            superseded = Math.max(superseded, engines.get(i).versionWhenLoading(model, nowNanos));
+            supersededVersion = Math.max(supersededVersion, engines.get(i).versionBeforeLoading(model, nowNanos));
         }
-        return superseded;
+        return supersededVersion;
     }
 
-    /** Whether there are certainly free slots: under half of them in use, and no instance with a known queue. */
+    /** Whether there are certainly free slots: fewer than half of them in use, and no instance with a known queue. */
     boolean hasSpareSlots(long nowNanos) {
         double requests = 0;
         double slots = 0;
