--- a/routing/src/main/java/burlarch/routing/instance/EngineLoad.java
+++ b/routing/src/main/java/burlarch/routing/instance/InstanceLoad.java
@@ -7,7 +7,7 @@
  * estimated from reported loads and from delays of first events. Reported values fade linearly to 0 as they become
  * outdated.
  */
-public final class EngineLoad {
+public final class InstanceLoad {
     /** Time after which reported requests of other routers no longer count. */
     private static final double OTHER_REQUESTS_FADE_NANOS = 4e9;
     /** Time for which a reported queue is assumed to remain. */
@@ -42,7 +42,7 @@
     private double waitNanos;
     private long waitAtNanos;
 
-    EngineLoad(int slots) {
+    InstanceLoad(int slots) {
         this.slots = Math.max(1, slots);
     }
 
@@ -115,7 +115,7 @@
      * least half of them count until their first events arrive, because requests of other routers are prefilled in
      * between.
      */
-    public double backlogTokens(EngineSpeed speed, long nowNanos) {
+    public double backlogTokens(InstanceSpeed speed, long nowNanos) {
         double prefilled = Math.max(0, nowNanos - backlogAtNanos) * speed.tokensPerNano();
         backlogTokens = Math.max(ownPrefillTokens * MIN_BACKLOG_FRACTION, backlogTokens - prefilled);
         backlogAtNanos = nowNanos;
@@ -128,7 +128,7 @@
      * @param tokensToPrefill prompt tokens to be prefilled for it
      * @param memoryTokens KV cache that it uses, in tokens
      */
-    public void onSent(int tokensToPrefill, double memoryTokens, EngineSpeed speed, long nowNanos) {
+    public void onSent(int tokensToPrefill, double memoryTokens, InstanceSpeed speed, long nowNanos) {
         backlogTokens(speed, nowNanos);
         backlogTokens += tokensToPrefill;
         ownPrefillTokens += tokensToPrefill;
@@ -170,7 +170,7 @@
             int ownRequestsThen,
             int ownPrefillingThen,
             double meanPrefillTokens,
-            EngineSpeed speed,
+            InstanceSpeed speed,
             long atNanos) {
         if (hasReportedLoad && atNanos - otherRequestsAtNanos < 0) {
             return;
--- a/routing/src/main/java/burlarch/routing/instance/EngineSpeed.java
+++ b/routing/src/main/java/burlarch/routing/instance/InstanceSpeed.java
@@ -6,7 +6,7 @@
  * Base time, prefill rate and response time are exponential averages, bounded so that a single sample cannot move them
  * far.
  */
-public final class EngineSpeed {
+public final class InstanceSpeed {
     /** Prefill rate assumed until it has been measured. */
     private static final double INITIAL_TOKENS_PER_MILLI = 30;
     /** Base time assumed until it has been measured. */
@@ -36,14 +36,14 @@
     /** Samples of the prefill rate from which the instance's own estimates are used instead of its service's. */
     private static final int MIN_SAMPLES = 3;
 
-    private final EngineSpeed serviceAverage;
+    private final InstanceSpeed serviceAverage;
     private int samples;
     private double tokensPerMilli = INITIAL_TOKENS_PER_MILLI;
     private double baseNanos = INITIAL_BASE_NANOS;
     private double responseNanos = INITIAL_RESPONSE_NANOS;
 
     /** Creates the average speed of a service. */
-    public EngineSpeed() {
+    public InstanceSpeed() {
         this(null);
     }
 
@@ -53,7 +53,7 @@
      * @param serviceAverage average used until there are enough samples of the instance; null to use the own estimates
      *     at once
      */
-    EngineSpeed(EngineSpeed serviceAverage) {
+    InstanceSpeed(InstanceSpeed serviceAverage) {
         this.serviceAverage = serviceAverage;
     }
 
--- a/routing/src/main/java/burlarch/routing/instance/Engine.java
+++ b/routing/src/main/java/burlarch/routing/instance/TrackedInstance.java
@@ -10,17 +10,16 @@
 
 /**
  * One router's view of an instance: its last announcement, and the estimates that the router has made of it. The
- * instance is a model engine or a plain server; this module calls both engines. A restarted instance has a new id and
- * thus a new object.
+ * instance is a model engine or a plain server. A restarted instance has a new id and thus a new object.
  *
- * <p>Invariant <em>consistent source</em>: an engine that was seen to load other weights is no source of KV transfers
- * until its newer version is known ({@link #hasConsistentCache}). Requests that it retained while it loaded have
- * computed a part of their prompts under the new weights, but cached it under the old salt.
+ * <p>Invariant <em>consistent source</em>: a model engine that was seen to load other weights is no source of KV
+ * transfers until its newer version is known ({@link #hasConsistentCache}). Requests that it retained while it loaded
+ * have computed a part of their prompts under the new weights, but cached it under the old salt.
  *
  * <p>Invariant <em>versions only rise</em>: reported weights versions of a model never decrease the known one, because
  * responses may arrive late. Only {@link #resetToAnnouncedVersion} returns to what the instance announced.
  */
-public final class Engine {
+public final class TrackedInstance {
     private static final double MAX_LIGHT_PREFILL_LOAD = 0.5;
     /**
      * Maximum delay from the announcement of a new version to the end of the LOADING state. Within this time, the
@@ -36,26 +35,26 @@
     private final String id;
     private final long idHash;
     private final InstanceHealth health = new InstanceHealth();
-    private final EngineSpeed speed;
-    private final EngineLoad load;
+    private final InstanceSpeed speed;
+    private final InstanceLoad load;
     private final PrefillLoadEstimate prefillLoad = new PrefillLoadEstimate();
     private final KvTransferSpeed transferSpeed = new KvTransferSpeed();
     private final Map<String, Long> versions = new HashMap<>(2);
-    /** Version of each model that the engine had when it was last seen to load others. */
+    /** Version of each model that the instance had when it was last seen to load others. */
     private final Map<String, Long> versionsBeforeLoading = new HashMap<>(2);
 
     private long versionIncreasedNanos = NEVER_NANOS;
     private long lastLoadingNanos = NEVER_NANOS;
-    private Instance instance;
+    private Instance announcement;
     private int subsetDistance;
 
     /** @param serviceAverage speed of the instances of its service, used until the speed of this one is known */
-    public Engine(Instance instance, EngineSpeed serviceAverage) {
-        this.speed = new EngineSpeed(serviceAverage);
-        this.id = instance.id();
+    public TrackedInstance(Instance announcement, InstanceSpeed serviceAverage) {
+        this.speed = new InstanceSpeed(serviceAverage);
+        this.id = announcement.id();
         this.idHash = RendezvousHash.hash(id);
-        this.load = new EngineLoad(instance.capacity());
-        this.instance = instance;
+        this.load = new InstanceLoad(announcement.capacity());
+        this.announcement = announcement;
     }
 
     /** Returns the instance's id. */
@@ -74,12 +73,12 @@
     }
 
     /** Returns the estimate of its prefill and response speed. */
-    public EngineSpeed speed() {
+    public InstanceSpeed speed() {
         return speed;
     }
 
     /** Returns the estimate of its running and waiting requests. */
-    public EngineLoad load() {
+    public InstanceLoad load() {
         return load;
     }
 
@@ -94,8 +93,8 @@
     }
 
     /** Returns its last announcement. */
-    public Instance instance() {
-        return instance;
+    public Instance announcement() {
+        return announcement;
     }
 
     /** Applies a new announcement of the instance. */
@@ -103,7 +102,7 @@
         if (isLoading() || announced.state() == InstanceState.LOADING) {
             lastLoadingNanos = nowNanos;
         }
-        instance = announced;
+        announcement = announced;
         if (announced.capacity() > 0) {
             load.setSlots(announced.capacity());
         }
@@ -116,12 +115,12 @@
     }
 
     private boolean isLoading() {
-        return instance.state() == InstanceState.LOADING;
+        return announcement.state() == InstanceState.LOADING;
     }
 
     /**
-     * Returns the version of the model's weights that the engine had when it was seen to load others, or 0. It is 0 if
-     * no load was seen, or if the load is so long ago that the newer version would be known by now: then either the
+     * Returns the version of the model's weights that the instance had when it was seen to load others, or 0. It is 0
+     * if no load was seen, or if the load is so long ago that the newer version would be known by now: then either the
      * LOADING state led to no new version, or the recorded version was already the new one.
      */
     public long versionBeforeLoading(String model, long nowNanos) {
@@ -137,7 +136,9 @@
         return !isLoading() && version(model) > versionBeforeLoading(model, nowNanos);
     }
 
-    /** Returns the number of subsets between this router's own subset and that of the engine; 0 for the own subset. */
+    /**
+     * Returns the number of subsets between this router's own subset and that of the instance; 0 for the own subset.
+     */
     public int subsetDistance() {
         return subsetDistance;
     }
@@ -149,12 +150,12 @@
 
     /** Whether it is announced as ready to accept requests. */
     public boolean isReady() {
-        return instance.state() == InstanceState.READY;
+        return announcement.state() == InstanceState.READY;
     }
 
     /** Whether it is warming up, that is ready but still slower than usual. */
     public boolean isWarmingUp() {
-        return instance.warmupLeftMillis() > 0;
+        return announcement.warmupLeftMillis() > 0;
     }
 
     /** Whether fewer than half of its slots are in use, no queue is known, and it has prefilled little recently. */
@@ -166,7 +167,7 @@
 
     /** Whether it may serve the model: true unless it announces models and this is not one of them. */
     public boolean serves(String model) {
-        List<ServedModel> models = instance.models();
+        List<ServedModel> models = announcement.models();
         if (model == null || models == null || models.isEmpty()) {
             return true;
         }
@@ -205,7 +206,7 @@
      */
     public void resetToAnnouncedVersion(String model) {
         versions.remove(model);
-        List<ServedModel> models = instance.models();
+        List<ServedModel> models = announcement.models();
         for (int i = 0; models != null && i < models.size(); i++) {
             if (models.get(i).name().equals(model)) {
                 versions.put(model, models.get(i).version());
--- a/routing/src/main/java/burlarch/routing/planner/CacheMissPlacement.java
+++ b/routing/src/main/java/burlarch/routing/planner/CacheMissPlacement.java
@@ -4,7 +4,7 @@
 import burlarch.routing.RendezvousHash;
 import burlarch.routing.RouteRequest;
 import burlarch.routing.RouteRequest.PromptSegment;
-import burlarch.routing.instance.Engine;
+import burlarch.routing.instance.TrackedInstance;
 import java.util.Arrays;
 import java.util.List;
 
@@ -33,7 +33,8 @@
      * @param costs cost of each candidate, without that of transfers of what is cached elsewhere
      * @return index of the chosen candidate
      */
-    int choose(RouteRequest request, int knownTokens, List<Engine> candidates, double[] costs, int liveRouters) {
+    int choose(
+            RouteRequest request, int knownTokens, List<TrackedInstance> candidates, double[] costs, int liveRouters) {
         double maxCost = lowestCost(costs, candidates.size()) + MAX_EXTRA_COST_NANOS;
         int replicas = 1 + (liveRouters - 1) / ROUTERS_PER_REPLICA;
         return cheapestOfHighestWeights(placementKey(request, knownTokens), candidates, costs, maxCost, replicas);
@@ -44,7 +45,7 @@
      * {@code maxCost}.
      */
     private int cheapestOfHighestWeights(
-            long key, List<Engine> candidates, double[] costs, double maxCost, int replicas) {
+            long key, List<TrackedInstance> candidates, double[] costs, double maxCost, int replicas) {
         ensureCapacity(replicas);
         int foundCount = 0;
         for (int i = 0; i < candidates.size(); i++) {
--- a/routing/src/main/java/burlarch/routing/planner/CandidateSelector.java
+++ b/routing/src/main/java/burlarch/routing/planner/CandidateSelector.java
@@ -1,7 +1,7 @@
 package burlarch.routing.planner;
 
 import burlarch.routing.RouteRequest;
-import burlarch.routing.instance.Engine;
+import burlarch.routing.instance.TrackedInstance;
 import java.util.ArrayList;
 import java.util.List;
 
@@ -16,15 +16,15 @@
 final class CandidateSelector {
     private static final double MAX_EJECTED_FRACTION = 0.5;
 
-    private final List<Engine> usable = new ArrayList<>();
-    private final List<Engine> unavailable = new ArrayList<>();
+    private final List<TrackedInstance> usable = new ArrayList<>();
+    private final List<TrackedInstance> unavailable = new ArrayList<>();
 
     /**
      * Returns the candidates for an attempt, empty if no instance is ready. The next call reuses the list.
      *
      * @param graceNanos time after which instances with older weights than the newest known ones are excluded
      */
-    List<Engine> select(
+    List<TrackedInstance> select(
             ServiceState service,
             RouteRequest request,
             AttemptHistory.PreviousAttempts previous,
@@ -47,52 +47,54 @@
             long nowNanos) {
         usable.clear();
         unavailable.clear();
-        List<Engine> engines = service.engines();
-        for (int i = 0; i < engines.size(); i++) {
-            Engine engine = engines.get(i);
-            if (!engine.isReady()
-                    || previous.contains(engine.id())
-                    || !engine.serves(request.model())
-                    || minVersion > 0 && isOutdated(engine, request.model(), minVersion)) {
+        List<TrackedInstance> instances = service.instances();
+        for (int i = 0; i < instances.size(); i++) {
+            TrackedInstance instance = instances.get(i);
+            if (!instance.isReady()
+                    || previous.contains(instance.id())
+                    || !instance.serves(request.model())
+                    || minVersion > 0 && isOutdated(instance, request.model(), minVersion)) {
                 continue;
             }
             boolean isUnavailable =
-                    engine.health().isEjected(nowNanos) || engine.health().isCoolingDown(nowNanos);
-            (isUnavailable ? unavailable : usable).add(engine);
+                    instance.health().isEjected(nowNanos) || instance.health().isCoolingDown(nowNanos);
+            (isUnavailable ? unavailable : usable).add(instance);
         }
         int minUsable = (int) Math.ceil((usable.size() + unavailable.size()) * MAX_EJECTED_FRACTION);
-        for (Engine next = earliestReachable(); next != null && usable.size() < minUsable; next = earliestReachable()) {
+        for (TrackedInstance next = earliestReachable();
+                next != null && usable.size() < minUsable;
+                next = earliestReachable()) {
             readmit(next);
         }
-        Engine lastResort = usable.isEmpty() ? earliestAvailable() : null;
+        TrackedInstance lastResort = usable.isEmpty() ? earliestAvailable() : null;
         if (lastResort != null) {
             readmit(lastResort);
         }
     }
 
     /** Whether an instance has a version older than {@code minVersion}. An unknown version is not outdated. */
-    private static boolean isOutdated(Engine engine, String model, long minVersion) {
-        long version = engine.version(model);
+    private static boolean isOutdated(TrackedInstance instance, String model, long minVersion) {
+        long version = instance.version(model);
         return version > 0 && version < minVersion;
     }
 
-    private void readmit(Engine engine) {
-        unavailable.remove(engine);
-        usable.add(engine);
+    private void readmit(TrackedInstance instance) {
+        unavailable.remove(instance);
+        usable.add(instance);
     }
 
-    /** Returns the unavailable engine that is available again first, null if there is none. */
-    private Engine earliestAvailable() {
-        Engine earliest = null;
+    /** Returns the unavailable instance that is available again first, null if there is none. */
+    private TrackedInstance earliestAvailable() {
+        TrackedInstance earliest = null;
         for (int i = 0; i < unavailable.size(); i++) {
             earliest = earlier(earliest, unavailable.get(i));
         }
         return earliest;
     }
 
-    /** As {@link #earliestAvailable}, without engines to which no connection can be established. */
-    private Engine earliestReachable() {
-        Engine earliest = null;
+    /** As {@link #earliestAvailable}, without instances to which no connection can be established. */
+    private TrackedInstance earliestReachable() {
+        TrackedInstance earliest = null;
         for (int i = 0; i < unavailable.size(); i++) {
             if (!unavailable.get(i).health().isUnreachable()) {
                 earliest = earlier(earliest, unavailable.get(i));
@@ -101,7 +103,7 @@
         return earliest;
     }
 
-    private static Engine earlier(Engine earliest, Engine other) {
+    private static TrackedInstance earlier(TrackedInstance earliest, TrackedInstance other) {
         return earliest == null
                         || other.health().unavailableUntilNanos()
                                         - earliest.health().unavailableUntilNanos()
--- a/routing/src/main/java/burlarch/routing/planner/FleetPlanner.java
+++ b/routing/src/main/java/burlarch/routing/planner/FleetPlanner.java
@@ -14,7 +14,7 @@
 import burlarch.routing.RouterPosition;
 import burlarch.routing.ServerLoad;
 import burlarch.routing.index.PrefixCacheIndex;
-import burlarch.routing.instance.Engine;
+import burlarch.routing.instance.TrackedInstance;
 import java.util.Collection;
 import java.util.List;
 
@@ -111,7 +111,8 @@
         if (nowNanos >= request.deadlineNanos()) {
             return Rejections.deadlinePassed();
         }
-        List<Engine> candidates = candidateSelector.select(service, request, previous, weightsGraceNanos, nowNanos);
+        List<TrackedInstance> candidates =
+                candidateSelector.select(service, request, previous, weightsGraceNanos, nowNanos);
         if (candidates.isEmpty()) {
             return Rejections.withoutInstance(request, "no instance is ready", nowNanos);
         }
@@ -132,25 +133,25 @@
     }
 
     private Placement planPlain(
-            RouteRequest request, ServiceState service, List<Engine> candidates, int attempt, long nowNanos) {
+            RouteRequest request, ServiceState service, List<TrackedInstance> candidates, int attempt, long nowNanos) {
         SchedulingChoice choice = plainScheduler.choose(request, candidates, nowNanos);
         if (attempt == 0 && wouldMissTarget(request, service, choice.predictedNanos(), nowNanos)) {
             return Rejections.overloaded(request, choice.predictedNanos(), nowNanos);
         }
         Placement.Send send = new Placement.Send(
-                choice.engine().instance(),
+                choice.instance().announcement(),
                 null,
-                choice.engine().version(request.model()),
+                choice.instance().version(request.model()),
                 null,
                 null,
                 settings.priorityOf(request.rank()),
                 (long) choice.predictedNanos());
-        attempts.prepare(send, InFlightAttempt.plain(choice.engine(), service, request, attempt));
+        attempts.prepare(send, InFlightAttempt.plain(choice.instance(), service, request, attempt));
         return send;
     }
 
     private Placement planPrompt(
-            RouteRequest request, ServiceState service, List<Engine> candidates, int attempt, long nowNanos) {
+            RouteRequest request, ServiceState service, List<TrackedInstance> candidates, int attempt, long nowNanos) {
         salts.begin(request, service.newestSupersededVersion(request.model(), nowNanos));
         SchedulingChoice choice =
                 promptScheduler.choose(request, service, candidates, salts, fleet.liveRouters(), nowNanos);
@@ -167,13 +168,13 @@
             return Rejections.overloaded(request, choice.predictedNanos(), nowNanos);
         }
         KvTransferPlanner.TransferSource source = transfers.chooseSource(request, service, choice, salts, nowNanos);
-        String salt = salts.text(choice.engine());
+        String salt = salts.text(choice.instance());
         Placement.Send send = new Placement.Send(
-                choice.engine().instance(),
+                choice.instance().announcement(),
                 salt,
-                choice.engine().version(request.model()),
+                choice.instance().version(request.model()),
                 source == null ? null : source.address(),
-                transfers.storeToSaveTo(request, salts, choice.engine(), nowNanos),
+                transfers.storeToSaveTo(request, salts, choice.instance(), nowNanos),
                 settings.priorityOf(request.rank()),
                 (long) choice.predictedNanos());
         attempts.prepare(send, InFlightAttempt.prompt(service, request, attempt, choice, source, offeredToAdmission));
@@ -185,7 +186,7 @@
         double sustainablePerSecond = service.sustainableMissesPerSecond() / fleet.liveRouters();
         return service.admission().offer(request, sustainablePerSecond, nowNanos)
                 || service.hasSpareSlots(nowNanos)
-                || choice.engine().isLightlyLoaded(nowNanos)
+                || choice.instance().isLightlyLoaded(nowNanos)
                         && choice.predictedNanos()
                                 < LIGHT_LOAD_TARGET_FRACTION * request.latencyTargetLeftNanos(nowNanos);
     }
--- a/routing/src/main/java/burlarch/routing/planner/FleetState.java
+++ b/routing/src/main/java/burlarch/routing/planner/FleetState.java
@@ -11,7 +11,7 @@
 import burlarch.routing.admission.CacheMissAdmission;
 import burlarch.routing.admission.RetryBudget;
 import burlarch.routing.index.PrefixCacheIndex;
-import burlarch.routing.instance.Engine;
+import burlarch.routing.instance.TrackedInstance;
 import java.util.Collection;
 import java.util.HashMap;
 import java.util.HashSet;
@@ -23,8 +23,8 @@
  * The services and instances that a planner knows, by configuration, announcements and responses. The sources of the
  * prefix-cache index are always the known engines and stores.
  *
- * <p>Invariant <em>one object per engine</em>: an {@link Engine} exists as long as its instance id is known, across
- * configurations and announcements, so that attempts in flight and their estimates refer to one object.
+ * <p>Invariant <em>one object per instance</em>: a {@link TrackedInstance} exists as long as its instance id is known,
+ * across configurations and announcements, so that attempts in flight and their estimates refer to one object.
  */
 final class FleetState {
     /** Cache misses that one engine is assumed to prefill in a second, until a rate has been learned. */
@@ -33,17 +33,17 @@
     private final PlannerSettings settings;
     private final PrefixCacheIndex index;
     private final KvTransferPlanner transfers;
-    private final EngineSubsets subsets;
+    private final InstanceSubsets subsets;
     private final Map<String, ServiceState> services = new HashMap<>();
-    private final Map<String, Engine> engines = new HashMap<>();
-    private Collection<Instance> instances = List.of();
+    private final Map<String, TrackedInstance> trackedInstances = new HashMap<>();
+    private Collection<Instance> announcedInstances = List.of();
     private int liveRouters = 1;
 
     FleetState(PlannerSettings settings, PrefixCacheIndex index, KvTransferPlanner transfers) {
         this.settings = settings;
         this.index = index;
         this.transfers = transfers;
-        this.subsets = new EngineSubsets(settings);
+        this.subsets = new InstanceSubsets(settings);
     }
 
     /** Returns the service of that name, null if it is not configured or is a store. */
@@ -66,7 +66,7 @@
         }
         services.keySet().retainAll(configuredNames);
         transfers.configure(configuration.services());
-        onInstances(instances, nowNanos);
+        onInstances(announcedInstances, nowNanos);
     }
 
     private void configure(Service service, Configuration configuration, long nowNanos) {
@@ -77,7 +77,7 @@
         }
         state.update(service);
         double initialPerSecond =
-                INITIAL_MISSES_PER_ENGINE_SECOND * Math.max(1, state.engines().size());
+                INITIAL_MISSES_PER_ENGINE_SECOND * Math.max(1, state.instances().size());
         state.admission().configure(configuration.tenants(), initialPerSecond, liveRouters);
     }
 
@@ -89,34 +89,34 @@
     }
 
     void onInstances(Collection<Instance> known, long nowNanos) {
-        instances = List.copyOf(known);
+        announcedInstances = List.copyOf(known);
         for (ServiceState service : services.values()) {
-            service.engines().clear();
+            service.instances().clear();
         }
         Set<String> sources = new HashSet<>();
-        for (Instance instance : instances) {
+        for (Instance instance : announcedInstances) {
             sources.add(instance.id());
             onInstance(instance, nowNanos);
         }
         assignSubsets();
-        engines.keySet().retainAll(sources);
+        trackedInstances.keySet().retainAll(sources);
         sources.addAll(transfers.storeNames());
         index.retainSources(sources);
     }
 
     private void onInstance(Instance instance, long nowNanos) {
         ServiceState service = services.get(instance.service());
-        Engine engine = engines.computeIfAbsent(
-                instance.id(), id -> new Engine(instance, service == null ? null : service.speed()));
-        engine.update(instance, nowNanos);
+        TrackedInstance trackedInstance = trackedInstances.computeIfAbsent(
+                instance.id(), id -> new TrackedInstance(instance, service == null ? null : service.speed()));
+        trackedInstance.update(instance, nowNanos);
         if (service != null) {
-            service.engines().add(engine);
+            service.instances().add(trackedInstance);
             if (service.isModelService()) {
-                index.addSource(engine.id(), service.kvCapacity());
+                index.addSource(trackedInstance.id(), service.kvCapacity());
             }
         }
         for (ServedModel model : instance.models() == null ? List.<ServedModel>of() : instance.models()) {
-            onVersion(engine, model.name(), model.version(), nowNanos);
+            onVersion(trackedInstance, model.name(), model.version(), nowNanos);
         }
     }
 
@@ -127,7 +127,7 @@
 
     private void assignSubsets() {
         for (ServiceState service : services.values()) {
-            subsets.assign(service.engines());
+            subsets.assign(service.instances());
         }
     }
 
@@ -142,9 +142,9 @@
     void onKvEvents(KvEvents events, long nowNanos) {
         transfers.onEventsReceived(events.source());
         long prefilledTokens = index.onEvents(events, nowNanos);
-        Engine engine = engines.get(events.source());
-        if (engine != null && prefilledTokens > 0) {
-            engine.prefillLoad().onPrefilled(engine.speed().prefillNanos(prefilledTokens), nowNanos);
+        TrackedInstance trackedInstance = trackedInstances.get(events.source());
+        if (trackedInstance != null && prefilledTokens > 0) {
+            trackedInstance.prefillLoad().onPrefilled(trackedInstance.speed().prefillNanos(prefilledTokens), nowNanos);
         }
     }
 
@@ -154,19 +154,19 @@
     }
 
     void onWeightsVersion(String instance, String model, long version, long nowNanos) {
-        Engine engine = engines.get(instance);
-        if (engine != null && model != null) {
-            onVersion(engine, model, version, nowNanos);
+        TrackedInstance trackedInstance = trackedInstances.get(instance);
+        if (trackedInstance != null && model != null) {
+            onVersion(trackedInstance, model, version, nowNanos);
         }
     }
 
-    private void onVersion(Engine engine, String model, long version, long nowNanos) {
-        long previousVersion = engine.onVersion(model, version, nowNanos);
+    private void onVersion(TrackedInstance trackedInstance, String model, long version, long nowNanos) {
+        long previousVersion = trackedInstance.onVersion(model, version, nowNanos);
         if (previousVersion > 0) {
             // An engine that loads new weights discards its cache entries of the old ones.
-            index.forgetVersion(engine.id(), CacheSalt.of(model, previousVersion, null, engine.id()));
+            index.forgetVersion(trackedInstance.id(), CacheSalt.of(model, previousVersion, null, trackedInstance.id()));
         }
-        ServiceState service = services.get(engine.instance().service());
+        ServiceState service = services.get(trackedInstance.announcement().service());
         if (service != null) {
             service.onVersion(model, version, nowNanos);
         }
--- a/routing/src/main/java/burlarch/routing/planner/InFlightAttempt.java
+++ b/routing/src/main/java/burlarch/routing/planner/InFlightAttempt.java
@@ -4,7 +4,7 @@
 import burlarch.routing.AttemptOutcome;
 import burlarch.routing.Placement;
 import burlarch.routing.RouteRequest;
-import burlarch.routing.instance.Engine;
+import burlarch.routing.instance.TrackedInstance;
 
 /**
  * One attempt, from its placement to its end: what was planned, and what was measured at sending and at its first
@@ -31,10 +31,10 @@
      */
     private static final double OVERDUE_FRACTION_OF_TARGET = 0.4;
 
-    private final Engine engine;
+    private final TrackedInstance instance;
     private final ServiceState service;
     private final int attemptNumber;
-    /** Weights version of the engine that was known when the attempt was planned. */
+    /** Weights version of the instance that was known when the attempt was planned. */
     private final long versionAtPlanning;
 
     private final boolean plannedAsCacheMiss;
@@ -49,14 +49,14 @@
     private State state = State.PLANNED;
     private long sentNanos;
     private boolean trial;
-    private boolean engineWasIdle;
+    private boolean instanceWasIdle;
     private int ownRequestsWhenSent;
     private double expectedWaitNanosWhenSent;
     private long overdueNanos;
     private long firstEventNanos;
 
     private InFlightAttempt(
-            Engine engine,
+            TrackedInstance instance,
             ServiceState service,
             RouteRequest request,
             int attemptNumber,
@@ -66,10 +66,10 @@
             int tokensToTransfer,
             long transferNanos,
             double memoryTokens) {
-        this.engine = engine;
+        this.instance = instance;
         this.service = service;
         this.attemptNumber = attemptNumber;
-        this.versionAtPlanning = engine.version(request.model());
+        this.versionAtPlanning = instance.version(request.model());
         this.cacheMiss = cacheMiss;
         this.plannedAsCacheMiss = cacheMiss;
         this.cachedTokens = cachedTokens;
@@ -84,8 +84,9 @@
      *
      * @param attemptNumber from 0
      */
-    static InFlightAttempt plain(Engine engine, ServiceState service, RouteRequest request, int attemptNumber) {
-        return new InFlightAttempt(engine, service, request, attemptNumber, false, 0, 0, 0, 0, 0);
+    static InFlightAttempt plain(
+            TrackedInstance instance, ServiceState service, RouteRequest request, int attemptNumber) {
+        return new InFlightAttempt(instance, service, request, attemptNumber, false, 0, 0, 0, 0, 0);
     }
 
     /**
@@ -104,7 +105,7 @@
             boolean offeredAsCacheMiss) {
         int transferredTokens = source == null ? 0 : source.gainedTokens();
         return new InFlightAttempt(
-                choice.engine(),
+                choice.instance(),
                 service,
                 request,
                 attemptNumber,
@@ -116,27 +117,27 @@
                 CostModel.memoryTokens(request, choice.cachedTokens()));
     }
 
-    /** Records the sending, and counts the attempt at the engine and the service. */
+    /** Records the sending, and counts the attempt at the instance and the service. */
     void onSent(RouteRequest request, long nowNanos) {
         state = State.SENT;
         sentNanos = nowNanos;
-        trial = engine.health().onSent();
-        ownRequestsWhenSent = engine.load().ownRequests();
-        expectedWaitNanosWhenSent = engine.load().waitNanos(nowNanos);
-        engineWasIdle = engine.load().backlogTokens(engine.speed(), nowNanos) < 1;
-        engine.load().onSent(tokensToPrefill, memoryTokens, engine.speed(), nowNanos);
+        trial = instance.health().onSent();
+        ownRequestsWhenSent = instance.load().ownRequests();
+        expectedWaitNanosWhenSent = instance.load().waitNanos(nowNanos);
+        instanceWasIdle = instance.load().backlogTokens(instance.speed(), nowNanos) < 1;
+        instance.load().onSent(tokensToPrefill, memoryTokens, instance.speed(), nowNanos);
         service.onSent(this);
         overdueNanos = nowNanos
                 + (long) (uncontendedNanos()
                         + OVERDUE_FRACTION_OF_TARGET * request.route().targetLatencyMillis() * 1e6);
     }
 
-    /** Records the first event, which shows that the engine has prefilled the prompt. */
+    /** Records the first event, which shows that the instance has prefilled the prompt. */
     void onFirstEvent(long nowNanos) {
         state = State.RESPONDING;
         firstEventNanos = nowNanos;
-        engine.load().onPrefilled(tokensToPrefill);
-        engine.health().onResponse(nowNanos);
+        instance.load().onPrefilled(tokensToPrefill);
+        instance.health().onResponse(nowNanos);
     }
 
     /** Records the end. Returns whether the first event had arrived. */
@@ -144,7 +145,7 @@
         boolean hadFirstEvent = state == State.RESPONDING;
         state = State.ENDED;
         if (!hadFirstEvent) {
-            engine.load().onPrefilled(tokensToPrefill);
+            instance.load().onPrefilled(tokensToPrefill);
         }
         return hadFirstEvent;
     }
@@ -154,7 +155,7 @@
             RouteRequest request, Placement.Send send, boolean sameZone, AttemptOutcome outcome, long nowNanos) {
         return new ObservedAttempt(
                 request,
-                engine.id(),
+                instance.id(),
                 sameZone,
                 plannedAsCacheMiss,
                 cachedTokens,
@@ -183,8 +184,8 @@
         return nowNanos - overdueNanos >= 0;
     }
 
-    Engine engine() {
-        return engine;
+    TrackedInstance instance() {
+        return instance;
     }
 
     ServiceState service() {
@@ -209,12 +210,12 @@
         cacheMiss = false;
     }
 
-    /** Returns the prompt tokens that the engine has to prefill. */
+    /** Returns the prompt tokens that the instance has to prefill. */
     int tokensToPrefill() {
         return tokensToPrefill;
     }
 
-    /** Returns the prompt tokens that a transfer delivers to the engine. */
+    /** Returns the prompt tokens that a transfer delivers to the instance. */
     int tokensToTransfer() {
         return tokensToTransfer;
     }
@@ -238,13 +239,13 @@
         return trial;
     }
 
-    /** Whether no prompt of this router was left to prefill at the engine when the attempt was sent. */
-    boolean engineWasIdle() {
-        return engineWasIdle;
+    /** Whether no prompt of this router was left to prefill at the instance when the attempt was sent. */
+    boolean instanceWasIdle() {
+        return instanceWasIdle;
     }
 
-    /** Returns the expected time from sending to the first event if the request were alone at the engine. */
+    /** Returns the expected time from sending to the first event if the request were alone at the instance. */
     double uncontendedNanos() {
-        return engine.speed().baseNanos() + engine.speed().prefillNanos(tokensToPrefill) + transferNanos;
+        return instance.speed().baseNanos() + instance.speed().prefillNanos(tokensToPrefill) + transferNanos;
     }
 }
--- a/routing/src/main/java/burlarch/routing/planner/InFlightAttempts.java
+++ b/routing/src/main/java/burlarch/routing/planner/InFlightAttempts.java
@@ -7,14 +7,14 @@
 import burlarch.routing.RouteRequest;
 import burlarch.routing.ServerLoad;
 import burlarch.routing.index.PrefixCacheIndex;
-import burlarch.routing.instance.Engine;
-import burlarch.routing.instance.EngineLoad;
+import burlarch.routing.instance.InstanceLoad;
+import burlarch.routing.instance.TrackedInstance;
 import java.util.ArrayDeque;
 import java.util.IdentityHashMap;
 import java.util.Map;
 
 /**
- * The planned and in-flight attempts of one planner. Their progress updates the estimates of their engines, the
+ * The planned and in-flight attempts of one planner. Their progress updates the estimates of their instances, the
  * prefix-cache index, admission control, the retry budget and the attempt history.
  *
  * <p>An attempt is identified by its {@link Placement.Send} object, not by equality. Reports about an unknown attempt
@@ -65,7 +65,7 @@
         }
         attempt.onSent(request, nowNanos);
         if (send.cacheSalt() != null) {
-            index.expectCached(attempt.engine().id(), send.cacheSalt(), request.segments(), nowNanos);
+            index.expectCached(attempt.instance().id(), send.cacheSalt(), request.segments(), nowNanos);
         }
         if (send.kvSave() != null) {
             transfers.onSaveRequested(send.kvSave(), request, send.cacheSalt(), nowNanos);
@@ -76,7 +76,7 @@
     }
 
     /**
-     * Evaluates attempts whose first event is overdue, because the first events of an overloaded engine arrive too
+     * Evaluates attempts whose first event is overdue, because the first events of an overloaded instance arrive too
      * late to learn from.
      */
     void checkOverdue(long nowNanos) {
@@ -93,7 +93,7 @@
 
     private void learnFromMissingFirstEvent(InFlightAttempt attempt, long nowNanos) {
         double waitedNanos = nowNanos - attempt.sentNanos() - attempt.uncontendedNanos();
-        attempt.engine().load().onStillWaiting(waitedNanos, nowNanos);
+        attempt.instance().load().onStillWaiting(waitedNanos, nowNanos);
         if (attempt.isCacheMiss()) {
             attempt.onMissReported();
             attempt.service().admission().onOutcome(attempt.sentNanos(), 1, false, nowNanos);
@@ -108,12 +108,12 @@
             return;
         }
         attempt.onFirstEvent(nowNanos);
-        Engine engine = attempt.engine();
+        TrackedInstance instance = attempt.instance();
         double elapsedNanos = nowNanos - attempt.sentNanos();
         double lateNanos = elapsedNanos - attempt.uncontendedNanos();
-        double othersWaitedNanos = engine.load().waitNanos(nowNanos);
+        double othersWaitedNanos = instance.load().waitNanos(nowNanos);
         double waitedNanos = Math.max(0, lateNanos);
-        engine.load().onWaited(waitedNanos, nowNanos);
+        instance.load().onWaited(waitedNanos, nowNanos);
         if (attempt.isCacheMiss()) {
             double targetNanos = Math.max(1, request.route().targetLatencyMillis() * 1e6);
             attempt.service().admission().onOutcome(attempt.sentNanos(), waitedNanos / targetNanos, true, nowNanos);
@@ -123,14 +123,14 @@
         }
         if (send.kvFetch() != null) {
             learnTransferTime(attempt, send.kvFetch(), lateNanos - othersWaitedNanos, nowNanos);
-        } else if (attempt.engineWasIdle()) {
-            engine.speed().onFirstEvent(attempt.tokensToPrefill(), elapsedNanos);
+        } else if (attempt.instanceWasIdle()) {
+            instance.speed().onFirstEvent(attempt.tokensToPrefill(), elapsedNanos);
         }
         if (reportedLoad != null) {
             applyReportedLoad(attempt, reportedLoad, nowNanos);
         }
         if (send.cacheSalt() != null) {
-            index.confirm(engine.id(), send.cacheSalt(), request.segments(), nowNanos);
+            index.confirm(instance.id(), send.cacheSalt(), request.segments(), nowNanos);
         }
     }
 
@@ -139,10 +139,10 @@
      * beyond the time to prefill the tokens counts, as after a transfer that delivered nothing.
      */
     private void learnTransferTime(InFlightAttempt attempt, String address, double lateNanos, long nowNanos) {
-        if (attempt.engineWasIdle()) {
-            double prefillNanos = attempt.engine().speed().prefillNanos(attempt.tokensToTransfer());
+        if (attempt.instanceWasIdle()) {
+            double prefillNanos = attempt.instance().speed().prefillNanos(attempt.tokensToTransfer());
             transfers.onTransferEnded(address, lateNanos - prefillNanos, nowNanos);
-            attempt.engine().transferSpeed().onTransferEnded(attempt.transferNanos(), lateNanos, nowNanos);
+            attempt.instance().transferSpeed().onTransferEnded(attempt.transferNanos(), lateNanos, nowNanos);
         }
     }
 
@@ -153,19 +153,19 @@
             return;
         }
         boolean hadFirstEvent = attempt.onEnded();
-        Engine engine = attempt.engine();
+        TrackedInstance instance = attempt.instance();
         if (reportedLoad != null && !hadFirstEvent) {
             applyReportedLoad(attempt, reportedLoad, nowNanos);
         }
-        engine.load().onEnded(attempt.memoryTokens());
+        instance.load().onEnded(attempt.memoryTokens());
         if (outcome.certainlyNotExecuted()) {
-            engine.load().withdraw(attempt.tokensToPrefill());
+            instance.load().withdraw(attempt.tokensToPrefill());
             if (send.cacheSalt() != null) {
-                index.withdrawExpected(engine.id(), send.cacheSalt(), request.segments());
+                index.withdrawExpected(instance.id(), send.cacheSalt(), request.segments());
             }
         }
         if (outcome == AttemptOutcome.ANSWERED) {
-            engine.speed().onAnswered(nowNanos - attempt.sentNanos());
+            instance.speed().onAnswered(nowNanos - attempt.sentNanos());
         }
         if (attempt.isCacheMiss() && !hadFirstEvent) {
             reportMissOutcome(request, attempt, outcome, nowNanos);
@@ -173,26 +173,27 @@
         boolean versionCorrected = outcome == AttemptOutcome.MISDIRECTED && correctVersion(request, attempt);
         // A misdirection because of a wrong version was this router's fault: the instance is healthy and may be tried
         // again.
-        engine.health()
+        instance.health()
                 .onEnded(
                         versionCorrected ? AttemptOutcome.CANCELLED : outcome,
                         attempt.isTrial(),
                         attempt.sentNanos(),
                         nowNanos);
-        history.onEnded(request.id(), versionCorrected ? null : engine.id(), outcome);
-        boolean sameZone = settings.distance(settings.zone(), engine.instance().zone()) <= 1;
+        history.onEnded(request.id(), versionCorrected ? null : instance.id(), outcome);
+        boolean sameZone =
+                settings.distance(settings.zone(), instance.announcement().zone()) <= 1;
         observer.onEnded(attempt.observed(request, send, sameZone, outcome, nowNanos));
     }
 
     /** Applies the load reported in the head of a response that has just arrived. */
     private static void applyReportedLoad(InFlightAttempt attempt, ServerLoad reportedLoad, long nowNanos) {
-        EngineLoad load = attempt.engine().load();
+        InstanceLoad load = attempt.instance().load();
         load.onLoadReported(
                 reportedLoad,
                 load.ownRequests(),
                 load.ownPrefilling(),
                 attempt.service().meanPrefillTokens(),
-                attempt.engine().speed(),
+                attempt.instance().speed(),
                 nowNanos);
     }
 
@@ -201,11 +202,11 @@
      * is reset to the announced one.
      */
     private static boolean correctVersion(RouteRequest request, InFlightAttempt attempt) {
-        Engine engine = attempt.engine();
-        if (engine.version(request.model()) == attempt.versionAtPlanning()) {
-            engine.resetToAnnouncedVersion(request.model());
+        TrackedInstance instance = attempt.instance();
+        if (instance.version(request.model()) == attempt.versionAtPlanning()) {
+            instance.resetToAnnouncedVersion(request.model());
         }
-        return engine.version(request.model()) != attempt.versionAtPlanning();
+        return instance.version(request.model()) != attempt.versionAtPlanning();
     }
 
     /**
--- a/routing/src/main/java/burlarch/routing/planner/KvTransferPlanner.java
+++ b/routing/src/main/java/burlarch/routing/planner/KvTransferPlanner.java
@@ -6,8 +6,8 @@
 import burlarch.routing.RouteRequest;
 import burlarch.routing.RouteRequest.PromptSegment;
 import burlarch.routing.index.PrefixCacheIndex;
-import burlarch.routing.instance.Engine;
 import burlarch.routing.instance.StoreLivenessMonitor;
+import burlarch.routing.instance.TrackedInstance;
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.HashSet;
@@ -93,15 +93,15 @@
             RequestCacheSalt salts,
             long nowNanos) {
         List<PromptSegment> segments = request.segments();
-        long saltHash = salts.hash(choice.engine());
+        long saltHash = salts.hash(choice.instance());
         if (request.totalPromptTokens() - choice.cachedTokens() < CostModel.MIN_TRANSFER_TOKENS
                 || segments.isEmpty()
-                || choice.engine().version(request.model()) == 0) {
+                || choice.instance().version(request.model()) == 0) {
             return null;
         }
         long targetLeftNanos = request.latencyTargetLeftNanos(nowNanos);
-        List<Engine> engines = service.engines();
-        boolean superseded = salts.isSuperseded(choice.engine());
+        List<TrackedInstance> engines = service.instances();
+        boolean superseded = salts.isSuperseded(choice.instance());
         TransferSource best = null;
         double bestGainNanos = 0;
         for (int i = superseded ? stores.size() : 0; i < stores.size() + engines.size(); i++) {
@@ -111,7 +111,7 @@
             if (source == null || isSuspect(source.address(), nowNanos)) {
                 continue;
             }
-            double prefillNanos = choice.engine().speed().prefillNanos(source.gainedTokens());
+            double prefillNanos = choice.instance().speed().prefillNanos(source.gainedTokens());
             double gainNanos =
                     prefillNanos * CostModel.REDUNDANT_PREFILL_WEIGHT - source.nanos() * CostModel.TRANSFER_WEIGHT;
             if (gainNanos > bestGainNanos
@@ -163,23 +163,23 @@
     }
 
     private TransferSource fromEngine(
-            Engine engine,
+            TrackedInstance engine,
             ServiceState service,
             SchedulingChoice choice,
             long saltHash,
             RouteRequest request,
             long nowNanos) {
-        if (engine == choice.engine()
+        if (engine == choice.instance()
                 || engine.health().isOutlier()
                 || !engine.hasConsistentCache(request.model(), nowNanos)
-                || engine.version(request.model()) != choice.engine().version(request.model())) {
+                || engine.version(request.model()) != choice.instance().version(request.model())) {
             return null;
         }
         int gainedTokens = index.confirmedPrefixTokens(engine.id(), saltHash, request.segments(), nowNanos)
                 - choice.cachedTokens();
         return sourceIfWorthwhile(
-                engine.instance().address(),
-                engine.instance().zone(),
+                engine.announcement().address(),
+                engine.announcement().zone(),
                 gainedTokens,
                 service.linkMbps(),
                 service,
@@ -198,8 +198,9 @@
         if (gainedTokens < CostModel.MIN_TRANSFER_TOKENS) {
             return null;
         }
-        double distance = settings.distance(zone, choice.engine().instance().zone());
-        double slowdown = choice.engine().transferSpeed().slowdown(nowNanos);
+        double distance =
+                settings.distance(zone, choice.instance().announcement().zone());
+        double slowdown = choice.instance().transferSpeed().slowdown(nowNanos);
         return new TransferSource(
                 address,
                 gainedTokens,
@@ -211,7 +212,7 @@
      * null if a store caches them already, if they are too short, if the salt is unique to one engine, or if the
      * engine's weights are superseded.
      */
-    String storeToSaveTo(RouteRequest request, RequestCacheSalt salts, Engine engine, long nowNanos) {
+    String storeToSaveTo(RouteRequest request, RequestCacheSalt salts, TrackedInstance engine, long nowNanos) {
         int sharedTokens = request.sharedTokens();
         String salt = salts.text(engine);
         if (stores.isEmpty()
--- a/routing/src/main/java/burlarch/routing/planner/PromptScheduler.java
+++ b/routing/src/main/java/burlarch/routing/planner/PromptScheduler.java
@@ -4,8 +4,8 @@
 import burlarch.routing.RouteRequest;
 import burlarch.routing.RouteRequest.PromptSegment;
 import burlarch.routing.index.PrefixCacheIndex;
-import burlarch.routing.instance.Engine;
-import burlarch.routing.instance.EngineLoad;
+import burlarch.routing.instance.InstanceLoad;
+import burlarch.routing.instance.TrackedInstance;
 import java.util.Arrays;
 import java.util.List;
 
@@ -57,7 +57,7 @@
     SchedulingChoice choose(
             RouteRequest request,
             ServiceState service,
-            List<Engine> candidates,
+            List<TrackedInstance> candidates,
             RequestCacheSalt salts,
             int liveRouters,
             long nowNanos) {
@@ -87,7 +87,8 @@
         return choice;
     }
 
-    private int cachedTokensOf(Engine engine, RequestCacheSalt salts, List<PromptSegment> segments, long nowNanos) {
+    private int cachedTokensOf(
+            TrackedInstance engine, RequestCacheSalt salts, List<PromptSegment> segments, long nowNanos) {
         int tokens = index.cachedPrefixTokens(engine.id(), salts.hash(engine), segments, nowNanos);
         return index.isUncertain(engine.id()) ? (int) (tokens * CostModel.UNCERTAIN_FACTOR) : tokens;
     }
@@ -97,7 +98,7 @@
      * with the same salt have the same values: they are computed at the first of them and copied to the others.
      */
     private int lookUpKnownTokens(
-            List<Engine> candidates, RequestCacheSalt salts, List<PromptSegment> segments, long nowNanos) {
+            List<TrackedInstance> candidates, RequestCacheSalt salts, List<PromptSegment> segments, long nowNanos) {
         int maxKnownTokens = 0;
         int size = segments.isEmpty() ? 0 : candidates.size();
         Arrays.fill(knownTokens, 0, candidates.size(), 0);
@@ -134,7 +135,8 @@
     }
 
     /** Sets the expected time to the first event and the cost of candidate {@code i}. */
-    private void estimateCost(RouteRequest request, ServiceState service, Engine engine, int i, long nowNanos) {
+    private void estimateCost(
+            RouteRequest request, ServiceState service, TrackedInstance engine, int i, long nowNanos) {
         int engineCachedTokens = cachedTokens[i];
         int missingTokens = Math.max(0, transferableTokens[i] - engineCachedTokens);
         double transferNanos = missingTokens < CostModel.MIN_TRANSFER_TOKENS
@@ -167,12 +169,14 @@
                 + memoryWaitNanos * CostModel.MEMORY_WEIGHT
                 + engine.load().requests(nowNanos) * CostModel.RUNNING_REQUEST_NANOS
                 + CostModel.subsetNanos(engine.subsetDistance())
-                + (settings.distance(settings.zone(), engine.instance().zone()) > 1 ? CostModel.OTHER_ZONE_NANOS : 0);
+                + (settings.distance(settings.zone(), engine.announcement().zone()) > 1
+                        ? CostModel.OTHER_ZONE_NANOS
+                        : 0);
         costsWithoutTransfer[i] = costs[i] - (transferWorthwhile ? transferNanos * CostModel.TRANSFER_WEIGHT : 0);
     }
 
-    private static double queueNanos(Engine engine, long nowNanos) {
-        EngineLoad load = engine.load();
+    private static double queueNanos(TrackedInstance engine, long nowNanos) {
+        InstanceLoad load = engine.load();
         double requestsAhead = Math.max(0, load.requests(nowNanos) + 1 - load.slots());
         double backlogNanos = engine.speed().prefillNanos(load.backlogTokens(engine.speed(), nowNanos));
         return backlogNanos
@@ -184,7 +188,7 @@
      * Returns the expected wait for memory. Running requests are assumed to release it evenly over the response time.
      */
     private static double memoryWaitNanos(
-            RouteRequest request, ServiceState service, Engine engine, int engineCachedTokens, long nowNanos) {
+            RouteRequest request, ServiceState service, TrackedInstance engine, int engineCachedTokens, long nowNanos) {
         double usedTokens = engine.load().memoryTokens(service.meanMemoryTokens(), nowNanos);
         double missingMemoryTokens =
                 usedTokens + CostModel.memoryTokens(request, engineCachedTokens) - service.kvCapacity();
--- a/routing/src/main/java/burlarch/routing/planner/RequestCacheSalt.java
+++ b/routing/src/main/java/burlarch/routing/planner/RequestCacheSalt.java
@@ -3,7 +3,7 @@
 import burlarch.configuration.Configuration.Tenant;
 import burlarch.routing.CacheSalt;
 import burlarch.routing.RouteRequest;
-import burlarch.routing.instance.Engine;
+import burlarch.routing.instance.TrackedInstance;
 
 /**
  * Cached cache salt of the current request at each engine. Most engines have the same weights version and thus the
@@ -37,24 +37,24 @@
     }
 
     /** Whether the engine has weights that newer ones are replacing. False for an engine of unknown version. */
-    boolean isSuperseded(Engine engine) {
+    boolean isSuperseded(TrackedInstance engine) {
         long engineVersion = engine.version(request.model());
         return engineVersion != UNKNOWN_VERSION && engineVersion <= newestSupersededVersion;
     }
 
     /** Returns the salt at an engine. */
-    String text(Engine engine) {
+    String text(TrackedInstance engine) {
         compute(engine);
         return text;
     }
 
     /** Returns the {@link CacheSalt#hash} of the salt at an engine. */
-    long hash(Engine engine) {
+    long hash(TrackedInstance engine) {
         compute(engine);
         return hash;
     }
 
-    private void compute(Engine engine) {
+    private void compute(TrackedInstance engine) {
         long engineVersion = engine.version(request.model());
         // For an unknown version the salt is unique to the engine.
         if (engineVersion != version || engineVersion == UNKNOWN_VERSION) {
--- a/routing/src/main/java/burlarch/routing/planner/SchedulingChoice.java
+++ b/routing/src/main/java/burlarch/routing/planner/SchedulingChoice.java
@@ -1,28 +1,28 @@
 package burlarch.routing.planner;
 
-import burlarch.routing.instance.Engine;
+import burlarch.routing.instance.TrackedInstance;
 
 /** The instance that a scheduler chose for a request. Each scheduler has one object, valid until its next call. */
 final class SchedulingChoice {
-    private Engine engine;
+    private TrackedInstance instance;
     private double predictedNanos;
     private int cachedTokens;
     private boolean cacheMiss;
 
     /** Sets the instance chosen for a request without a cached prompt. */
-    void set(Engine chosen, double predicted) {
+    void set(TrackedInstance chosen, double predicted) {
         set(chosen, predicted, 0, false);
     }
 
-    void set(Engine chosen, double predicted, int cached, boolean isCacheMiss) {
-        engine = chosen;
+    void set(TrackedInstance chosen, double predicted, int cached, boolean isCacheMiss) {
+        instance = chosen;
         predictedNanos = predicted;
         cachedTokens = cached;
         cacheMiss = isCacheMiss;
     }
 
-    Engine engine() {
-        return engine;
+    TrackedInstance instance() {
+        return instance;
     }
 
     /** Returns the expected time to the first event. */
--- a/routing/src/main/java/burlarch/routing/planner/ServiceState.java
+++ b/routing/src/main/java/burlarch/routing/planner/ServiceState.java
@@ -4,8 +4,8 @@
 import burlarch.routing.admission.CacheMissAdmission;
 import burlarch.routing.admission.PriorityShedding;
 import burlarch.routing.admission.RetryBudget;
-import burlarch.routing.instance.Engine;
-import burlarch.routing.instance.EngineSpeed;
+import burlarch.routing.instance.InstanceSpeed;
+import burlarch.routing.instance.TrackedInstance;
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.List;
@@ -21,8 +21,8 @@
 
     private record ObservedVersion(long version, long sinceNanos) {}
 
-    private final EngineSpeed speed = new EngineSpeed();
-    private final List<Engine> engines = new ArrayList<>();
+    private final InstanceSpeed speed = new InstanceSpeed();
+    private final List<TrackedInstance> instances = new ArrayList<>();
     private final RetryBudget budget;
     private final CacheMissAdmission admission;
     private final PriorityShedding priorityShedding = new PriorityShedding();
@@ -43,13 +43,13 @@
     }
 
     /** Returns the average speed of its instances. */
-    EngineSpeed speed() {
+    InstanceSpeed speed() {
         return speed;
     }
 
     /** Returns its instances in any state. This is the list itself, which {@link FleetState} changes. */
-    List<Engine> engines() {
-        return engines;
+    List<TrackedInstance> instances() {
+        return instances;
     }
 
     RetryBudget budget() {
@@ -98,9 +98,9 @@
     /** Returns the cache misses that all ready engines together can prefill in a second. */
     double sustainableMissesPerSecond() {
         double tokensPerSecond = 0;
-        for (int i = 0; i < engines.size(); i++) {
-            Engine engine = engines.get(i);
-            tokensPerSecond += engine.isReady() ? engine.speed().tokensPerNano() * 1e9 : 0;
+        for (int i = 0; i < instances.size(); i++) {
+            TrackedInstance instance = instances.get(i);
+            tokensPerSecond += instance.isReady() ? instance.speed().tokensPerNano() * 1e9 : 0;
         }
         return tokensPerSecond / Math.max(1, meanMissTokens);
     }
@@ -133,14 +133,14 @@
 
     /**
      * Returns the newest weights version that is being replaced by a newer one, 0 if none is known to be replaced. All
-     * versions up to it are superseded. A version is being replaced if a newer one was seen, or if an engine with that
-     * version was recently seen to load another.
+     * versions up to it are superseded. A version is being replaced if a newer one was seen, or if an instance with
+     * that version was recently seen to load another.
      */
     long newestSupersededVersion(String model, long nowNanos) {
         ObservedVersion newest = newestVersions.get(model);
         long supersededVersion = newest == null ? 0 : newest.version() - 1;
-        for (int i = 0; i < engines.size(); i++) {
-            supersededVersion = Math.max(supersededVersion, engines.get(i).versionBeforeLoading(model, nowNanos));
+        for (int i = 0; i < instances.size(); i++) {
+            supersededVersion = Math.max(supersededVersion, instances.get(i).versionBeforeLoading(model, nowNanos));
         }
         return supersededVersion;
     }
@@ -149,14 +149,14 @@
     boolean hasSpareSlots(long nowNanos) {
         double requests = 0;
         double slots = 0;
-        for (int i = 0; i < engines.size(); i++) {
-            Engine engine = engines.get(i);
-            if (engine.isReady()) {
-                if (engine.load().hasQueue(nowNanos)) {
+        for (int i = 0; i < instances.size(); i++) {
+            TrackedInstance instance = instances.get(i);
+            if (instance.isReady()) {
+                if (instance.load().hasQueue(nowNanos)) {
                     return false;
                 }
-                requests += engine.load().requests(nowNanos);
-                slots += engine.load().slots();
+                requests += instance.load().requests(nowNanos);
+                slots += instance.load().slots();
             }
         }
         return requests < slots / 2;
