--- a/routing/src/main/java/burlarch/routing/planner/InFlightAttempt.java
+++ b/routing/src/main/java/burlarch/routing/planner/InFlightAttempt.java
@@ -4,11 +4,11 @@
 import burlarch.routing.AttemptOutcome;
 import burlarch.routing.Placement;
 import burlarch.routing.RouteRequest;
-import burlarch.routing.instance.Engine;
+import burlarch.routing.instance.TrackedInstance;
 
 /**
- * One attempt, from its placement to its end: what was planned, and what was measured when it was sent and
- * when its first event arrived. Owned by {@link InFlightAttempts}.
+ * One attempt, from its placement to its end: what was planned, and what was measured at sending and at its first
+ * event. Owned by {@link InFlightAttempts}.
  *
  * <pre>
  * state       sent   first event  end     not sent
@@ -25,50 +25,53 @@
         ENDED
     }
 
-    /** Fraction of the latency target, beyond the uncontended time, after which a missing first event shows a queue. */
+    /**
+     * Fraction of the latency target, added to the uncontended time, after which a missing first event indicates a
+     * queue.
+     */
     private static final double OVERDUE_FRACTION_OF_TARGET = 0.4;
 
-    private final Engine engine;
+    private final TrackedInstance instance;
     private final ServiceState service;
     private final int attemptNumber;
-    /** Weights version that the engine was known to have when the attempt was planned. */
+    /** Weights version of the instance that was known when the attempt was planned. */
     private final long versionAtPlanning;
 
-    private final boolean plannedAsFetch;
+    private final boolean plannedAsCacheMiss;
     private final int cachedTokens;
     private final int tokensToPrefill;
     private final int tokensToTransfer;
     private final long transferNanos;
     private final double memoryTokens;
-    /** Whether admission awaits the outcome of this attempt as a fetch. */
-    private boolean fetch;
+    /** Whether admission control awaits the outcome of this attempt as a cache miss. */
+    private boolean cacheMiss;
 
     private State state = State.PLANNED;
     private long sentNanos;
     private boolean trial;
-    private boolean engineWasIdle;
+    private boolean instanceWasIdle;
     private int ownRequestsWhenSent;
-    private double waitNanosWhenSent;
+    private double expectedWaitNanosWhenSent;
     private long overdueNanos;
     private long firstEventNanos;
 
     private InFlightAttempt(
-            Engine engine,
+            TrackedInstance instance,
             ServiceState service,
             RouteRequest request,
             int attemptNumber,
-            boolean fetch,
+            boolean cacheMiss,
             int cachedTokens,
             int tokensToPrefill,
             int tokensToTransfer,
             long transferNanos,
             double memoryTokens) {
-        this.engine = engine;
+        this.instance = instance;
         this.service = service;
         this.attemptNumber = attemptNumber;
-        this.versionAtPlanning = engine.version(request.model());
-        this.fetch = fetch;
-        this.plannedAsFetch = fetch;
+        this.versionAtPlanning = instance.version(request.model());
+        this.cacheMiss = cacheMiss;
+        this.plannedAsCacheMiss = cacheMiss;
         this.cachedTokens = cachedTokens;
         this.tokensToPrefill = tokensToPrefill;
         this.tokensToTransfer = tokensToTransfer;
@@ -77,20 +80,21 @@
     }
 
     /**
-     * An attempt of a request without a cached prompt.
+     * Creates an attempt of a request without a cached prompt.
      *
      * @param attemptNumber from 0
      */
-    static InFlightAttempt plain(Engine engine, ServiceState service, RouteRequest request, int attemptNumber) {
-        return new InFlightAttempt(engine, service, request, attemptNumber, false, 0, 0, 0, 0, 0);
+    static InFlightAttempt plain(
+            TrackedInstance instance, ServiceState service, RouteRequest request, int attemptNumber) {
+        return new InFlightAttempt(instance, service, request, attemptNumber, false, 0, 0, 0, 0, 0);
     }
 
     /**
-     * An attempt of a request with a cached prompt.
+     * Creates an attempt of a request with a cached prompt.
      *
      * @param attemptNumber from 0
-     * @param source of the transfer of cached segments, null for none
-     * @param offeredAsFetch whether it was offered to admission as a fetch
+     * @param source source of the transfer of cached segments, null for none
+     * @param offeredAsCacheMiss whether it was offered to admission control as a cache miss
      */
     static InFlightAttempt prompt(
             ServiceState service,
@@ -98,80 +102,80 @@
             int attemptNumber,
             SchedulingChoice choice,
             KvTransferPlanner.TransferSource source,
-            boolean offeredAsFetch) {
-        int transferred = source == null ? 0 : source.gainedTokens();
+            boolean offeredAsCacheMiss) {
+        int transferredTokens = source == null ? 0 : source.gainedTokens();
         return new InFlightAttempt(
-                choice.engine(),
+                choice.instance(),
                 service,
                 request,
                 attemptNumber,
-                offeredAsFetch,
+                offeredAsCacheMiss,
                 choice.cachedTokens(),
-                Math.max(0, request.totalPromptTokens() - choice.cachedTokens() - transferred),
-                transferred,
+                Math.max(0, request.totalPromptTokens() - choice.cachedTokens() - transferredTokens),
+                transferredTokens,
                 source == null ? 0 : source.nanos(),
                 CostModel.memoryTokens(request, choice.cachedTokens()));
     }
 
-    /** The attempt is sent: counts it at the engine and the service. */
+    /** Records the sending, and counts the attempt at the instance and the service. */
     void onSent(RouteRequest request, long nowNanos) {
         state = State.SENT;
         sentNanos = nowNanos;
-        trial = engine.health().onSent();
-        ownRequestsWhenSent = engine.load().ownRequests();
-        waitNanosWhenSent = engine.load().waitNanos(nowNanos);
-        engineWasIdle = engine.load().backlogTokens(engine.speed(), nowNanos) < 1;
-        engine.load().onSent(tokensToPrefill, memoryTokens, engine.speed(), nowNanos);
+        trial = instance.health().onSent();
+        ownRequestsWhenSent = instance.load().ownRequests();
+        expectedWaitNanosWhenSent = instance.load().waitNanos(nowNanos);
+        instanceWasIdle = instance.load().backlogTokens(instance.speed(), nowNanos) < 1;
+        instance.load().onSent(tokensToPrefill, memoryTokens, instance.speed(), nowNanos);
         service.onSent(this);
         overdueNanos = nowNanos
                 + (long) (uncontendedNanos()
                         + OVERDUE_FRACTION_OF_TARGET * request.route().targetLatencyMillis() * 1e6);
     }
 
-    /** The first event arrived: the engine has prefilled the prompt. */
+    /** Records the first event, which shows that the instance has prefilled the prompt. */
     void onFirstEvent(long nowNanos) {
         state = State.RESPONDING;
         firstEventNanos = nowNanos;
-        engine.load().onPrefilled(tokensToPrefill);
-        engine.health().onResponse(nowNanos);
+        instance.load().onPrefilled(tokensToPrefill);
+        instance.health().onResponse(nowNanos);
     }
 
-    /** The attempt ended; returns whether its first event had arrived. */
+    /** Records the end. Returns whether the first event had arrived. */
     boolean onEnded() {
         boolean hadFirstEvent = state == State.RESPONDING;
         state = State.ENDED;
         if (!hadFirstEvent) {
-            engine.load().onPrefilled(tokensToPrefill);
+            instance.load().onPrefilled(tokensToPrefill);
         }
         return hadFirstEvent;
     }
 
-    /** What an observer is told of it after its end. */
+    /** Returns the report on the ended attempt for an observer. */
     ObservedAttempt observed(
             RouteRequest request, Placement.Send send, boolean sameZone, AttemptOutcome outcome, long nowNanos) {
         return new ObservedAttempt(
                 request,
-                engine.id(),
+                instance.id(),
                 sameZone,
-                plannedAsFetch,
+                plannedAsCacheMiss,
                 cachedTokens,
                 tokensToTransfer,
                 tokensToPrefill,
                 ownRequestsWhenSent,
-                waitNanosWhenSent,
-                send.predictedFirstNanos(),
+                expectedWaitNanosWhenSent,
+                send.predictedFirstEventNanos(),
                 sentNanos,
                 firstEventNanos == 0 ? -1 : firstEventNanos - sentNanos,
                 nowNanos - sentNanos,
                 outcome);
     }
 
-    /** Its first event is still missing at the time when it was overdue; the next time is half as long again. */
+    /** Sets the next time at which a missing first event is evaluated: after half the time elapsed since sending. */
     void postponeOverdue(long nowNanos) {
         overdueNanos = nowNanos + (nowNanos - sentNanos) / 2;
     }
 
-    /** Whether it was sent and neither its first event nor its end was reported. */
+    /** Whether it was sent, and neither its first event nor its end was reported. */
     boolean awaitsFirstEvent() {
         return state == State.SENT;
     }
@@ -180,15 +184,15 @@
         return nowNanos - overdueNanos >= 0;
     }
 
-    Engine engine() {
-        return engine;
+    TrackedInstance instance() {
+        return instance;
     }
 
     ServiceState service() {
         return service;
     }
 
-    /** Number of the attempt among those of its request, from 0. */
+    /** Returns the number of the attempt among those of its request, from 0. */
     int attemptNumber() {
         return attemptNumber;
     }
@@ -197,31 +201,31 @@
         return versionAtPlanning;
     }
 
-    boolean isFetch() {
-        return fetch;
+    boolean isCacheMiss() {
+        return cacheMiss;
     }
 
-    /** The outcome of the fetch has been reported to admission. */
-    void onFetchReported() {
-        fetch = false;
+    /** Records that the outcome of the cache miss has been reported to admission control. */
+    void onMissReported() {
+        cacheMiss = false;
     }
 
-    /** Prompt tokens that the engine has to prefill. */
+    /** Returns the prompt tokens that the instance has to prefill. */
     int tokensToPrefill() {
         return tokensToPrefill;
     }
 
-    /** Prompt tokens that a transfer brings to the engine. */
+    /** Returns the prompt tokens that a transfer delivers to the instance. */
     int tokensToTransfer() {
         return tokensToTransfer;
     }
 
-    /** Expected time of the transfer. */
+    /** Returns the expected time of the transfer. */
     long transferNanos() {
         return transferNanos;
     }
 
-    /** KV cache that the request uses, in tokens. */
+    /** Returns the KV cache that the request uses, in tokens. */
     double memoryTokens() {
         return memoryTokens;
     }
@@ -235,13 +239,13 @@
         return trial;
     }
 
-    /** Whether the engine had no own prompt left to prefill when the attempt was sent. */
-    boolean engineWasIdle() {
-        return engineWasIdle;
+    /** Whether no prompt of this router was left to prefill at the instance when the attempt was sent. */
+    boolean instanceWasIdle() {
+        return instanceWasIdle;
     }
 
-    /** Time from sending to the first event that the request would need if it were alone at the engine. */
+    /** Returns the expected time from sending to the first event if the request were alone at the instance. */
     double uncontendedNanos() {
-        return engine.speed().baseNanos() + engine.speed().prefillNanos(tokensToPrefill) + transferNanos;
+        return instance.speed().baseNanos() + instance.speed().prefillNanos(tokensToPrefill) + transferNanos;
     }
 }
