--- a/router/src/main/java/burlarch/router/forwarding/AttemptPhase.java
+++ b/router/src/main/java/burlarch/router/forwarding/AttemptPhase.java
@@ -1,7 +1,7 @@
 package burlarch.router.forwarding;
 
 /**
- * How far an attempt has come in forwarding its response.
+ * Phase of an attempt: how much of the response it has received and forwarded.
  *
  * <table>
  * <caption>Transitions; END leads from every phase to ENDED, and an empty cell is illegal</caption>
@@ -15,25 +15,25 @@
 enum AttemptPhase {
     /** No byte of the body, nor its end, has been received. */
     AWAITING_BODY,
-    /** The body is forwarded as it comes. */
+    /** The body is forwarded as it is received. */
     FORWARDING_BODY,
-    /** The response is complete; the last bytes that the assembler held back are being written. */
+    /** The response is complete; the last bytes, which the assembler held back, are being written. */
     WRITING_LAST_BYTES,
-    /** The attempt has answered, failed or was cancelled. Later events are ignored. */
+    /** The attempt has received a complete response, has failed or was cancelled. Later events are ignored. */
     ENDED;
 
-    /** What happens to an attempt. */
+    /** An event that can change the phase. */
     enum Event {
         /** The first bytes of the body, or its end, were received. */
         BODY_STARTED,
-        /** The response is complete, and bytes of it have yet to be written. */
+        /** The response is complete, but its last bytes have not been written yet. */
         BODY_RECEIVED,
-        /** The attempt is over. */
+        /** The attempt has ended. */
         END
     }
 
     /**
-     * The only transition function.
+     * Returns the phase after an event. All phase changes use this method.
      *
      * @throws IllegalStateException if the event cannot occur in this phase
      */
@@ -47,6 +47,6 @@
         if (this == FORWARDING_BODY && event == Event.BODY_RECEIVED) {
             return WRITING_LAST_BYTES;
         }
-        throw new IllegalStateException(event + " in " + this);
+        throw new IllegalStateException(event + " is not allowed in phase " + this);
     }
 }
--- a/router/src/main/java/burlarch/router/forwarding/AttemptSequence.java
+++ b/router/src/main/java/burlarch/router/forwarding/AttemptSequence.java
@@ -10,71 +10,76 @@
 import org.eclipse.jetty.server.Request;
 
 /**
- * The attempts of one exchange, one after another: places each of them, sends it, and reports its outcome to
- * the planner exactly once. Runs in the serialized events of its exchange.
+ * The consecutive attempts of one exchange. It has the planner place each attempt, sends it, and reports its
+ * outcome to the planner exactly once. Runs in the serialized events of its exchange.
  */
 final class AttemptSequence {
-    /** A response at the deadline leaves this much earlier, so that it arrives in time. */
+    /** The response at the deadline is sent this much earlier so that it arrives in time. */
     private static final long DEADLINE_MARGIN_NANOS = 5_000_000;
 
     private final Exchange exchange;
     private final ForwardingContext context;
-    private final RouteRequest routed;
+    private final RouteRequest routedRequest;
     private final RetrySafety safety;
     private final ForwardedRequestHead head;
     private final String method;
     private final ByteBuffer body;
     /** The attempt in flight, or null. */
-    private Attempt current;
+    private Attempt currentAttempt;
 
     private int attemptCount;
-    /** Null unless the response is a stream of events that may be resumed. */
-    private EventStreamAssembler events;
+    /** Null unless the response is an event stream that may be resumed. */
+    private EventStreamAssembler eventAssembler;
 
     AttemptSequence(
-            Exchange exchange, ForwardingContext context, RouteRequest routed, Request request, ByteBuffer body) {
+            Exchange exchange,
+            ForwardingContext context,
+            RouteRequest routedRequest,
+            Request request,
+            ByteBuffer body) {
         this.exchange = exchange;
         this.context = context;
-        this.routed = routed;
-        this.safety = RetrySafety.of(routed.route());
+        this.routedRequest = routedRequest;
+        this.safety = RetrySafety.of(routedRequest.route());
         this.method = request.getMethod();
         this.head = new ForwardedRequestHead(method, request.getHttpURI().getPathQuery(), request.getHeaders());
         this.body = body;
     }
 
-    /** Time until the exchange has to end; not positive if it is over. */
+    /** Time until the exchange has to end, in nanoseconds; zero or negative once it has passed. */
     long remainingNanos() {
-        return routed.deadlineNanos() - DEADLINE_MARGIN_NANOS - System.nanoTime();
+        return routedRequest.deadlineNanos() - DEADLINE_MARGIN_NANOS - System.nanoTime();
     }
 
-    /** Places and sends the next attempt, or ends the exchange if the planner refuses one. */
-    void next() {
-        boolean resumes = exchange.state() == ExchangeState.RESPONDING;
-        RouteRequest request = resumes ? resumed(routed) : routed;
+    /** Places and sends the next attempt, or ends the exchange if the planner refuses to place it. */
+    void startNext() {
+        boolean isResuming = exchange.state() == ExchangeState.RESPONDING;
+        RouteRequest request = isResuming ? withResume(routedRequest) : routedRequest;
         Placement placement = context.planner().place(request, attemptCount);
         if (placement instanceof Placement.Refuse refusal) {
-            exchange.perform(exchange.state().withoutSend(), Headers.retryAfterSeconds(refusal.retryAfterMillis()));
+            exchange.perform(
+                    exchange.state().withoutFurtherSend(), Headers.retryAfterSeconds(refusal.retryAfterMillis()));
             return;
         }
         attemptCount++;
         Placement.Send send = (Placement.Send) placement;
-        String resumeAfter = null;
-        if (resumes) {
-            current = Attempt.resumed(exchange, this, request, send);
-            events.startNextRun();
-            resumeAfter = Long.toString(events.lastEventId());
+        String resumeAfterEventId = null;
+        if (isResuming) {
+            currentAttempt = Attempt.resumed(exchange, this, request, send);
+            eventAssembler.startNextRun();
+            resumeAfterEventId = Long.toString(eventAssembler.lastEventId());
         } else {
-            current = Attempt.fromStart(exchange, this, request, send);
-            events = null;
+            currentAttempt = Attempt.fromStart(exchange, this, request, send);
+            eventAssembler = null;
         }
-        ByteBuffer headBytes = head.encode(request, send, body.remaining(), resumeAfter, System.nanoTime());
+        ByteBuffer encodedHead = head.encode(request, send, body.remaining(), resumeAfterEventId, System.nanoTime());
         ByteBuffer[] message =
-                body.hasRemaining() ? new ByteBuffer[] {headBytes, body.slice()} : new ByteBuffer[] {headBytes};
-        current.send(context.client(), message, method);
+                body.hasRemaining() ? new ByteBuffer[] {encodedHead, body.slice()} : new ByteBuffer[] {encodedHead};
+        currentAttempt.send(context.client(), message, method);
     }
 
-    /** The request as the planner sees it when its stream is resumed. */
-    private static RouteRequest resumed(RouteRequest request) {
+    /** Returns a copy of the request that is marked as resuming a stream. */
+    private static RouteRequest withResume(RouteRequest request) {
         return new RouteRequest(
                 request.id(),
                 request.route(),
@@ -88,100 +93,101 @@
                 request.deadlineNanos());
     }
 
-    /** The assembler of a stream of events; null if the response is no stream that may be resumed. */
-    EventStreamAssembler events() {
-        return events;
+    /** The assembler of the event stream; null if the response is not an event stream that may be resumed. */
+    EventStreamAssembler eventAssembler() {
+        return eventAssembler;
     }
 
-    /** As {@link #events}, created if the present response, a stream of events, is the first one. */
-    EventStreamAssembler eventsOfStream() {
-        if (events == null && RetrySafety.isResumable(routed.route())) {
-            events = new EventStreamAssembler();
+    /** As {@link #eventAssembler}, but creates the assembler for the first response; the response must be an event stream. */
+    EventStreamAssembler eventAssemblerOfStream() {
+        if (eventAssembler == null && RetrySafety.isResumable(routedRequest.route())) {
+            eventAssembler = new EventStreamAssembler();
         }
-        return events;
+        return eventAssembler;
     }
 
-    /** The first bytes of a response's body were received, or its end. */
-    void onFirstBytes(Attempt from) {
-        context.planner().onFirstEvent(from.request(), from.placement(), from.serverLoad());
+    /** Called when the first bytes of a response body, or its end, were received. */
+    void onBodyStarted(Attempt attempt) {
+        context.planner().onFirstEvent(attempt.request(), attempt.placement(), attempt.serverLoad());
     }
 
-    /** An instance has reported the version of its weights; 0 if it has not. */
+    /** Called when an instance has reported the version of its weights; 0 means that it has not. */
     void onWeightsVersion(Placement.Send send, long version) {
-        if (version > 0 && routed.model() != null) {
-            context.planner().onWeightsVersion(send.instance().id(), routed.model(), version);
+        if (version > 0 && routedRequest.model() != null) {
+            context.planner().onWeightsVersion(send.instance().id(), routedRequest.model(), version);
         }
     }
 
-    /** The head of an instance's response is forwarded to the client. */
+    /** Forwards the head of an instance's response to the client. */
     void forwardHead(int status, HttpFields fields) {
         exchange.on(ExchangeState.Event.RESPONSE_STARTED);
         exchange.response().forwardHead(status, fields);
     }
 
-    /** The attempt has received a complete response; {@code lastBytes} have not been forwarded yet. */
-    void onAnswered(Attempt from, AttemptOutcome outcome, ByteBuffer lastBytes) {
-        reportEnd(from, outcome);
-        current = null;
+    /** Called when an attempt received a complete response; {@code lastBytes} have not been forwarded yet. */
+    void onResponded(Attempt attempt, AttemptOutcome outcome, ByteBuffer lastBytes) {
+        reportOutcome(attempt, outcome);
+        currentAttempt = null;
         exchange.finish(lastBytes);
     }
 
     /**
-     * The attempt has ended without a complete response.
+     * Called when an attempt has ended without a complete response.
      *
-     * @param cause null if the instance has rejected the request
+     * @param cause null if the instance rejected the request
      */
-    void onFailed(Attempt from, AttemptOutcome outcome, Throwable cause) {
-        reportEnd(from, outcome);
-        current = null;
-        exchange.on(ExchangeState.Event.ofEndedSend(from.sendState()));
+    void onFailed(Attempt attempt, AttemptOutcome outcome, Throwable cause) {
+        reportOutcome(attempt, outcome);
+        currentAttempt = null;
+        exchange.on(ExchangeState.Event.ofEndedSend(attempt.sendState()));
         if (cause != null) {
             context.failures()
-                    .record(outcome.name(), from.placement().instance().address(), cause);
+                    .record(outcome.name(), attempt.placement().instance().address(), cause);
         }
-        String retryAfter = from.retryAfter() == null ? Exchange.RETRY_SOON : from.retryAfter();
+        String retryAfter = attempt.retryAfter() == null ? Exchange.RETRY_AFTER_REJECTION : attempt.retryAfter();
         exchange.perform(exchange.state().afterSend(safety, nextAttempt()), retryAfter);
     }
 
     private NextAttempt nextAttempt() {
-        int maxAttempts = Math.max(1, routed.route().retries());
+        int maxAttempts = Math.max(1, routedRequest.route().retries());
         if (attemptCount >= maxAttempts || remainingNanos() <= 0) {
             return NextAttempt.NONE;
         }
-        return events != null && events.canResume() ? NextAttempt.FROM_START_OR_RESUMED : NextAttempt.FROM_START;
+        return eventAssembler != null && eventAssembler.canResume()
+                ? NextAttempt.FROM_START_OR_RESUMED
+                : NextAttempt.FROM_START;
     }
 
-    /** Cancels the attempt in flight, if there is one, and reports it. */
+    /** Cancels the attempt in flight, if there is one, and reports its outcome. */
     void cancelCurrent(AttemptOutcome outcome) {
-        Attempt cancelled = current;
+        Attempt cancelled = currentAttempt;
         if (cancelled != null) {
-            current = null;
-            AttemptOutcome ended = cancelled.cancel(outcome);
+            currentAttempt = null;
+            AttemptOutcome finalOutcome = cancelled.cancel(outcome);
             exchange.on(ExchangeState.Event.ofEndedSend(cancelled.sendState()));
-            reportEnd(cancelled, ended);
+            reportOutcome(cancelled, finalOutcome);
         }
     }
 
     /**
-     * Cancels the attempt in flight, if there is one: the exchange has failed itself. The planner is told of its
-     * end, as
-     * of each attempt's; if that fails too, nothing more can be done for it.
+     * Cancels the attempt in flight, if there is one, after an internal error of the exchange. The outcome is
+     * still reported to the planner; if the report fails too, the failure is only logged.
      */
     void discardCurrent() {
-        Attempt discarded = current;
-        current = null;
+        Attempt discarded = currentAttempt;
+        currentAttempt = null;
         if (discarded == null) {
             return;
         }
-        AttemptOutcome ended = discarded.cancel(AttemptOutcome.CANCELLED);
+        AttemptOutcome finalOutcome = discarded.cancel(AttemptOutcome.CANCELLED);
         try {
-            reportEnd(discarded, ended);
+            reportOutcome(discarded, finalOutcome);
         } catch (RuntimeException failure) {
             context.failures().record("INTERNAL_ERROR", "planner", failure);
         }
     }
 
-    private void reportEnd(Attempt attempt, AttemptOutcome outcome) {
+    private void reportOutcome(Attempt attempt, AttemptOutcome outcome) {
         context.planner().onEnded(attempt.request(), attempt.placement(), outcome, attempt.serverLoad());
     }
 }
--- a/router/src/main/java/burlarch/router/forwarding/CredentialValidity.java
+++ b/router/src/main/java/burlarch/router/forwarding/CredentialValidity.java
@@ -1,16 +1,16 @@
 package burlarch.router.forwarding;
 
 /**
- * Whether the keys of the configuration in force may still be accepted. A key may have been revoked by a configuration
- * that has not reached this router. May be called on any thread.
+ * Decides whether the API keys of the configuration in force may still be accepted. A key may have been revoked by a
+ * configuration that has not reached this router yet. May be called on any thread.
  */
 @FunctionalInterface
 public interface CredentialValidity {
-    /** For deployments in which the revocation of a key has no bound of its own. */
+    /** Always accepts keys: for deployments without a time limit for the revocation of keys. */
     CredentialValidity UNBOUNDED = receivedNanos -> true;
 
     /**
-     * Whether a key may be accepted from a request.
+     * Whether the API key of a request may be accepted.
      *
      * @param receivedNanos when the request was received, by {@link System#nanoTime}
      */
--- a/router/src/main/java/burlarch/router/forwarding/EventStreamAssembler.java
+++ b/router/src/main/java/burlarch/router/forwarding/EventStreamAssembler.java
@@ -4,74 +4,75 @@
 import java.util.Arrays;
 
 /**
- * Releases the complete events of a stream and holds incomplete ones back, so that a stream that breaks off
- * can continue with the events of another run in the same response. A run is the stream of one attempt. No I/O
- * and no clock; owned by its exchange.
+ * Splits an event stream (text/event-stream) at event boundaries: releases complete events and holds back
+ * incomplete ones, so that a stream that breaks off can continue with the events of another run in the same
+ * response. A run is the stream of one attempt. Uses no I/O and no clock; owned by its exchange.
  *
- * <p>Invariant: only complete events have been released, except by {@link #takeRest} at the end of a complete
- * run. A run that starts after a break is broken unless its first event has an id above {@link #lastEventId}.
+ * <p>Invariant: only complete events are released, except by {@link #releaseIncompleteEvent} at the end of a complete run. A
+ * run that resumes the stream is invalid unless the id of its first event is above {@link #lastEventId}.
  */
 final class EventStreamAssembler {
-    /** No instance sends a larger event. */
+    /** Maximum size of an event and of the held-back bytes; instances send no larger events. */
     static final int MAX_EVENT_BYTES = 1 << 20;
 
     private static final long NO_ID = -1;
     private static final int INITIAL_BYTES = 512;
+    /** Every number of 18 decimal digits fits into a long. */
     private static final int MAX_DIGITS = 18;
 
-    /** Bytes that have not been released, from 0 to {@code length}. */
+    /** Bytes that have not been released, from index 0 to {@code length}. */
     private byte[] buffer = new byte[INITIAL_BYTES];
 
     private int length;
-    /** Bytes before this offset are scanned. */
+    /** Bytes before this offset have been scanned. */
     private int scanned;
-    /** Offset at which the line that is being scanned starts. */
+    /** Offset of the start of the line that is being scanned. */
     private int lineStart;
 
     private boolean firstLineOfEvent = true;
-    private long idOfEvent = NO_ID;
+    private long eventId = NO_ID;
     private long lastId = NO_ID;
     private long weightsVersion;
     private boolean anyReleased;
-    private boolean awaitingFirstOfRun;
-    private boolean broken;
+    private boolean awaitingFirstEventOfRun;
+    private boolean invalid;
 
-    /** Takes bytes of the present run. Returns the complete events that may be forwarded now, if any. */
+    /** Adds bytes of the current run. Returns the complete events that may be forwarded now, empty if there are none. */
     ByteBuffer accept(ByteBuffer content) {
-        int added = content.remaining();
-        if (broken || length + added > MAX_EVENT_BYTES) {
-            broken = true;
+        int addedBytes = content.remaining();
+        if (invalid || length + addedBytes > MAX_EVENT_BYTES) {
+            invalid = true;
             return ByteBuffer.allocate(0);
         }
-        if (length + added > buffer.length) {
-            buffer = Arrays.copyOf(buffer, Math.max(length + added, 2 * buffer.length));
+        if (length + addedBytes > buffer.length) {
+            buffer = Arrays.copyOf(buffer, Math.max(length + addedBytes, 2 * buffer.length));
         }
-        content.get(buffer, length, added);
-        length += added;
+        content.get(buffer, length, addedBytes);
+        length += addedBytes;
         return release(scan());
     }
 
-    /** Whether bytes after the last complete event are held back. */
+    /** Whether bytes of an incomplete event are held back. */
     boolean hasIncompleteEvent() {
         return length > 0;
     }
 
-    /** Releases what is held back when the run has ended as complete: it belongs to the stream. */
-    ByteBuffer takeRest() {
+    /** Releases the held-back bytes after the run has ended as complete: they belong to the stream. */
+    ByteBuffer releaseIncompleteEvent() {
         return release(length);
     }
 
-    /** Another run continues after the events that have been released. */
+    /** Discards the held-back bytes and starts another run, which continues after the released events. */
     void startNextRun() {
         length = 0;
         scanned = 0;
         beginEvent(0);
-        awaitingFirstOfRun = true;
+        awaitingFirstEventOfRun = true;
     }
 
-    /** Whether another run can be asked to continue after the last released event. */
+    /** Whether another run can continue the stream: an event was released, and the last one has an id. */
     boolean canResume() {
-        return anyReleased && lastId != NO_ID && !broken;
+        return anyReleased && lastId != NO_ID && !invalid;
     }
 
     /** Id of the last released event. */
@@ -79,41 +80,41 @@
         return lastId;
     }
 
-    /** Whether the events of the present run do not follow those that have been released. */
-    boolean isBroken() {
-        return broken;
+    /** Whether an event is too large or the events of the current run do not follow the released ones. */
+    boolean isInvalid() {
+        return invalid;
     }
 
-    /** The last weights version that an event has stated, 0 if none; resets it. */
+    /** Returns and resets the weights version that an event stated last; 0 if none did. */
     long takeWeightsVersion() {
-        long taken = weightsVersion;
+        long version = weightsVersion;
         weightsVersion = 0;
-        return taken;
+        return version;
     }
 
-    /** Scans new bytes; returns the offset at which the last complete event among them ends. */
+    /** Scans the new bytes. Returns the end offset of the last complete event, 0 if there is none. */
     private int scan() {
-        int complete = 0;
-        while (scanned < length && !broken) {
+        int completeEnd = 0;
+        while (scanned < length && !invalid) {
             if (buffer[scanned++] == '\n' && endLine(scanned - 1)) {
-                complete = scanned;
+                completeEnd = scanned;
             }
         }
-        return broken ? 0 : complete;
+        return invalid ? 0 : completeEnd;
     }
 
-    /** A line ends before {@code end}. Returns whether it is the empty line that ends an event. */
+    /** Processes the line that ends before {@code end}. Returns whether it is the empty line that ends an event. */
     private boolean endLine(int end) {
-        int last = end > lineStart && buffer[end - 1] == '\r' ? end - 1 : end;
-        if (last == lineStart) {
+        int contentEnd = end > lineStart && buffer[end - 1] == '\r' ? end - 1 : end;
+        if (contentEnd == lineStart) {
             endEvent();
             beginEvent(scanned);
             return true;
         }
-        if (startsWith("id:", last)) {
-            idOfEvent = number(lineStart + 3, last);
-        } else if (firstLineOfEvent && startsWith("versions:", last)) {
-            weightsVersion = Math.max(0, number(lineStart + 9, last));
+        if (lineStartsWith("id:", contentEnd)) {
+            eventId = parseNumber(lineStart + 3, contentEnd);
+        } else if (firstLineOfEvent && lineStartsWith("versions:", contentEnd)) {
+            weightsVersion = Math.max(0, parseNumber(lineStart + 9, contentEnd));
         }
         firstLineOfEvent = false;
         lineStart = scanned;
@@ -124,21 +125,21 @@
         if (firstLineOfEvent) {
             return;
         }
-        if (awaitingFirstOfRun && idOfEvent <= lastId) {
-            broken = true;
+        if (awaitingFirstEventOfRun && eventId <= lastId) {
+            invalid = true;
             return;
         }
-        awaitingFirstOfRun = false;
-        lastId = idOfEvent;
+        awaitingFirstEventOfRun = false;
+        lastId = eventId;
     }
 
     private void beginEvent(int offset) {
         lineStart = offset;
         firstLineOfEvent = true;
-        idOfEvent = NO_ID;
+        eventId = NO_ID;
     }
 
-    private boolean startsWith(String name, int end) {
+    private boolean lineStartsWith(String name, int end) {
         if (end - lineStart < name.length()) {
             return false;
         }
@@ -150,7 +151,7 @@
         return true;
     }
 
-    private long number(int from, int to) {
+    private long parseNumber(int from, int to) {
         int start = from < to && buffer[from] == ' ' ? from + 1 : from;
         if (start == to || to - start > MAX_DIGITS) {
             return NO_ID;
--- a/router/src/main/java/burlarch/router/forwarding/Exchange.java
+++ b/router/src/main/java/burlarch/router/forwarding/Exchange.java
@@ -21,21 +21,21 @@
 import org.eclipse.jetty.util.thread.SerializedInvoker;
 
 /**
- * One request of a client, from its head to the end of its response. It receives and checks the request, leaves
- * the attempts to its {@link AttemptSequence}, and ends the response. Its {@link ExchangeState} decides what
- * follows an attempt; the exchange only carries it out.
+ * One client request and its response. The exchange receives and checks the request, delegates the attempts to
+ * its {@link AttemptSequence}, and ends the response. Its {@link ExchangeState} decides what follows an attempt;
+ * the exchange carries out the decision.
  *
- * <p>Threads: the events of an exchange are serialized by its invoker and run on whatever thread brings them;
- * {@link #start} runs before the first of them. All state is owned by the exchange.
+ * <p>Threads: the events of an exchange are serialized by its invoker and run on the thread that delivers them;
+ * {@link #start} runs before the first event. All state is owned by the exchange.
  */
 public final class Exchange implements RequestBodyReader.Listener {
-    /** Retry-After, in seconds, if this router cannot take a request for the moment. */
-    static final String RETRY_SOON = "0.2";
-    /** Retry-After, in seconds, if another router can take the request at once. */
-    private static final String RETRY_ELSEWHERE = "0.02";
+    /** Value of Retry-After, in seconds, if this router cannot accept a request at the moment. */
+    static final String RETRY_AFTER_REJECTION = "0.2";
+    /** Value of Retry-After, in seconds, if another router can accept the request at once. */
+    private static final String RETRY_AFTER_AT_OTHER_ROUTER = "0.02";
 
-    /** How much earlier than its client gives up a request ends that waits for the first configuration. */
-    private static final long CLIENT_WAIT_MARGIN_MILLIS = 50;
+    /** A request that waits for the first configuration ends this much earlier than its client's timeout. */
+    private static final long CLIENT_TIMEOUT_MARGIN_MILLIS = 50;
 
     private final ForwardingContext context;
     private final Request request;
@@ -47,23 +47,23 @@
         }
     };
     private ExchangeState state = ExchangeState.RECEIVING;
-    /** Whether the startup gate was closed when the request came, so that it may have waited. */
-    private boolean mayHaveWaited;
-    /** Null until it is received and counted in the budget for bodies. */
+    /** Whether the startup gate was closed when the request arrived, so that it may have waited. */
+    private boolean mayHaveWaitedAtGate;
+    /** Null until the body is received and reserved in the budget for bodies. */
     private ByteBuffer body;
     /** Null until the request is accepted. */
     private AttemptSequence attempts;
     /** Null until the request is accepted. */
     private Scheduler.Task deadlineTimer;
 
-    /** An exchange that has not started. */
+    /** Creates an exchange that has not started. */
     public Exchange(ForwardingContext context, Request request, ClientResponse response) {
         this.context = context;
         this.request = request;
         this.response = response;
     }
 
-    /** Runs an event of this exchange, after those that came before it. */
+    /** Runs an event of this exchange after all earlier events have run. */
     void serialize(Runnable event) {
         invoker.run(event);
     }
@@ -84,7 +84,7 @@
         return state == ExchangeState.ENDED;
     }
 
-    /** Starts to receive the request, once the startup gate lets it pass. */
+    /** Starts to receive the request as soon as the startup gate lets it pass; rejects an unsupported one. */
     public void start() {
         if (request.getConnectionMetaData().getHttpVersion() != HttpVersion.HTTP_1_1) {
             respond(505, null, ConnectionAfter.CLOSED);
@@ -96,14 +96,14 @@
         }
         request.addIdleTimeoutListener(timeout -> false);
         request.addFailureListener(cause -> serialize(this::onClientDisconnected));
-        mayHaveWaited = !context.startupGate().isOpen();
-        context.startupGate().pass(() -> serialize(this::readBody), clientWaitMillis());
+        mayHaveWaitedAtGate = !context.startupGate().isOpen();
+        context.startupGate().pass(() -> serialize(this::readBody), clientTimeoutMillis());
     }
 
-    /** How long the client waits by its own word, less the time that the response takes; long if it does not say. */
-    private long clientWaitMillis() {
+    /** How long the client says it waits, minus a margin for the response; very long if it does not say. */
+    private long clientTimeoutMillis() {
         long millis = Headers.parseNumber(request.getHeaders().get(Headers.DEADLINE), Long.MAX_VALUE);
-        return millis - CLIENT_WAIT_MARGIN_MILLIS;
+        return millis - CLIENT_TIMEOUT_MARGIN_MILLIS;
     }
 
     private void readBody() {
@@ -112,7 +112,7 @@
         }
         RouteTable table = context.routeTable();
         if (table == null) {
-            respond(503, RETRY_SOON, ConnectionAfter.REUSABLE);
+            respond(503, RETRY_AFTER_REJECTION, ConnectionAfter.REUSABLE);
             return;
         }
         Limits limits = table.configuration().limits();
@@ -138,11 +138,11 @@
     }
 
     @Override
-    public void onBody(ByteBuffer complete) {
-        serialize(() -> onRequestComplete(complete));
+    public void onBody(ByteBuffer completeBody) {
+        serialize(() -> onRequestComplete(completeBody));
     }
 
-    private void onRequestComplete(ByteBuffer complete) {
+    private void onRequestComplete(ByteBuffer completeBody) {
         if (hasEnded()) {
             return;
         }
@@ -150,11 +150,11 @@
             onClientDisconnected();
             return;
         }
-        if (!context.bodies().tryReserve(complete.remaining())) {
-            respond(503, RETRY_SOON, ConnectionAfter.REUSABLE);
+        if (!context.bodyBudget().tryReserve(completeBody.remaining())) {
+            respond(503, RETRY_AFTER_REJECTION, ConnectionAfter.REUSABLE);
             return;
         }
-        body = complete;
+        body = completeBody;
         RouteTable table = context.routeTable();
         RequestReader.Result result =
                 RequestReader.read(table, request.getHttpURI(), request.getHeaders(), request.getHeadersNanoTime());
@@ -162,43 +162,44 @@
             respond(rejected.status(), null, ConnectionAfter.REUSABLE);
             return;
         }
-        RouteRequest routed = ((RequestReader.Accepted) result).request();
-        if (needsKey(table, routed) && !context.credentials().mayAccept(routed.receivedNanos())) {
-            respond(503, RETRY_SOON, ConnectionAfter.REUSABLE);
+        RouteRequest routedRequest = ((RequestReader.Accepted) result).request();
+        if (requiresKey(table, routedRequest)
+                && !context.credentialValidity().mayAccept(routedRequest.receivedNanos())) {
+            respond(503, RETRY_AFTER_REJECTION, ConnectionAfter.REUSABLE);
             return;
         }
-        forward(routed);
+        forward(routedRequest);
     }
 
-    private static boolean needsKey(RouteTable table, RouteRequest routed) {
-        return table.requiresKey() && !routed.route().isPublic();
+    private static boolean requiresKey(RouteTable table, RouteRequest routedRequest) {
+        return table.requiresKey() && !routedRequest.route().isPublic();
     }
 
-    private void forward(RouteRequest routed) {
+    private void forward(RouteRequest routedRequest) {
         on(ExchangeState.Event.REQUEST_RECEIVED);
-        if (!context.drain().accepts(routed.deadlineNanos())) {
-            respond(503, RETRY_ELSEWHERE, ConnectionAfter.CLOSED);
+        if (!context.drain().accepts(routedRequest.deadlineNanos())) {
+            respond(503, RETRY_AFTER_AT_OTHER_ROUTER, ConnectionAfter.CLOSED);
             return;
         }
-        attempts = new AttemptSequence(this, context, routed, request, body);
-        if (!watchClient()) {
+        attempts = new AttemptSequence(this, context, routedRequest, request, body);
+        if (!watchClientConnection()) {
             onClientDisconnected();
             return;
         }
         long remainingNanos = attempts.remainingNanos();
         if (remainingNanos <= 0) {
-            respond(503, RETRY_SOON, ConnectionAfter.REUSABLE);
+            respond(503, RETRY_AFTER_REJECTION, ConnectionAfter.REUSABLE);
             return;
         }
         deadlineTimer =
                 context.scheduler().schedule(() -> serialize(this::onDeadline), remainingNanos, TimeUnit.NANOSECONDS);
-        attempts.next();
+        attempts.startNext();
     }
 
-    /** Starts to watch the client's connection. Returns false if the client has left. */
-    private boolean watchClient() {
+    /** Starts to watch the client's connection. Returns false if the client has already disconnected. */
+    private boolean watchClientConnection() {
         Runnable onDisconnect = () -> serialize(this::onClientDisconnected);
-        if (mayHaveWaited) {
+        if (mayHaveWaitedAtGate) {
             return response.watchDisconnectAfterWait(onDisconnect);
         }
         response.watchDisconnect(onDisconnect);
@@ -206,13 +207,13 @@
     }
 
     /**
-     * Carries out what the state has decided.
+     * Carries out an action that the state has decided on.
      *
-     * @param retryAfter value of Retry-After if the action is a rejection
+     * @param retryAfter value of Retry-After, used only if the action is a rejection
      */
     void perform(ExchangeAction action, String retryAfter) {
         switch (action) {
-            case RETRY, RESUME -> attempts.next();
+            case RETRY, RESUME -> attempts.startNext();
             case RESPOND_UNAVAILABLE -> respond(503, retryAfter, ConnectionAfter.REUSABLE);
             case RESPOND_BAD_GATEWAY -> respond(502, null, ConnectionAfter.REUSABLE);
             case RESPOND_GATEWAY_TIMEOUT -> respond(504, null, ConnectionAfter.REUSABLE);
@@ -220,7 +221,7 @@
         }
     }
 
-    /** A complete response was received; {@code lastBytes} of its body have not been forwarded yet. */
+    /** Ends the response as complete; {@code lastBytes} of its body have not been forwarded yet. */
     void finish(ByteBuffer lastBytes) {
         if (endOnce()) {
             response.finish(lastBytes);
@@ -233,7 +234,7 @@
         }
     }
 
-    /** Closes the client's connection, so that nothing on it looks complete. */
+    /** Closes the client's connection, so that the response does not look complete. */
     private void abort(Throwable cause) {
         endOnce();
         response.abort(cause);
@@ -244,10 +245,10 @@
             return;
         }
         attempts.cancelCurrent(AttemptOutcome.TIMED_OUT);
-        perform(state.atDeadline(), RETRY_SOON);
+        perform(state.atDeadline(), RETRY_AFTER_REJECTION);
     }
 
-    /** The client's connection is closed. */
+    /** Called when the client has closed its connection. */
     void onClientDisconnected() {
         if (hasEnded()) {
             return;
@@ -258,7 +259,7 @@
         abort(new IOException("client disconnected"));
     }
 
-    /** An event failed by a fault of the router itself: nothing is known, so nothing is promised. */
+    /** An event failed by a fault in the router. Whether the request was executed is unknown, so no status is sent. */
     private void onInternalError(Throwable failure) {
         context.failures().record("INTERNAL_ERROR", "exchange", failure);
         if (attempts != null) {
@@ -276,7 +277,7 @@
             deadlineTimer.cancel();
         }
         if (body != null) {
-            context.bodies().release(body.remaining());
+            context.bodyBudget().release(body.remaining());
         }
         return true;
     }
--- a/router/src/main/java/burlarch/router/forwarding/ExchangeState.java
+++ b/router/src/main/java/burlarch/router/forwarding/ExchangeState.java
@@ -3,7 +3,7 @@
 import burlarch.router.upstream.SendState;
 
 /**
- * What is known of one exchange over all its sends. This type alone decides what may follow. No I/O and no
+ * State of one exchange over all its sends. Only this type decides what may follow a send. Uses no I/O and no
  * clock.
  *
  * <table>
@@ -18,7 +18,7 @@
  * </table>
  *
  * <table>
- * <caption>What follows; "retry" if another attempt is possible at all</caption>
+ * <caption>Actions; "retry" and "resume" require that another attempt is possible</caption>
  * <tr><th>state</th><th>after a send, retryable</th><th>after a send, not retryable</th>
  *     <th>no further send</th><th>at the deadline</th></tr>
  * <tr><td>NOT_RUN</td><td>retry, else 503</td><td>retry, else 503</td><td>503</td><td>503</td></tr>
@@ -26,52 +26,52 @@
  * <tr><td>RESPONDING</td><td>resume, else abort</td><td>abort</td><td>abort</td><td>abort</td></tr>
  * </table>
  *
- * <p>A rejection holds for all sends: one send with an unknown outcome rules 503 out for good, also if every
+ * <p>A 503 response covers all sends: after one send with an unknown outcome 503 is never sent, even if every
  * later send was rejected.
  */
 enum ExchangeState {
     /** The request is being received; nothing was sent. */
     RECEIVING,
-    /** The request is complete, and no send that has ended may have run. */
+    /** The request is complete, and none of the ended sends may have been executed. */
     NOT_RUN,
-    /** One send may have run; nothing of a response was forwarded. */
+    /** At least one send may have been executed; no part of a response was forwarded. */
     MAY_HAVE_RUN,
     /** The head of a response was forwarded; the client cannot get another one. */
     RESPONDING,
     /** The response has ended, or the client's connection was closed. */
     ENDED;
 
-    /** What happens to an exchange. */
+    /** An event that can change the state. */
     enum Event {
         /** The request was received completely and its route is known. */
         REQUEST_RECEIVED,
-        /** A send ended without a complete response and has not run. */
+        /** A send ended without a complete response and was not executed. */
         SEND_NOT_RUN,
-        /** A send ended without a complete response and may have run. */
+        /** A send ended without a complete response and may have been executed. */
         SEND_MAY_HAVE_RUN,
         /** The head of a response is forwarded to the client. */
         RESPONSE_STARTED,
         /** The response is complete, or nothing more will be sent to the client. */
         ENDED;
 
-        /** The event of a send that ended in that state without a complete response. */
-        static Event ofEndedSend(SendState last) {
-            return last.mayHaveRun() ? SEND_MAY_HAVE_RUN : SEND_NOT_RUN;
+        /** The event for a send that ended in the given state without a complete response. */
+        static Event ofEndedSend(SendState sendState) {
+            return sendState.mayHaveRun() ? SEND_MAY_HAVE_RUN : SEND_NOT_RUN;
         }
     }
 
-    /** Which further attempt the route, the deadline and the stream allow. */
+    /** Kind of further attempt that the route, the deadline and the event stream allow. */
     enum NextAttempt {
-        /** None: the attempts of the route are used up, or the time is over. */
+        /** None: all attempts that the route allows were made, or the deadline has passed. */
         NONE,
-        /** One that sends the complete request. */
+        /** An attempt whose response starts from the beginning. */
         FROM_START,
-        /** One that sends the complete request, or one that continues the stream that has been forwarded. */
+        /** An attempt from the start, or one that continues the forwarded event stream. */
         FROM_START_OR_RESUMED
     }
 
     /**
-     * The only transition function.
+     * Returns the state after an event. All state changes use this method.
      *
      * @throws IllegalStateException if the event cannot occur in this state
      */
@@ -80,43 +80,43 @@
             return ENDED;
         }
         return switch (this) {
-            case RECEIVING -> event == Event.REQUEST_RECEIVED ? NOT_RUN : illegal(event);
+            case RECEIVING -> event == Event.REQUEST_RECEIVED ? NOT_RUN : throwIllegalEvent(event);
             case NOT_RUN -> switch (event) {
                 case SEND_NOT_RUN -> NOT_RUN;
                 case SEND_MAY_HAVE_RUN -> MAY_HAVE_RUN;
                 case RESPONSE_STARTED -> RESPONDING;
-                default -> illegal(event);
+                default -> throwIllegalEvent(event);
             };
             case MAY_HAVE_RUN -> switch (event) {
                 case SEND_NOT_RUN, SEND_MAY_HAVE_RUN -> MAY_HAVE_RUN;
                 case RESPONSE_STARTED -> RESPONDING;
-                default -> illegal(event);
+                default -> throwIllegalEvent(event);
             };
             case RESPONDING -> switch (event) {
                 case SEND_NOT_RUN, SEND_MAY_HAVE_RUN -> RESPONDING;
-                default -> illegal(event);
+                default -> throwIllegalEvent(event);
             };
             case ENDED -> ENDED;
         };
     }
 
-    private ExchangeState illegal(Event event) {
-        throw new IllegalStateException(event + " in " + this);
+    private ExchangeState throwIllegalEvent(Event event) {
+        throw new IllegalStateException(event + " is not allowed in state " + this);
     }
 
-    /** What follows a send that has ended without a complete response. */
-    ExchangeAction afterSend(RetrySafety safety, NextAttempt possible) {
-        if (possible == NextAttempt.NONE || !mayRunAgain(safety)) {
-            return withoutSend();
+    /** The action after a send that ended without a complete response. */
+    ExchangeAction afterSend(RetrySafety safety, NextAttempt nextAttempt) {
+        if (nextAttempt == NextAttempt.NONE || !allowsRetry(safety)) {
+            return withoutFurtherSend();
         }
         if (this != RESPONDING) {
             return ExchangeAction.RETRY;
         }
-        return possible == NextAttempt.FROM_START_OR_RESUMED ? ExchangeAction.RESUME : ExchangeAction.ABORT;
+        return nextAttempt == NextAttempt.FROM_START_OR_RESUMED ? ExchangeAction.RESUME : ExchangeAction.ABORT;
     }
 
-    /** What the client gets if no further send follows. */
-    ExchangeAction withoutSend() {
+    /** The action if no further send follows. */
+    ExchangeAction withoutFurtherSend() {
         return switch (this) {
             case RESPONDING -> ExchangeAction.ABORT;
             case MAY_HAVE_RUN -> ExchangeAction.RESPOND_BAD_GATEWAY;
@@ -124,7 +124,7 @@
         };
     }
 
-    /** What the client gets at the deadline of the request. */
+    /** The action at the deadline of the request. */
     ExchangeAction atDeadline() {
         return switch (this) {
             case RESPONDING -> ExchangeAction.ABORT;
@@ -133,7 +133,7 @@
         };
     }
 
-    private boolean mayRunAgain(RetrySafety safety) {
+    private boolean allowsRetry(RetrySafety safety) {
         return safety == RetrySafety.RETRYABLE || this == NOT_RUN;
     }
 }
--- a/router/src/main/java/burlarch/router/forwarding/FailureLog.java
+++ b/router/src/main/java/burlarch/router/forwarding/FailureLog.java
@@ -5,38 +5,38 @@
 import org.tinylog.Logger;
 
 /**
- * A rate-limited log of failed sends: at most one line for each kind in {@link #INTERVAL_NANOS}; the others
- * are counted. May be called on any thread.
+ * Rate-limited log of failed sends: at most one line for each kind of failure per {@link #INTERVAL_NANOS};
+ * suppressed lines are counted. May be called on any thread.
  */
 final class FailureLog {
     private static final long INTERVAL_NANOS = 10_000_000_000L;
 
-    /** Guarded by itself. */
-    private static final class Kind {
-        private long lastLineNanos = System.nanoTime() - INTERVAL_NANOS;
+    /** Rate limit of one kind of failure; guarded by its own monitor. */
+    private static final class KindLimit {
+        private long lastLoggedNanos = System.nanoTime() - INTERVAL_NANOS;
         private int suppressed;
     }
 
-    private final ConcurrentMap<String, Kind> kinds = new ConcurrentHashMap<>();
+    private final ConcurrentMap<String, KindLimit> limitByKind = new ConcurrentHashMap<>();
 
     /**
-     * Records a failure.
+     * Logs a failure, or counts it if a line of its kind was logged within the interval.
      *
-     * @param kind one of a few constants: there is an entry for each
-     * @param address of the instance, or the failed component
+     * @param kind kind of failure; must come from a small fixed set, as each kind keeps an entry
+     * @param address address of the instance, or name of the failed component
      */
     void record(String kind, String address, Throwable cause) {
-        Kind known = kinds.computeIfAbsent(kind, k -> new Kind());
+        KindLimit limit = limitByKind.computeIfAbsent(kind, k -> new KindLimit());
         int suppressedBefore;
-        synchronized (known) {
+        synchronized (limit) {
             long now = System.nanoTime();
-            if (now - known.lastLineNanos < INTERVAL_NANOS) {
-                known.suppressed++;
+            if (now - limit.lastLoggedNanos < INTERVAL_NANOS) {
+                limit.suppressed++;
                 return;
             }
-            known.lastLineNanos = now;
-            suppressedBefore = known.suppressed;
-            known.suppressed = 0;
+            limit.lastLoggedNanos = now;
+            suppressedBefore = limit.suppressed;
+            limit.suppressed = 0;
         }
         Logger.warn("send failed: kind={} address={} error={} suppressed={}", kind, address, cause, suppressedBefore);
     }
--- a/router/src/main/java/burlarch/router/forwarding/ForwardedRequestHead.java
+++ b/router/src/main/java/burlarch/router/forwarding/ForwardedRequestHead.java
@@ -10,64 +10,66 @@
 import org.eclipse.jetty.http.HttpFields;
 import org.eclipse.jetty.http.HttpHeader;
 
-/** The head of a request as it is forwarded: target and headers of the client, and those of the router. */
+/** Encodes the head of a forwarded request: the client's target and headers, and the headers that the router sets. */
 final class ForwardedRequestHead {
-    private static final String LINE_END = "\r\n";
+    private static final String CRLF = "\r\n";
     private static final int INITIAL_CHARS = 512;
     private static final long NANOS_PER_MILLI = 1_000_000;
 
     private final String method;
     private final String target;
-    private final HttpFields fields;
+    private final HttpFields clientFields;
     private final Set<String> connectionOptions;
     private final boolean hasBody;
 
-    ForwardedRequestHead(String method, String target, HttpFields fields) {
+    ForwardedRequestHead(String method, String target, HttpFields clientFields) {
         this.method = method;
         this.target = target;
-        this.fields = fields;
-        this.connectionOptions = Headers.connectionOptions(fields);
-        this.hasBody = fields.contains(HttpHeader.CONTENT_LENGTH) || fields.contains(HttpHeader.TRANSFER_ENCODING);
+        this.clientFields = clientFields;
+        this.connectionOptions = Headers.connectionOptions(clientFields);
+        this.hasBody =
+                clientFields.contains(HttpHeader.CONTENT_LENGTH) || clientFields.contains(HttpHeader.TRANSFER_ENCODING);
     }
 
     /**
-     * The bytes of the head for one attempt.
+     * Encodes the head for one attempt.
      *
-     * @param bodyLength in bytes
-     * @param resumeAfter replaces Last-Event-Id of the client unless null
+     * @param bodyLength length of the body in bytes
+     * @param resumeAfterEventId if not null, replaces the Last-Event-Id header of the client
      */
-    ByteBuffer encode(RouteRequest request, Placement.Send send, int bodyLength, String resumeAfter, long nowNanos) {
+    ByteBuffer encode(
+            RouteRequest request, Placement.Send send, int bodyLength, String resumeAfterEventId, long nowNanos) {
         StringBuilder head = new StringBuilder(INITIAL_CHARS);
-        head.append(method).append(' ').append(target).append(" HTTP/1.1").append(LINE_END);
-        for (HttpField field : fields) {
-            boolean replaced = resumeAfter != null && field.getName().equalsIgnoreCase(Headers.LAST_EVENT_ID);
-            if (!replaced && Headers.isForwardedToInstance(field.getName(), connectionOptions)) {
-                append(head, field.getName(), field.getValue());
+        head.append(method).append(' ').append(target).append(" HTTP/1.1").append(CRLF);
+        for (HttpField field : clientFields) {
+            boolean isReplaced = resumeAfterEventId != null && field.getName().equalsIgnoreCase(Headers.LAST_EVENT_ID);
+            if (!isReplaced && Headers.isForwardedToInstance(field.getName(), connectionOptions)) {
+                appendHeader(head, field.getName(), field.getValue());
             }
         }
-        append(head, Headers.LAST_EVENT_ID, resumeAfter);
+        appendHeader(head, Headers.LAST_EVENT_ID, resumeAfterEventId);
         if (hasBody || bodyLength > 0) {
-            append(head, "Content-Length", Integer.toString(bodyLength));
+            appendHeader(head, "Content-Length", Integer.toString(bodyLength));
         }
         long remainingMillis = Math.max(1, (request.deadlineNanos() - nowNanos) / NANOS_PER_MILLI);
-        append(head, Headers.DEADLINE, Long.toString(remainingMillis));
-        append(head, Headers.TARGET, send.instance().id());
-        append(
+        appendHeader(head, Headers.DEADLINE, Long.toString(remainingMillis));
+        appendHeader(head, Headers.TARGET, send.instance().id());
+        appendHeader(
                 head,
                 Headers.TENANT,
                 request.tenant() == null ? null : request.tenant().name());
-        append(head, "Cache-Salt", send.cacheSalt());
-        append(head, "Expect-Version", send.expectVersion() > 0 ? Long.toString(send.expectVersion()) : null);
-        append(head, "Kv-Fetch", send.kvFetch());
-        append(head, "Kv-Save", send.kvSave());
-        append(head, "Priority", Integer.toString(send.priority()));
-        head.append(LINE_END);
+        appendHeader(head, "Cache-Salt", send.cacheSalt());
+        appendHeader(head, "Expect-Version", send.expectVersion() > 0 ? Long.toString(send.expectVersion()) : null);
+        appendHeader(head, "Kv-Fetch", send.kvFetch());
+        appendHeader(head, "Kv-Save", send.kvSave());
+        appendHeader(head, "Priority", Integer.toString(send.priority()));
+        head.append(CRLF);
         return ByteBuffer.wrap(head.toString().getBytes(StandardCharsets.ISO_8859_1));
     }
 
-    private static void append(StringBuilder head, String name, String value) {
+    private static void appendHeader(StringBuilder head, String name, String value) {
         if (value != null) {
-            head.append(name).append(": ").append(value).append(LINE_END);
+            head.append(name).append(": ").append(value).append(CRLF);
         }
     }
 }
--- a/router/src/main/java/burlarch/router/forwarding/ForwardingContext.java
+++ b/router/src/main/java/burlarch/router/forwarding/ForwardingContext.java
@@ -7,35 +7,35 @@
 import burlarch.router.upstream.UpstreamClient;
 import org.eclipse.jetty.util.thread.Scheduler;
 
-/** What the exchanges of one router share. May be used on any thread. */
+/** Shared state and services of all exchanges of one router. May be used on any thread. */
 public final class ForwardingContext {
-    /** Maximum size of the bodies of all requests in flight together. */
-    private static final long MAX_BODY_BYTES = 16L << 20;
+    /** Maximum total size of the bodies of all requests in flight. */
+    private static final long MAX_TOTAL_BODY_BYTES = 16L << 20;
 
     private final SynchronizedPlanner planner;
     private final UpstreamClient client;
     private final Scheduler scheduler;
     private final StartupGate startupGate;
     private final DrainState drain;
-    private final CredentialValidity credentials;
-    private final RequestBodyBudget bodies = new RequestBodyBudget(MAX_BODY_BYTES);
+    private final CredentialValidity credentialValidity;
+    private final RequestBodyBudget bodyBudget = new RequestBodyBudget(MAX_TOTAL_BODY_BYTES);
     private final FailureLog failures = new FailureLog();
     private volatile RouteTable routeTable;
 
-    /** A context without a route table. */
+    /** Creates a context without a route table. */
     public ForwardingContext(
             SynchronizedPlanner planner,
             UpstreamClient client,
             Scheduler scheduler,
             StartupGate startupGate,
             DrainState drain,
-            CredentialValidity credentials) {
+            CredentialValidity credentialValidity) {
         this.planner = planner;
         this.client = client;
         this.scheduler = scheduler;
         this.startupGate = startupGate;
         this.drain = drain;
-        this.credentials = credentials;
+        this.credentialValidity = credentialValidity;
     }
 
     SynchronizedPlanner planner() {
@@ -51,15 +51,15 @@
     }
 
     /** Budget for the bodies of all requests in flight. */
-    RequestBodyBudget bodies() {
-        return bodies;
+    RequestBodyBudget bodyBudget() {
+        return bodyBudget;
     }
 
     FailureLog failures() {
         return failures;
     }
 
-    /** What requests pass before they are read. */
+    /** Gate that each request passes before it is read. */
     StartupGate startupGate() {
         return startupGate;
     }
@@ -68,18 +68,18 @@
         return drain;
     }
 
-    /** Whether keys may be accepted at the moment. */
-    CredentialValidity credentials() {
-        return credentials;
+    /** Decides whether API keys may be accepted at the moment. */
+    CredentialValidity credentialValidity() {
+        return credentialValidity;
     }
 
-    /** Null until a configuration is in force. */
+    /** The route table in force; null until a configuration is in force. */
     RouteTable routeTable() {
         return routeTable;
     }
 
-    /** Puts a route table into force for requests from now on. */
-    public void setRouteTable(RouteTable next) {
-        routeTable = next;
+    /** Uses a route table for all requests that are read from now on. */
+    public void setRouteTable(RouteTable newTable) {
+        routeTable = newTable;
     }
 }
--- a/router/src/main/java/burlarch/router/forwarding/ResponseRules.java
+++ b/router/src/main/java/burlarch/router/forwarding/ResponseRules.java
@@ -4,11 +4,11 @@
 import burlarch.routing.AttemptOutcome;
 import org.eclipse.jetty.http.HttpFields;
 
-/** What the head of an instance's response means. */
+/** Classifies the head of an instance's response: rejection, forwardable response, event stream. */
 final class ResponseRules {
     private ResponseRules() {}
 
-    /** How the planner counts a response that rejects the request; null if it does not reject it. */
+    /** The outcome of a response that rejects the request; null if the response does not reject it. */
     static AttemptOutcome rejection(int status, HttpFields fields) {
         if (status == 421) {
             return AttemptOutcome.MISDIRECTED;
@@ -17,9 +17,9 @@
     }
 
     /**
-     * Whether a response that is no rejection may be forwarded. A success must carry the signature and the
-     * bytes of the instance itself. A status that promises that the request was not executed must not reach
-     * the client without {@link Headers#NOT_EXECUTED}.
+     * Whether a response that is not a rejection may be forwarded. A successful response must carry the
+     * instance's signature and must not be content-encoded by an intermediary. A status that tells the client that
+     * the request was not executed (408, 429, 503) must not be forwarded without {@link Headers#NOT_EXECUTED}.
      */
     static boolean mayForward(int status, HttpFields fields) {
         if (status == 408 || status == 429 || status == 503) {
@@ -33,7 +33,7 @@
         return status == 200 && type != null && type.startsWith("text/event-stream");
     }
 
-    /** How the planner counts a complete response with that status. */
+    /** The outcome of a complete response with the given status. */
     static AttemptOutcome outcome(int status) {
         return status >= 500 ? AttemptOutcome.FAILED : AttemptOutcome.ANSWERED;
     }
--- a/router/src/main/java/burlarch/router/forwarding/SynchronizedPlanner.java
+++ b/router/src/main/java/burlarch/router/forwarding/SynchronizedPlanner.java
@@ -7,7 +7,7 @@
 import burlarch.routing.RouteRequest;
 import burlarch.routing.ServerLoad;
 
-/** Calls the planner under the lock that all its callers share. May be called on any thread. */
+/** Thread-safe access to the planner: each call holds the lock that all callers of the planner share. */
 public final class SynchronizedPlanner {
     private final Planner planner;
     private final Object lock;
@@ -18,14 +18,14 @@
         this.lock = lock;
     }
 
-    /** A configuration comes into force. */
+    /** Passes a configuration that comes into force to the planner. */
     public void onConfiguration(Configuration configuration) {
         synchronized (lock) {
             planner.onConfiguration(configuration, System.nanoTime());
         }
     }
 
-    /** Places an attempt; one that is to be sent counts as sent from now on. */
+    /** Places an attempt; if it is to be sent, the planner counts it as sent from now on. */
     Placement place(RouteRequest request, int attempt) {
         synchronized (lock) {
             long now = System.nanoTime();
