--- a/router/src/main/java/burlarch/router/upstream/InputBufferPool.java
+++ b/router/src/main/java/burlarch/router/upstream/InputBufferPool.java
@@ -5,7 +5,7 @@
 import org.eclipse.jetty.util.BufferUtil;
 
 /**
- * A bounded pool of buffers for responses. A buffer that is not given back is left to the garbage collector.
+ * Bounded pool of buffers for received responses. A buffer that is not returned is garbage collected.
  * May be called on any thread; guarded by this.
  */
 final class InputBufferPool {
@@ -14,13 +14,14 @@
 
     private final ArrayDeque<ByteBuffer> pooled = new ArrayDeque<>();
 
-    /** An empty buffer in flush mode. */
+    /** Takes an empty buffer, in Jetty's flush mode, from the pool, or allocates one. */
     synchronized ByteBuffer take() {
         ByteBuffer buffer = pooled.poll();
         return buffer == null ? BufferUtil.allocate(BUFFER_BYTES) : buffer;
     }
 
-    synchronized void giveBack(ByteBuffer buffer) {
+    /** Returns a buffer to the pool; drops it if the pool is full. */
+    synchronized void release(ByteBuffer buffer) {
         if (pooled.size() < MAX_POOLED) {
             BufferUtil.clear(buffer);
             pooled.push(buffer);
--- a/router/src/main/java/burlarch/router/upstream/OrderlyCloseEndPoint.java
+++ b/router/src/main/java/burlarch/router/upstream/OrderlyCloseEndPoint.java
@@ -10,12 +10,12 @@
 import org.eclipse.jetty.util.thread.Scheduler;
 
 /**
- * An end point that distinguishes an orderly end of input from every other one. Jetty's own reports a reset,
- * and a close from this side, as an end of input, which would complete a response that ends with its
- * connection.
+ * End point that reports end of input only after an orderly close by the peer. Jetty's own end point also reports
+ * a reset, and a close by this side, as an end of input. That would complete a response whose end is marked by the
+ * end of its connection.
  */
 final class OrderlyCloseEndPoint extends SocketChannelEndPoint {
-    /** Whether the peer has closed its side of the connection in order. */
+    /** Whether the peer has closed its side of the connection in an orderly way. */
     private volatile boolean inputEnded;
 
     OrderlyCloseEndPoint(SocketChannel channel, ManagedSelector selector, SelectionKey key, Scheduler scheduler) {
@@ -25,8 +25,8 @@
     /**
      * Reads the bytes that are available.
      *
-     * @return number of bytes added to the buffer, 0 if none are available, -1 only after an orderly end
-     * @throws IOException if the connection was reset, or closed from this side
+     * @return number of bytes added to the buffer, 0 if none are available, -1 only after an orderly close by the peer
+     * @throws IOException if the connection was reset, or closed by this side
      */
     @Override
     public int fill(ByteBuffer buffer) throws IOException {
--- a/router/src/main/java/burlarch/router/upstream/ResponseParser.java
+++ b/router/src/main/java/burlarch/router/upstream/ResponseParser.java
@@ -10,19 +10,23 @@
 import org.eclipse.jetty.http.HttpParser;
 import org.eclipse.jetty.http.HttpVersion;
 
-/** Parses the responses of one connection, one after another. Used by one thread at a time. */
+/** Parser of the consecutive responses of one connection. Used by one thread at a time. */
 final class ResponseParser implements HttpParser.ResponseHandler {
     private static final int MAX_HEAD_BYTES = 16384;
     private static final int FIRST_FINAL_STATUS = 200;
 
     /** Receives the head of each final response. */
     interface HeadListener {
-        /** {@code contentLength} of the body in bytes; -1 if the head does not state it. */
+        /**
+         * Called when the head of a final response is complete.
+         *
+         * @param contentLength length of the body in bytes; -1 if the head does not state it
+         */
         void onHead(int status, HttpFields fields, long contentLength);
     }
 
     private final HttpParser parser = new HttpParser((HttpParser.ResponseHandler) this, MAX_HEAD_BYTES);
-    private final HeadListener heads;
+    private final HeadListener headListener;
     private HttpFields.Mutable fields;
     private int status;
     private ByteBuffer content;
@@ -30,23 +34,23 @@
     private Throwable failure;
     private KeepAliveTimeout keepAlive = KeepAliveTimeout.UNSPECIFIED;
 
-    ResponseParser(HeadListener heads) {
-        this.heads = heads;
+    ResponseParser(HeadListener headListener) {
+        this.headListener = headListener;
     }
 
-    /** The next bytes belong to the response to a new request. */
+    /** Starts the response to a new request; {@code headMethod} if its method is HEAD. */
     void begin(boolean headMethod) {
         parser.reset();
         parser.setHeadResponse(headMethod);
         complete = false;
     }
 
-    /** Parses up to content, the end of the response, a failure, or the end of the bytes. */
+    /** Parses until body content, the end of the response, a failure, or the end of the bytes. */
     void parse(ByteBuffer bytes) {
         parser.parseNext(bytes);
     }
 
-    /** No more bytes will come. */
+    /** Called at the end of input: no more bytes follow. */
     void onEndOfInput() {
         parser.atEOF();
     }
@@ -55,7 +59,7 @@
         return parser.isAtEOF();
     }
 
-    /** Bytes of the body that wait to be processed, or null. */
+    /** Bytes of the body that have not been processed, or null. */
     ByteBuffer content() {
         return content;
     }
@@ -68,12 +72,12 @@
         return complete;
     }
 
-    /** Why there will be no complete response, or null. */
+    /** Why the response cannot be completed, or null. */
     Throwable failure() {
         return failure;
     }
 
-    /** What the last response stated of its connection. */
+    /** Keep-alive timeout that the last response stated. */
     KeepAliveTimeout keepAlive() {
         return keepAlive;
     }
@@ -83,7 +87,7 @@
         status = code;
         fields = HttpFields.build();
         if (version != HttpVersion.HTTP_1_1) {
-            failure = new IOException("response in another version of the protocol");
+            failure = new IOException("response is not in HTTP version 1.1");
         }
     }
 
@@ -96,7 +100,7 @@
     public boolean headerComplete() {
         if (status >= FIRST_FINAL_STATUS && failure == null) {
             keepAlive = KeepAliveTimeout.parse(fields);
-            heads.onHead(status, fields, Math.max(-1, parser.getContentLength()));
+            headListener.onHead(status, fields, Math.max(-1, parser.getContentLength()));
         }
         return false;
     }
@@ -119,7 +123,7 @@
             return true;
         }
         if (parser.isAtEOF() && keepAlive.isReusable()) {
-            failure = new EOFException("server closed a response of unknown length");
+            failure = new EOFException("server closed the connection within a response of unknown length");
         }
         complete = true;
         return true;
@@ -127,7 +131,7 @@
 
     @Override
     public void earlyEOF() {
-        failure = new EOFException("server closed early");
+        failure = new EOFException("server closed the connection before the end of the response");
     }
 
     @Override
--- a/router/src/main/java/burlarch/router/upstream/ResponseReader.java
+++ b/router/src/main/java/burlarch/router/upstream/ResponseReader.java
@@ -6,22 +6,22 @@
 import org.eclipse.jetty.io.EndPoint;
 
 /**
- * Reads the responses of one connection: fills a pooled buffer from the socket and parses it. Used by one
- * thread at a time, the one that reads for the call in flight. The buffer is held while there are unparsed
- * bytes or content is with the listener, and goes back to the pool otherwise.
+ * Reader of the responses of one connection: fills a pooled buffer from the socket and parses it. Used by one
+ * thread at a time, the one that reads for the call in flight. The buffer is held while it has unparsed bytes or
+ * the listener is processing its content, and is returned to the pool otherwise.
  */
 final class ResponseReader {
-    /** What parsing has led to. */
+    /** Result of parsing. */
     enum Progress {
-        /** Content waits for the listener, see {@link #content}. */
+        /** Body content is ready for the listener, see {@link #content}. */
         CONTENT,
         /** The response is complete. */
         COMPLETE,
-        /** There will be no complete response, see {@link #failure}. */
+        /** The response cannot be completed, see {@link #failure}. */
         FAILED,
         /** The buffer holds more bytes to parse. */
         INPUT_LEFT,
-        /** All bytes are parsed; {@link #fill} brings more. */
+        /** All bytes are parsed; {@link #fill} reads more. */
         INPUT_NEEDED
     }
 
@@ -32,24 +32,24 @@
     /** Whether any byte was received since {@link #begin}. */
     private volatile boolean received;
 
-    ResponseReader(EndPoint endPoint, InputBufferPool buffers, ResponseParser.HeadListener heads) {
+    ResponseReader(EndPoint endPoint, InputBufferPool buffers, ResponseParser.HeadListener headListener) {
         this.endPoint = endPoint;
         this.buffers = buffers;
-        this.parser = new ResponseParser(heads);
+        this.parser = new ResponseParser(headListener);
     }
 
-    /** The next bytes belong to the response to that call. */
+    /** Starts the response to a call. */
     void begin(UpstreamCall call) {
         received = false;
         parser.begin(call.isHeadMethod());
     }
 
-    /** Whether any byte of the response to the present call was received. */
+    /** Whether any byte of the response to the current call was received. */
     boolean hasReceived() {
         return received;
     }
 
-    /** Parses up to content, the end of the response, a failure or the end of the bytes. */
+    /** Parses until body content, the end of the response, a failure or the end of the bytes. */
     Progress parse() {
         if (input == null) {
             input = buffers.take();
@@ -68,9 +68,9 @@
     }
 
     /**
-     * Reads from the socket into the buffer; at the end of input, notifies the parser.
+     * Reads from the socket into the buffer; notifies the parser at the end of input.
      *
-     * @return false if no bytes are available; the buffer is released then
+     * @return false if no bytes are available; the buffer has then been released
      */
     boolean fill() throws IOException {
         int filled = endPoint.fill(input);
@@ -85,38 +85,38 @@
         return true;
     }
 
-    /** Bytes of the body that wait for the listener. */
+    /** Bytes of the body that the listener has not processed. */
     ByteBuffer content() {
         return parser.content();
     }
 
-    /** The listener has processed the content. */
+    /** Called when the listener has processed the content. */
     void onContentProcessed() {
         parser.onContentProcessed();
     }
 
-    /** Why there is no complete response. */
+    /** Why the response cannot be completed, or null. */
     Throwable failure() {
         return parser.failure();
     }
 
-    /** Whether the connection may carry another request after the response that is complete. */
+    /** Whether the connection may carry another request after the completed response. */
     boolean allowsReuse() {
         return !input.hasRemaining() && parser.keepAlive().isReusable() && !parser.isAtEndOfInput();
     }
 
-    /** What the last response stated of its connection. */
+    /** Keep-alive timeout that the last response stated. */
     KeepAliveTimeout keepAlive() {
         return parser.keepAlive();
     }
 
     /**
-     * Returns the buffer to the pool. Must not be called while content is with the listener, which may still
-     * be writing from it.
+     * Returns the buffer to the pool. Must not be called while the listener is processing content, as it may still
+     * be writing from the buffer.
      */
     void releaseInput() {
         if (input != null) {
-            buffers.giveBack(input);
+            buffers.release(input);
             input = null;
         }
     }
--- a/router/src/main/java/burlarch/router/upstream/SendState.java
+++ b/router/src/main/java/burlarch/router/upstream/SendState.java
@@ -4,7 +4,7 @@
 import java.util.Set;
 
 /**
- * What is known of one send of a request to an instance. A send that ends as {@link #PARTLY_SENT},
+ * State of one send of a request to an instance. A send that ends as {@link #PARTLY_SENT},
  * {@link #SENT} or {@link #PARTLY_RESPONDED} ends with an unknown outcome: the instance may have executed the
  * request or may yet do so.
  *
@@ -22,13 +22,13 @@
 public enum SendState {
     /** No byte was handed to a socket. */
     NOT_SENT(false),
-    /** Some bytes may be on the wire. An instance may execute a request by its head alone. */
+    /** Some bytes may have been sent. An instance may execute a request after reading only its head. */
     PARTLY_SENT(true),
     /** Every byte was handed to the socket; no final response has begun. */
     SENT(true),
-    /** The head of a response with the request's id states that it was not executed and never will be. */
+    /** The head of a response with the request's id states that the request was not executed and never will be. */
     REJECTED(false),
-    /** The head of a response with the request's id was received, not its end. */
+    /** The head of a response with the request's id was received, but not its end. */
     PARTLY_RESPONDED(true),
     /** A complete response with the request's id was received. */
     RESPONDED(true);
@@ -45,14 +45,14 @@
     }
 
     /**
-     * The only transition function.
+     * Checks a transition. All state changes use this method.
      *
      * @return {@code next}
      * @throws IllegalStateException if {@code next} cannot follow this state
      */
     public SendState transitionTo(SendState next) {
         if (!successors().contains(next)) {
-            throw new IllegalStateException(next + " after " + this);
+            throw new IllegalStateException(next + " is not allowed after " + this);
         }
         return next;
     }
--- a/router/src/main/java/burlarch/router/upstream/UpstreamCall.java
+++ b/router/src/main/java/burlarch/router/upstream/UpstreamCall.java
@@ -4,8 +4,8 @@
 import org.eclipse.jetty.http.HttpMethod;
 
 /**
- * One request on its way to an instance. It may be cancelled at any time and on any thread, also while its
- * connection is being established; guarded by this.
+ * One request to an instance and its response. It may be cancelled at any time and on any thread, also while its
+ * connection is being established. Guarded by this.
  */
 public final class UpstreamCall {
     private final String address;
@@ -16,11 +16,11 @@
     private boolean ended;
 
     /**
-     * A call that has not been sent.
+     * Creates a call that has not been sent.
      *
      * @param address IP:PORT of the instance
      * @param message head and body of the request; consumed by the write
-     * @param method of the request: a response to HEAD has no body
+     * @param method HTTP method of the request; a response to HEAD has no body
      */
     public UpstreamCall(String address, ByteBuffer[] message, String method, UpstreamListener listener) {
         this.address = address;
@@ -47,7 +47,7 @@
         return true;
     }
 
-    /** Whether no byte was handed to the socket; meaningful once its write has ended. */
+    /** Whether no byte was handed to the socket; valid only after the write has ended. */
     boolean isUnwritten() {
         for (ByteBuffer buffer : message) {
             if (buffer.position() > 0) {
@@ -65,23 +65,23 @@
         return listener;
     }
 
-    /** A connection starts to write the call; returns false if it was cancelled before. */
-    synchronized boolean assignTo(UpstreamConnection assigned) {
+    /** Assigns the call to the connection that will write it. Returns false if the call has already ended. */
+    synchronized boolean assignTo(UpstreamConnection newConnection) {
         if (ended) {
             return false;
         }
-        connection = assigned;
+        connection = newConnection;
         return true;
     }
 
-    /** Claims the right to end the call; returns true to one caller only. */
+    /** Ends the call. Returns true to the first caller only, which notifies the listener. */
     synchronized boolean endOnce() {
-        boolean first = !ended;
+        boolean wasActive = !ended;
         ended = true;
-        return first;
+        return wasActive;
     }
 
-    /** No connection could be established. */
+    /** Ends the call with a failure because no connection could be established: nothing was sent. */
     void failUnsent(Throwable cause) {
         if (endOnce()) {
             listener.onFailure(SendState.NOT_SENT, cause);
@@ -91,29 +91,29 @@
     /**
      * Ends the call without notifying its listener, and closes its connection.
      *
-     * @return how much of the request may be on the wire
+     * @return how much of the request may have been sent
      */
     public SendState cancel() {
-        UpstreamConnection used;
+        UpstreamConnection assignedConnection;
         synchronized (this) {
             ended = true;
-            used = connection;
+            assignedConnection = connection;
         }
-        if (used == null) {
+        if (assignedConnection == null) {
             return SendState.NOT_SENT;
         }
-        used.abandon(this);
+        assignedConnection.onCancelled(this);
         return SendState.PARTLY_SENT;
     }
 
-    /** The content received last has been processed: read on. */
+    /** Continues to read after the listener has processed the last content. */
     public void proceed() {
-        UpstreamConnection used;
+        UpstreamConnection assignedConnection;
         synchronized (this) {
-            used = connection;
+            assignedConnection = connection;
         }
-        if (used != null) {
-            used.proceed(this);
+        if (assignedConnection != null) {
+            assignedConnection.proceed(this);
         }
     }
 }
--- a/router/src/main/java/burlarch/router/upstream/UpstreamClient.java
+++ b/router/src/main/java/burlarch/router/upstream/UpstreamClient.java
@@ -17,20 +17,21 @@
 import org.eclipse.jetty.util.IO;
 import org.eclipse.jetty.util.thread.Scheduler;
 
-/** Sends calls to instances, over idle connections where there are any. May be called on any thread. */
+/** HTTP client that sends calls to instances and reuses idle connections. May be called on any thread. */
 public final class UpstreamClient {
-    private static final long SWEEP_MILLIS = 250;
+    /** Interval at which expired idle connections are closed. */
+    private static final long EXPIRY_CHECK_INTERVAL_MILLIS = 250;
 
     private final UpstreamConnectionPool pool;
     private final Scheduler scheduler;
     private final InputBufferPool buffers = new InputBufferPool();
     private final Selector selector;
-    private final AtomicBoolean sweepScheduled = new AtomicBoolean();
+    private final AtomicBoolean expiryCheckScheduled = new AtomicBoolean();
     private volatile boolean stopped;
 
-    /** A client that has not been started. */
+    /** Creates a client that has not been started. */
     public UpstreamClient(Executor executor, Scheduler scheduler, long connectTimeoutMillis) {
-        this.pool = new UpstreamConnectionPool(executor, this::scheduleSweep);
+        this.pool = new UpstreamConnectionPool(executor, this::scheduleExpiry);
         this.scheduler = scheduler;
         this.selector = new Selector(executor, scheduler);
         selector.setConnectTimeout(connectTimeoutMillis);
@@ -48,28 +49,28 @@
         selector.stop();
     }
 
-    /** Called when a connection becomes idle: sees to it that idle connections are closed once they have expired. */
-    private void scheduleSweep() {
-        if (!stopped && sweepScheduled.compareAndSet(false, true)) {
-            scheduler.schedule(this::sweep, SWEEP_MILLIS, TimeUnit.MILLISECONDS);
+    /** Called when a connection becomes idle: schedules the next removal of expired connections. */
+    private void scheduleExpiry() {
+        if (!stopped && expiryCheckScheduled.compareAndSet(false, true)) {
+            scheduler.schedule(this::closeExpired, EXPIRY_CHECK_INTERVAL_MILLIS, TimeUnit.MILLISECONDS);
         }
     }
 
-    private void sweep() {
-        sweepScheduled.set(false);
+    private void closeExpired() {
+        expiryCheckScheduled.set(false);
         if (pool.closeExpired(System.nanoTime())) {
-            scheduleSweep();
+            scheduleExpiry();
         }
     }
 
-    /** Sends a call. Its listener may be called before this returns. */
+    /** Sends a call over an idle or a new connection. Its listener may be called before this method returns. */
     public void send(UpstreamCall call) {
-        UpstreamConnection idle = pool.take(call.address(), System.nanoTime());
-        while (idle != null) {
-            if (idle.send(call)) {
+        UpstreamConnection idleConnection = pool.take(call.address(), System.nanoTime());
+        while (idleConnection != null) {
+            if (idleConnection.send(call)) {
                 return;
             }
-            idle = pool.take(call.address(), System.nanoTime());
+            idleConnection = pool.take(call.address(), System.nanoTime());
         }
         connect(call);
     }
@@ -77,7 +78,7 @@
     private void connect(UpstreamCall call) {
         SocketChannel channel = null;
         try {
-            InetSocketAddress address = parse(call.address());
+            InetSocketAddress address = parseAddress(call.address());
             channel = SocketChannel.open();
             channel.setOption(StandardSocketOptions.TCP_NODELAY, true);
             channel.configureBlocking(false);
@@ -93,24 +94,24 @@
     }
 
     /** Parses IP:PORT without a name lookup. */
-    private static InetSocketAddress parse(String address) throws IOException {
+    private static InetSocketAddress parseAddress(String address) throws IOException {
         int colon = address.lastIndexOf(':');
         long port = Headers.parseNumber(address.substring(colon + 1), -1);
         if (colon <= 0 || port < 1 || port > 65535) {
-            throw new IOException("no address: " + address);
+            throw new IOException("address is not of the form IP:PORT: " + address);
         }
         return new InetSocketAddress(address.substring(0, colon), (int) port);
     }
 
-    /** Establishes connections and notifies them when there is something to read. */
+    /** Establishes connections and notifies them when there are bytes to read. */
     private final class Selector extends SelectorManager {
         Selector(Executor executor, Scheduler scheduler) {
             super(executor, scheduler, 1);
         }
 
         @Override
-        protected EndPoint newEndPoint(SelectableChannel channel, ManagedSelector managed, SelectionKey key) {
-            EndPoint endPoint = new OrderlyCloseEndPoint((SocketChannel) channel, managed, key, getScheduler());
+        protected EndPoint newEndPoint(SelectableChannel channel, ManagedSelector managedSelector, SelectionKey key) {
+            EndPoint endPoint = new OrderlyCloseEndPoint((SocketChannel) channel, managedSelector, key, getScheduler());
             endPoint.setIdleTimeout(0);
             return endPoint;
         }
@@ -126,7 +127,7 @@
             UpstreamCall call = (UpstreamCall) attachment;
             UpstreamConnection opened = (UpstreamConnection) connection;
             if (!opened.send(call)) {
-                call.failUnsent(new IOException("closed before use"));
+                call.failUnsent(new IOException("connection closed before use"));
             }
         }
 
--- a/router/src/main/java/burlarch/router/upstream/UpstreamConnection.java
+++ b/router/src/main/java/burlarch/router/upstream/UpstreamConnection.java
@@ -12,13 +12,13 @@
 import org.eclipse.jetty.util.thread.Invocable;
 
 /**
- * One connection to an instance. It keeps the invariant <em>one send</em>: it carries one request at a time,
- * never writes one twice, and is reused only after a complete response with nothing behind it.
+ * One connection to an instance. Invariant <em>one request at a time</em>: it carries one request at a time, never
+ * writes a request twice, and is reused only after a complete response that no further bytes follow.
  *
  * <p>Threads: Jetty's selector and executor threads, and those that send, cancel or proceed with a call.
- * {@code state} and {@code call} are guarded by this; listeners are called outside of the monitor. The reader
- * belongs to the thread that reads for the call in flight: there is one at a time, because reading stops while
- * content is with the listener.
+ * {@code state} and {@code call} are guarded by this; listeners are called outside of the monitor. The reader is
+ * used by the thread that reads for the call in flight. There is only one such thread at a time, because reading
+ * stops while the listener is processing content.
  */
 final class UpstreamConnection extends AbstractConnection {
     private final UpstreamConnectionPool pool;
@@ -28,7 +28,7 @@
             Callback.from(Invocable.InvocationType.NON_BLOCKING, this::onFillable, this::onReadFailed);
     private UpstreamConnectionState state = UpstreamConnectionState.IDLE;
     private UpstreamCall call;
-    /** How long it was idle before the call in flight; negative if that is its first. */
+    /** How long the connection was idle before the call in flight; negative if that is its first call. */
     private long idleNanosBeforeCall = -1;
 
     UpstreamConnection(EndPoint endPoint, UpstreamConnectionPool pool, String address, InputBufferPool buffers) {
@@ -52,16 +52,16 @@
         getEndPoint().fillInterested(fillable);
     }
 
-    /** It is taken from the pool after having been idle for so long. */
-    synchronized void onTaken(long idleNanos) {
+    /** Called when the connection is taken from the pool, with the time for which it was idle. */
+    synchronized void onTakenFromPool(long idleNanos) {
         idleNanosBeforeCall = idleNanos;
     }
 
     /**
-     * Sends a call, unless the peer has closed the connection or sent bytes that no request asked for. A call
-     * that was cancelled before leaves the connection idle.
+     * Sends a call, unless the peer has closed the connection or sent unsolicited bytes. If the call was already
+     * cancelled, the connection stays idle.
      *
-     * @return false if the connection is closed and nothing was sent
+     * @return false if the connection is not usable: it is closed, and nothing was sent
      */
     boolean send(UpstreamCall next) {
         boolean unusable;
@@ -81,7 +81,7 @@
             }
         }
         if (unusable) {
-            learnEarlyClose();
+            reportEarlyClose();
             getEndPoint().close();
         } else if (started) {
             getEndPoint()
@@ -97,27 +97,27 @@
         return !unusable;
     }
 
-    /** The peer closed the connection while it was idle, as far as can be told. */
-    private void learnEarlyClose() {
+    /** Reports to the pool that the peer has probably closed this connection while it was idle. */
+    private void reportEarlyClose() {
         if (idleNanosBeforeCall >= 0) {
             pool.onClosedByPeer(this, idleNanosBeforeCall);
         }
     }
 
-    /** Whether the peer has closed the connection, or sent bytes that no request asked for. */
+    /** Whether the peer has closed the connection or sent unsolicited bytes. */
     private boolean isClosedOrHasInput() {
         if (!getEndPoint().isOpen()) {
             return true;
         }
-        ByteBuffer one = BufferUtil.allocate(1);
+        ByteBuffer probe = BufferUtil.allocate(1);
         try {
-            return getEndPoint().fill(one) != 0;
+            return getEndPoint().fill(probe) != 0;
         } catch (IOException failure) {
             return true;
         }
     }
 
-    /** Null if no call is in flight. */
+    /** The call in flight, or null. */
     private synchronized UpstreamCall activeCall() {
         return state.hasActiveCall() ? call : null;
     }
@@ -126,7 +126,7 @@
         return state == UpstreamConnectionState.CLOSED;
     }
 
-    /** Closes the connection if it is idle; a call in flight keeps it. */
+    /** Closes the connection if no call is in flight. */
     void closeIfIdle() {
         synchronized (this) {
             if (state != UpstreamConnectionState.IDLE) {
@@ -137,8 +137,8 @@
         getEndPoint().close();
     }
 
-    /** The owner of the call has cancelled it. */
-    void abandon(UpstreamCall cancelled) {
+    /** Closes the connection because its call was cancelled; ignored if the call is no longer in flight. */
+    void onCancelled(UpstreamCall cancelled) {
         synchronized (this) {
             if (call != cancelled || !state.hasActiveCall()) {
                 return;
@@ -175,13 +175,13 @@
         read();
     }
 
-    /** Parses and fills until content is with the listener, more bytes are needed, or the response has ended. */
+    /** Parses and fills until the listener has content to process, more bytes are needed, or the response has ended. */
     private void read() {
         try {
             while (true) {
                 ResponseReader.Progress progress = reader.parse();
-                UpstreamCall reading = activeCall();
-                if (reading == null) {
+                UpstreamCall currentCall = activeCall();
+                if (currentCall == null) {
                     reader.releaseInput();
                     return;
                 }
@@ -191,7 +191,7 @@
                         return;
                     }
                     case CONTENT -> {
-                        reading.listener().onContent(reader.content());
+                        currentCall.listener().onContent(reader.content());
                         return;
                     }
                     case COMPLETE -> {
@@ -205,7 +205,7 @@
                         }
                     }
                     case INPUT_LEFT -> {
-                        // Parse on.
+                        // Continue with parsing.
                     }
                 }
             }
@@ -235,7 +235,7 @@
         }
     }
 
-    /** A request that is not written completely forbids reuse: its rest would precede the next request. */
+    /** Not after an incompletely written request: the rest of it would precede the next request. */
     private boolean mayReuse() {
         return state.hasActiveCall()
                 && reader.allowsReuse()
@@ -254,13 +254,13 @@
     }
 
     private void onHead(int status, HttpFields fields, long contentLength) {
-        UpstreamCall reading = activeCall();
-        if (reading != null) {
-            reading.listener().onHead(status, fields, contentLength);
+        UpstreamCall currentCall = activeCall();
+        if (currentCall != null) {
+            currentCall.listener().onHead(status, fields, contentLength);
         }
     }
 
-    /** Reading has failed; what is on the wire follows from the state of the write. */
+    /** Called when reading has failed. How much of the request was sent follows from the state of the write. */
     private void onReadFailed(Throwable cause) {
         UpstreamCall ended;
         SendState sent;
@@ -269,17 +269,17 @@
             ended = closeAndTakeCall();
         }
         if (ended != null && !reader.hasReceived()) {
-            learnEarlyClose();
+            reportEarlyClose();
         }
         fail(ended, sent, cause);
     }
 
-    /** Returns the call in flight, or null. */
+    /** Closes the connection and returns the call that was in flight, or null. */
     private synchronized UpstreamCall closeAndTakeCall() {
-        UpstreamCall taken = state.hasActiveCall() ? call : null;
+        UpstreamCall activeCall = state.hasActiveCall() ? call : null;
         state = state.on(Event.CLOSE);
         call = null;
-        return taken;
+        return activeCall;
     }
 
     private void fail(UpstreamCall ended, SendState sent, Throwable cause) {
@@ -289,7 +289,7 @@
         }
     }
 
-    /** The last byte of the request is written. */
+    /** Called when the last byte of the request is written. */
     private void onWritten(UpstreamCall written) {
         synchronized (this) {
             if (call != written) {
--- a/router/src/main/java/burlarch/router/upstream/UpstreamConnectionPool.java
+++ b/router/src/main/java/burlarch/router/upstream/UpstreamConnectionPool.java
@@ -9,9 +9,9 @@
 import java.util.concurrent.Executor;
 
 /**
- * Idle connections to instances, by address. The one used last is taken first, so that the others expire: by what the
- * instance announced, or earlier by what {@link IdleLifetimes} has learned. May be called on any thread; guarded by
- * this. Connections are closed outside of the monitor.
+ * Pool of idle connections to instances, by address. The connection used last is taken first, so that the others
+ * expire: after the timeout that the instance announced, or earlier after the one that {@link LearnedIdleTimeouts} has
+ * learned. May be called on any thread; guarded by this. Connections are closed outside of the monitor.
  */
 final class UpstreamConnectionPool {
     /** Maximum number of idle connections to one address. */
@@ -19,23 +19,27 @@
 
     private static final long NANOS_PER_MILLI = 1_000_000;
 
-    private record IdleConnection(UpstreamConnection connection, long sinceNanos, long expiresNanos) {
+    private record IdleConnection(UpstreamConnection connection, long idleSinceNanos, long expiresNanos) {
         boolean hasExpired(long nowNanos) {
             return expiresNanos - nowNanos <= 0;
         }
 
         long idleNanos(long nowNanos) {
-            return nowNanos - sinceNanos;
+            return nowNanos - idleSinceNanos;
         }
     }
 
     private final Executor executor;
     private final Runnable onIdle;
     private final Map<String, ArrayDeque<IdleConnection>> idleByAddress = new HashMap<>();
-    private final IdleLifetimes lifetimes = new IdleLifetimes();
+    private final LearnedIdleTimeouts idleTimeouts = new LearnedIdleTimeouts();
     private boolean closed;
 
-    /** @param onIdle called after a connection has become idle, on its thread */
+    /**
+     * Creates an empty pool.
+     *
+     * @param onIdle called after a connection has become idle, on the thread of that connection
+     */
     UpstreamConnectionPool(Executor executor, Runnable onIdle) {
         this.executor = executor;
         this.onIdle = onIdle;
@@ -45,7 +49,7 @@
         return executor;
     }
 
-    /** A connection that has not expired, or null. */
+    /** Takes a connection that has not expired out of the pool; null if there is none. Closes expired ones. */
     UpstreamConnection take(String address, long nowNanos) {
         List<UpstreamConnection> expired = new ArrayList<>(0);
         UpstreamConnection taken = take(address, nowNanos, expired);
@@ -55,11 +59,11 @@
 
     private synchronized UpstreamConnection take(String address, long nowNanos, List<UpstreamConnection> expired) {
         ArrayDeque<IdleConnection> stack = idleByAddress.get(address);
-        long limitNanos = stack == null ? 0 : lifetimes.limitNanos(address, nowNanos);
+        long limitNanos = stack == null ? 0 : idleTimeouts.limitNanos(address, nowNanos);
         while (stack != null && !stack.isEmpty()) {
             IdleConnection idle = stack.pop();
             if (!idle.hasExpired(nowNanos) && idle.idleNanos(nowNanos) < limitNanos) {
-                idle.connection().onTaken(idle.idleNanos(nowNanos));
+                idle.connection().onTakenFromPool(idle.idleNanos(nowNanos));
                 return idle.connection();
             }
             expired.add(idle.connection());
@@ -67,7 +71,7 @@
         return null;
     }
 
-    /** Keeps a connection that has become idle, or closes it if there are too many. */
+    /** Adds a connection that has become idle, or closes it if the pool is full or closed. */
     void onIdle(UpstreamConnection connection) {
         long nowNanos = System.nanoTime();
         long expiresNanos = nowNanos + connection.keepAlive().idleMillis() * NANOS_PER_MILLI;
@@ -88,7 +92,7 @@
         return true;
     }
 
-    /** Removes a connection that has closed; one that is idle here was closed by its peer. */
+    /** Removes a connection that has closed. If it was idle in the pool, its peer has closed it. */
     synchronized void onClosed(UpstreamConnection connection) {
         ArrayDeque<IdleConnection> stack = idleByAddress.get(connection.address());
         long nowNanos = System.nanoTime();
@@ -104,15 +108,15 @@
     }
 
     /**
-     * The peer closed a connection before the request that was to be sent on it, or in place of its response.
+     * Called when the peer closed a connection before a request was sent on it, or instead of responding.
      *
-     * @param idleNanos how long the connection had been idle by then
+     * @param idleNanos how long the connection had been idle before the request
      */
     void onClosedByPeer(UpstreamConnection connection, long idleNanos) {
-        lifetimes.onClosedByPeer(connection.address(), idleNanos, System.nanoTime());
+        idleTimeouts.onClosedByPeer(connection.address(), idleNanos, System.nanoTime());
     }
 
-    /** Closes the connections that have been idle for too long; returns whether any idle one is left. */
+    /** Closes the connections whose announced idle timeout has expired. Returns whether any idle ones remain. */
     boolean closeExpired(long nowNanos) {
         removeExpired(nowNanos).forEach(UpstreamConnection::closeIfIdle);
         return hasIdle();
@@ -124,28 +128,30 @@
 
     private synchronized List<UpstreamConnection> removeExpired(long nowNanos) {
         List<UpstreamConnection> expired = new ArrayList<>(0);
-        for (Iterator<ArrayDeque<IdleConnection>> all = idleByAddress.values().iterator(); all.hasNext(); ) {
-            ArrayDeque<IdleConnection> stack = all.next();
-            for (Iterator<IdleConnection> each = stack.iterator(); each.hasNext(); ) {
-                IdleConnection idle = each.next();
+        for (Iterator<ArrayDeque<IdleConnection>> stacks =
+                        idleByAddress.values().iterator();
+                stacks.hasNext(); ) {
+            ArrayDeque<IdleConnection> stack = stacks.next();
+            for (Iterator<IdleConnection> idleConnections = stack.iterator(); idleConnections.hasNext(); ) {
+                IdleConnection idle = idleConnections.next();
                 if (idle.hasExpired(nowNanos)) {
                     expired.add(idle.connection());
-                    each.remove();
+                    idleConnections.remove();
                 }
             }
             if (stack.isEmpty()) {
-                all.remove();
+                stacks.remove();
             }
         }
         return expired;
     }
 
-    /** Closes all idle connections, and from now on each one that becomes idle. */
+    /** Closes all idle connections, and from now on each connection that becomes idle. */
     void close() {
         List<UpstreamConnection> idle = new ArrayList<>();
         synchronized (this) {
             closed = true;
-            idleByAddress.values().forEach(stack -> stack.forEach(each -> idle.add(each.connection())));
+            idleByAddress.values().forEach(stack -> stack.forEach(entry -> idle.add(entry.connection())));
             idleByAddress.clear();
         }
         idle.forEach(UpstreamConnection::closeIfIdle);
--- a/router/src/main/java/burlarch/router/upstream/UpstreamConnectionState.java
+++ b/router/src/main/java/burlarch/router/upstream/UpstreamConnectionState.java
@@ -14,11 +14,11 @@
  * </table>
  */
 enum UpstreamConnectionState {
-    /** No call; the connection may be reused. */
+    /** No call is in flight; the connection may be reused. */
     IDLE,
-    /** A call is in flight; its request may not be written completely. */
+    /** A call is in flight; its request may not have been written completely. */
     WRITING,
-    /** A call is in flight; its request is written completely. */
+    /** A call is in flight; its request has been written completely. */
     AWAITING_RESPONSE,
     /**
      * The response is complete and every byte of the request was handed to the socket, but the completion of
@@ -28,7 +28,7 @@
     /** The connection is not used again. */
     CLOSED;
 
-    /** What happens to a connection. */
+    /** An event that can change the state. */
     enum Event {
         /** A call is assigned and its write starts. */
         CALL_STARTED,
@@ -45,13 +45,13 @@
         return this == WRITING || this == AWAITING_RESPONSE;
     }
 
-    /** How much of the request in flight may be on the wire. */
+    /** How much of the request in flight may have been sent. */
     SendState sendState() {
         return this == AWAITING_RESPONSE ? SendState.SENT : SendState.PARTLY_SENT;
     }
 
     /**
-     * The only transition function.
+     * Returns the state after an event. All state changes use this method.
      *
      * @throws IllegalStateException if the event cannot occur in this state
      */
@@ -74,6 +74,6 @@
         if (this == AWAITING_WRITE && event == Event.WRITE_COMPLETE) {
             return IDLE;
         }
-        throw new IllegalStateException(event + " in " + this);
+        throw new IllegalStateException(event + " is not allowed in state " + this);
     }
 }
--- a/router/src/main/java/burlarch/router/upstream/UpstreamListener.java
+++ b/router/src/main/java/burlarch/router/upstream/UpstreamListener.java
@@ -4,27 +4,27 @@
 import org.eclipse.jetty.http.HttpFields;
 
 /**
- * Receives the response to one call. The methods are called one after another, on whatever thread reads;
- * exactly one of {@link #onComplete} and {@link #onFailure} comes last.
+ * Listener for the response to one call. The methods are called one after another, on the thread that reads;
+ * the last call is exactly one of {@link #onComplete} and {@link #onFailure}.
  */
 public interface UpstreamListener {
     /**
-     * The head of a final response.
+     * Called with the head of a final response.
      *
-     * @param contentLength of the body in bytes; -1 if the head does not state it
+     * @param contentLength length of the body in bytes; -1 if the head does not state it
      */
     void onHead(int status, HttpFields fields, long contentLength);
 
-    /** Bytes of the body, valid until {@link UpstreamCall#proceed} is called; none follow before that. */
+    /** Called with bytes of the body, valid until {@link UpstreamCall#proceed} is called; no more bytes are read before. */
     void onContent(ByteBuffer content);
 
-    /** The response is complete. */
+    /** Called when the response is complete. */
     void onComplete();
 
     /**
-     * No complete response will come.
+     * Called when the response cannot be completed.
      *
-     * @param sent how much of the request may be on the wire
+     * @param sent how much of the request may have been sent
      */
     void onFailure(SendState sent, Throwable cause);
 }
