--- a/router/src/main/java/burlarch/router/RouterServer.java
+++ b/router/src/main/java/burlarch/router/RouterServer.java
@@ -146,7 +146,7 @@
         front = addConnector(settings.front());
         front.setAcceptQueueSize(ACCEPT_QUEUE);
         readiness = addConnector(settings.readiness());
-        handler.readinessOn(readiness);
+        handler.setReadinessConnector(readiness);
         server.addBean(new ConnectionLimit(MAX_CLIENT_CONNECTIONS, front));
         server.setHandler(handler);
         server.setErrorHandler(new EmptyErrorHandler());
--- a/router/src/main/java/burlarch/router/http/ChunkedFraming.java
+++ b/router/src/main/java/burlarch/router/http/ChunkedFraming.java
@@ -3,13 +3,13 @@
 import java.nio.ByteBuffer;
 import java.nio.charset.StandardCharsets;
 
-/** The chunked transfer coding of bodies (RFC 9112). */
+/** Encoder of the chunked transfer coding (RFC 9112). */
 public final class ChunkedFraming {
     private static final byte[] LAST_CHUNK = "0\r\n\r\n".getBytes(StandardCharsets.US_ASCII);
 
     private ChunkedFraming() {}
 
-    /** A complete chunk that holds the content, including its final line end. Consumes the content. */
+    /** Encodes the content as a complete chunk, including the final line end. Consumes the content. */
     public static ByteBuffer chunk(ByteBuffer content) {
         int length = content.remaining();
         String size = Integer.toHexString(length);
@@ -26,7 +26,7 @@
         return ByteBuffer.wrap(chunk);
     }
 
-    /** The chunk that marks a body as complete. */
+    /** Returns the chunk that marks the end of a complete body. */
     public static ByteBuffer lastChunk() {
         return ByteBuffer.wrap(LAST_CHUNK);
     }
--- a/router/src/main/java/burlarch/router/http/Headers.java
+++ b/router/src/main/java/burlarch/router/http/Headers.java
@@ -11,11 +11,11 @@
 public final class Headers {
     /** Identifies a request; the response to it carries the same value. */
     public static final String REQUEST_ID = "X-Request-Id";
-    /** Signature of an instance over its response. */
+    /** Signature by the instance over its response. */
     public static final String SIGNATURE = "X-Response-Signature";
-    /** An instance promises that it has not executed the request and never will. */
+    /** States that the instance has not executed the request and never will. */
     public static final String NOT_EXECUTED = "X-Not-Executed";
-    /** Time that is left for a request, in milliseconds. */
+    /** Time that remains for a request, in milliseconds. */
     public static final String DEADLINE = "X-Request-Deadline";
     /** API key of a client. */
     public static final String CREDENTIAL = "X-Credential";
@@ -27,7 +27,7 @@
     public static final String SERVER_LOAD = "X-Server-Load";
     /** Version of the weights that an instance has loaded. */
     public static final String VERSIONS = "Versions";
-    /** Id of the last event that a client has received of a stream. */
+    /** Id of the last event of a stream that the client has received. */
     public static final String LAST_EVENT_ID = "Last-Event-Id";
     /** Time after which a client may retry, in seconds. */
     public static final String RETRY_AFTER = "Retry-After";
@@ -43,10 +43,8 @@
             "proxy-connection",
             "proxy-authorization",
             "proxy-authenticate");
-    /**
-     * Headers of requests that only the router may set, or that it has already acted on; in lower case.
-     */
-    private static final Set<String> SET_BY_ROUTER = Set.of(
+    /** Request headers that only the router may set, or that it has already processed; in lower case. */
+    private static final Set<String> RESERVED_FOR_ROUTER = Set.of(
             "content-length",
             "expect",
             "x-credential",
@@ -59,6 +57,7 @@
             "kv-fetch",
             "kv-save");
 
+    /** Every number of 18 decimal digits fits into a long. */
     private static final int MAX_DIGITS = 18;
 
     private Headers() {}
@@ -66,24 +65,26 @@
     /**
      * Whether a header of a client's request is forwarded to the instance.
      *
-     * @param connectionOptions of the same message, see {@link #connectionOptions}
+     * @param connectionOptions connection options of the same message, see {@link #connectionOptions}
      */
     public static boolean isForwardedToInstance(String name, Set<String> connectionOptions) {
-        String lower = name.toLowerCase(Locale.ROOT);
-        return !HOP_BY_HOP.contains(lower) && !SET_BY_ROUTER.contains(lower) && !connectionOptions.contains(lower);
+        String lowerCaseName = name.toLowerCase(Locale.ROOT);
+        return !HOP_BY_HOP.contains(lowerCaseName)
+                && !RESERVED_FOR_ROUTER.contains(lowerCaseName)
+                && !connectionOptions.contains(lowerCaseName);
     }
 
     /**
      * Whether a header of an instance's response is forwarded to the client.
      *
-     * @param connectionOptions of the same message, see {@link #connectionOptions}
+     * @param connectionOptions connection options of the same message, see {@link #connectionOptions}
      */
     public static boolean isForwardedToClient(String name, Set<String> connectionOptions) {
-        String lower = name.toLowerCase(Locale.ROOT);
-        return !HOP_BY_HOP.contains(lower) && !connectionOptions.contains(lower);
+        String lowerCaseName = name.toLowerCase(Locale.ROOT);
+        return !HOP_BY_HOP.contains(lowerCaseName) && !connectionOptions.contains(lowerCaseName);
     }
 
-    /** The connection options (RFC 9110): the names that the Connection header lists, in lower case. */
+    /** Returns the connection options (RFC 9110): the names that the Connection header lists, in lower case. */
     public static Set<String> connectionOptions(HttpFields fields) {
         List<String> tokens = fields.getCSV("Connection", false);
         if (tokens.isEmpty()) {
@@ -96,7 +97,7 @@
         return options;
     }
 
-    /** The value of a header that occurs exactly once; null if it is absent or repeated. */
+    /** Returns the value of a header that occurs exactly once; null if it is absent or repeated. */
     public static String singleValue(HttpFields fields, String name) {
         String value = null;
         for (HttpField field : fields) {
@@ -110,10 +111,11 @@
         return value;
     }
 
-    /** A value of Retry-After: seconds with three decimals, at least one millisecond. */
+    /** Formats a value of Retry-After: seconds with three decimals, at least one millisecond. */
     public static String retryAfterSeconds(long millis) {
-        long atLeastOne = Math.max(1, millis);
-        return atLeastOne / 1000 + "." + Long.toString(1000 + atLeastOne % 1000).substring(1);
+        long positiveMillis = Math.max(1, millis);
+        return positiveMillis / 1000 + "."
+                + Long.toString(1000 + positiveMillis % 1000).substring(1);
     }
 
     /** Parses a non-negative decimal number of at most 18 digits; anything else yields {@code fallback}. */
--- a/router/src/main/java/burlarch/router/http/HintHeaders.java
+++ b/router/src/main/java/burlarch/router/http/HintHeaders.java
@@ -6,30 +6,33 @@
 import java.util.List;
 
 /**
- * Parses the headers that give hints for placement: the size and prefix of a prompt, the load of an instance.
- * A malformed value is treated as an absent one.
+ * Parser of the headers that carry placement hints: size and prefix of a prompt, load of an instance. A malformed
+ * value is treated as absent.
  */
 public final class HintHeaders {
-    /** More segments do not fit into the largest head; bounds the memory that a hostile header can claim. */
+    /** No head can carry more segments; limits the memory that a malicious header can occupy. */
     private static final int MAX_PROMPT_SEGMENTS = 4096;
 
     private HintHeaders() {}
 
-    /** Tokens of the prompt and the maximum number of output tokens; {0, 0} if absent. */
+    /** Parses the number of prompt tokens and the maximum number of output tokens; {0, 0} if absent. */
     public static int[] tokenUsage(String value) {
         int comma = value == null ? -1 : value.indexOf(',');
         if (comma < 0) {
             return new int[2];
         }
-        long in = Headers.parseNumber(value.substring(0, comma).trim(), -1);
-        long out = Headers.parseNumber(value.substring(comma + 1).trim(), -1);
-        if (in < 0 || out < 0 || in > Integer.MAX_VALUE || out > Integer.MAX_VALUE) {
+        long promptTokens = Headers.parseNumber(value.substring(0, comma).trim(), -1);
+        long outputTokens = Headers.parseNumber(value.substring(comma + 1).trim(), -1);
+        if (promptTokens < 0
+                || outputTokens < 0
+                || promptTokens > Integer.MAX_VALUE
+                || outputTokens > Integer.MAX_VALUE) {
             return new int[2];
         }
-        return new int[] {(int) in, (int) out};
+        return new int[] {(int) promptTokens, (int) outputTokens};
     }
 
-    /** Segments of a prompt in the form ID:TOKENS, separated by commas, ids in hexadecimal. */
+    /** Parses the segments of a prompt: comma-separated ID:TOKENS pairs with hexadecimal ids; empty if absent. */
     public static List<PromptSegment> promptSegments(String value) {
         if (value == null || value.isEmpty()) {
             return List.of();
@@ -39,7 +42,7 @@
         while (start <= value.length()) {
             int end = value.indexOf(',', start);
             end = end < 0 ? value.length() : end;
-            PromptSegment segment = promptSegment(value.substring(start, end).trim());
+            PromptSegment segment = parseSegment(value.substring(start, end).trim());
             if (segment == null || segments.size() == MAX_PROMPT_SEGMENTS) {
                 return List.of();
             }
@@ -49,7 +52,7 @@
         return List.copyOf(segments);
     }
 
-    private static PromptSegment promptSegment(String text) {
+    private static PromptSegment parseSegment(String text) {
         int colon = text.indexOf(':');
         if (colon <= 0) {
             return null;
@@ -65,15 +68,15 @@
         }
     }
 
-    /** Running requests, queued requests and slots of an instance; null if absent. */
+    /** Parses the numbers of running requests, queued requests and slots of an instance; null if absent. */
     public static ServerLoad serverLoad(String value) {
-        String[] figures = value == null ? new String[0] : value.split(",", -1);
-        if (figures.length != 3) {
+        String[] fields = value == null ? new String[0] : value.split(",", -1);
+        if (fields.length != 3) {
             return null;
         }
         int[] numbers = new int[3];
         for (int i = 0; i < 3; i++) {
-            long number = Headers.parseNumber(figures[i].trim(), -1);
+            long number = Headers.parseNumber(fields[i].trim(), -1);
             if (number < 0 || number > Integer.MAX_VALUE) {
                 return null;
             }
--- a/router/src/main/java/burlarch/router/http/KeepAliveTimeout.java
+++ b/router/src/main/java/burlarch/router/http/KeepAliveTimeout.java
@@ -4,20 +4,22 @@
 import org.eclipse.jetty.http.HttpFields;
 
 /**
- * How long a connection to an instance may stay idle after a response and still be reused.
+ * Maximum idle time after which a connection to an instance may still be reused.
  *
- * @param idleMillis 0 if the connection must not be reused
+ * @param idleMillis maximum idle time in milliseconds; 0 if the connection must not be reused
  */
 public record KeepAliveTimeout(long idleMillis) {
-    /** For a server that names no timeout: it may close an idle connection within a second. */
+    /** Timeout for a server that states none: it may close an idle connection within a second. */
     public static final KeepAliveTimeout UNSPECIFIED = new KeepAliveTimeout(300);
 
     private static final KeepAliveTimeout CLOSE = new KeepAliveTimeout(0);
     private static final long MIN_IDLE_MILLIS = 500;
+    /** A connection is not reused this shortly before the server closes it. */
     private static final long MARGIN_MILLIS = 1000;
+
     private static final long MAX_SECONDS = 3600;
 
-    /** Reads the Connection and Keep-Alive headers of a response. */
+    /** Parses the Connection and Keep-Alive headers of a response. */
     public static KeepAliveTimeout parse(HttpFields fields) {
         if (Headers.connectionOptions(fields).contains("close")) {
             return CLOSE;
--- a/router/src/main/java/burlarch/router/http/package-info.java
+++ b/router/src/main/java/burlarch/router/http/package-info.java
@@ -1,7 +1,7 @@
 /**
- * HTTP vocabulary that both sides of the router share: names of headers, parsing of header values, and the
- * chunked framing of bodies.
+ * HTTP types that the server side and the client side of the router share: header names, parsing of header values,
+ * and the chunked framing of bodies.
  *
- * <p>Thread: any; all types are immutable or stateless. State: none.
+ * <p>Threads: any; all types are immutable or stateless. State: none.
  */
 package burlarch.router.http;
--- a/router/src/main/java/burlarch/router/lifecycle/Drain.java
+++ b/router/src/main/java/burlarch/router/lifecycle/Drain.java
@@ -6,27 +6,28 @@
 import org.eclipse.jetty.util.thread.Scheduler;
 
 /**
- * Graceful shutdown: takes the router out of service without losing a request, at the times of its
- * {@link DrainSchedule}. The times are counted from its construction. Polls on the scheduler's thread; queries
- * may come on any thread.
+ * Graceful shutdown of a router: takes it out of service without losing a request, at the times of a
+ * {@link DrainSchedule}, which start with the construction of the drain. Polls on the scheduler's thread; the query
+ * methods may be called on any thread.
  */
 public final class Drain {
-    private static final long POLL_MILLIS = 20;
+    private static final long POLL_INTERVAL_MILLIS = 20;
 
     private final InFlightRequests requests;
-    private final ServerConnector front;
+    private final ServerConnector clientConnector;
     private final Scheduler scheduler;
     private final DrainSchedule schedule;
-    private final long startedNanos = System.nanoTime();
+    private final long startedAtNanos = System.nanoTime();
     private final CompletableFuture<Void> done = new CompletableFuture<>();
 
-    /** Starts to drain the requests of that connector now. */
-    public Drain(InFlightRequests requests, ServerConnector front, Scheduler scheduler, DrainSchedule schedule) {
+    /** Starts to drain the requests of the given connector now. */
+    public Drain(
+            InFlightRequests requests, ServerConnector clientConnector, Scheduler scheduler, DrainSchedule schedule) {
         this.requests = requests;
-        this.front = front;
+        this.clientConnector = clientConnector;
         this.scheduler = scheduler;
         this.schedule = schedule;
-        scheduler.schedule(this::awaitRequests, schedule.rejectAtMillis(), TimeUnit.MILLISECONDS);
+        scheduler.schedule(this::closeIdleAndAwaitRequests, schedule.rejectAtMillis(), TimeUnit.MILLISECONDS);
     }
 
     /** Completes when no request is in flight, or at the end of the schedule. */
@@ -34,12 +35,12 @@
         return done;
     }
 
-    /** Whether a response that begins now must be the last on its connection. */
+    /** Whether a response that begins now must be the last one on its connection. */
     boolean closesConnections() {
         return schedule.closesConnections(elapsedMillis());
     }
 
-    /** Whether a request that is complete now is accepted; it ends at {@code deadlineNanos} in any case. */
+    /** Whether a request that is complete now is accepted; it ends at {@code deadlineNanos} at the latest. */
     boolean accepts(long deadlineNanos) {
         long remainingMillis = TimeUnit.NANOSECONDS.toMillis(deadlineNanos - System.nanoTime());
         return schedule.accepts(elapsedMillis(), remainingMillis);
@@ -47,19 +48,19 @@
 
     /**
      * Closes idle connections until the drain is over: a request on one of them would be rejected from now on,
-     * whereas a client whose connection is closed goes to another router without losing time. A response that
-     * began before the drain may leave a connection idle at any time, hence the repetition.
+     * whereas a client whose connection is closed turns to another router without delay. The check is repeated
+     * because a response that began before the drain may leave a connection idle at any time.
      */
-    private void awaitRequests() {
-        requests.closeIdleConnections(front.getConnectedEndPoints());
+    private void closeIdleAndAwaitRequests() {
+        requests.closeIdleConnections(clientConnector.getConnectedEndPoints());
         if (requests.count() > 0 && !schedule.isOver(elapsedMillis())) {
-            scheduler.schedule(this::awaitRequests, POLL_MILLIS, TimeUnit.MILLISECONDS);
+            scheduler.schedule(this::closeIdleAndAwaitRequests, POLL_INTERVAL_MILLIS, TimeUnit.MILLISECONDS);
             return;
         }
         done.complete(null);
     }
 
     private long elapsedMillis() {
-        return TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - startedNanos);
+        return TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - startedAtNanos);
     }
 }
--- a/router/src/main/java/burlarch/router/lifecycle/InFlightRequests.java
+++ b/router/src/main/java/burlarch/router/lifecycle/InFlightRequests.java
@@ -7,19 +7,19 @@
 import org.eclipse.jetty.io.EndPoint;
 
 /**
- * The client connections with a request in flight: from its head until the last byte of its response is
- * written. A connection carries one request at a time, so the set is bounded by the number of connections. May
- * be called on any thread; guarded by this.
+ * Set of the client connections with a request in flight. A request is in flight from the receipt of its head until
+ * the last byte of its response is written. A connection carries one request at a time, so the set is bounded by the
+ * number of connections. May be called on any thread; guarded by this.
  */
 public final class InFlightRequests {
     private final Set<EndPoint> inFlight = new HashSet<>();
 
-    /** The head of a request has been received. */
+    /** Called when the head of a request has been received. */
     public synchronized void begin(EndPoint endPoint) {
         inFlight.add(endPoint);
     }
 
-    /** The response is written, or its connection is closed. */
+    /** Called when the response is written or its connection is closed. */
     public synchronized void end(EndPoint endPoint) {
         inFlight.remove(endPoint);
     }
@@ -30,8 +30,8 @@
     }
 
     /**
-     * Closes the connections that are idle between two requests; a new connection may still send its first
-     * request. A request that arrives on one of them at the same moment finds its connection closed when it
+     * Closes the connections that are idle between two requests. A new connection may still send its first request.
+     * A request that arrives at the same moment on a connection being closed finds the connection closed when it
      * begins.
      */
     synchronized void closeIdleConnections(Collection<EndPoint> connected) {
@@ -42,7 +42,7 @@
         }
     }
 
-    /** Whether a request was answered on the connection and no byte of a next one has been read. */
+    /** Whether the connection has carried a request and no byte of a further one has been read. */
     private static boolean isIdleBetweenRequests(EndPoint endPoint) {
         Connection connection = endPoint.getConnection();
         return connection != null && connection.getMessagesIn() > 0 && endPoint.isFillInterested();
--- a/router/src/main/java/burlarch/router/lifecycle/ServiceAvailability.java
+++ b/router/src/main/java/burlarch/router/lifecycle/ServiceAvailability.java
@@ -7,11 +7,11 @@
 import java.util.HashSet;
 import java.util.Set;
 
-/** Whether each service has instances: after a start of all controllers they register one by one. */
+/** Check whether each service has an instance. After all controllers start, instances register one by one. */
 final class ServiceAvailability {
     private ServiceAvailability() {}
 
-    /** Whether each service that takes requests has an instance; stores of KV caches take none. */
+    /** Whether each service that accepts requests has an instance; KV-cache stores accept none. */
     static boolean hasInstanceOfEachService(Configuration configuration, Collection<Instance> instances) {
         Set<String> available = new HashSet<>();
         instances.forEach(instance -> available.add(instance.service()));
--- a/router/src/main/java/burlarch/router/lifecycle/StartupGate.java
+++ b/router/src/main/java/burlarch/router/lifecycle/StartupGate.java
@@ -7,40 +7,40 @@
 import org.eclipse.jetty.util.thread.Scheduler;
 
 /**
- * Holds back requests that arrive before the router knows where requests go. They wait, because a rejection
- * would cost the client one of its attempts for a state that lasts a moment. The gate opens once and stays
- * open; while closed it holds at most {@link #MAX_WAITING} requests. May be called on any thread; guarded by
- * this.
+ * Gate that holds back requests which arrive before the router has its configuration and instances. Requests wait
+ * because a rejection would cost the client one of its attempts, although this state is brief. The gate opens once
+ * and stays open; while closed it holds at most {@link #MAX_WAITING} requests. May be called on any thread; guarded
+ * by this.
  */
 public final class StartupGate {
-    /** Requests beyond this number do not wait. */
+    /** Maximum number of waiting requests; further requests do not wait. */
     public static final int MAX_WAITING = 512;
-    /** Clients turn to another router if their request has not been read within one second. */
+    /** Less than one second, after which clients turn to another router if their request has not been read. */
     public static final long MAX_WAIT_MILLIS = 800;
 
     private final Scheduler scheduler;
     private final Set<Runnable> waiting = new LinkedHashSet<>();
     private boolean open;
 
-    /** A closed gate; the scheduler ends the wait of single requests. */
+    /** Creates a closed gate; the scheduler limits the wait of each request. */
     public StartupGate(Scheduler scheduler) {
         this.scheduler = scheduler;
     }
 
     /**
-     * Runs {@code request} when the gate opens or after {@link #MAX_WAIT_MILLIS}, whichever comes first; at
-     * once if the gate is open or full.
+     * Runs {@code request} when the gate opens or after {@link #MAX_WAIT_MILLIS}, whichever comes first; runs it
+     * immediately if the gate is open or full.
      */
     public void pass(Runnable request) {
         pass(request, MAX_WAIT_MILLIS);
     }
 
     /**
-     * As {@link #pass(Runnable)}, for a request whose client waits no longer than that.
+     * As {@link #pass(Runnable)}, with an upper limit for the wait.
      *
-     * @param clientMillis how long the client waits; the request waits at most for that
+     * @param clientTimeoutMillis time for which the client waits for a response; the request waits no longer
      */
-    public void pass(Runnable request, long clientMillis) {
+    public void pass(Runnable request, long clientTimeoutMillis) {
         if (!enqueue(request)) {
             request.run();
             return;
@@ -51,16 +51,16 @@
                         request.run();
                     }
                 },
-                Math.max(0, Math.min(MAX_WAIT_MILLIS, clientMillis)),
+                Math.max(0, Math.min(MAX_WAIT_MILLIS, clientTimeoutMillis)),
                 TimeUnit.MILLISECONDS);
     }
 
-    /** Whether {@link #pass} runs every request at once from now on. */
+    /** Whether {@link #pass} runs every request immediately. */
     public synchronized boolean isOpen() {
         return open;
     }
 
-    /** Number of requests that wait now. */
+    /** Number of requests that are waiting. */
     public synchronized int waitingCount() {
         return waiting.size();
     }
--- a/router/src/main/java/burlarch/router/lifecycle/StartupGateOpener.java
+++ b/router/src/main/java/burlarch/router/lifecycle/StartupGateOpener.java
@@ -6,49 +6,53 @@
 import java.util.Collection;
 
 /**
- * Decides when the startup gate of a router opens that has just received its first configuration and
- * instances. After a start of all controllers instances register one by one; a gate that opened with the first
- * of them would send all waiting requests to it. The gate therefore opens once each service has an instance
- * and none was added for {@link #QUIET_MILLIS}, in any case after {@link #MAX_CLOSED_MILLIS}.
+ * Opener of the startup gate: decides when the gate opens after the router received its first configuration and
+ * instances. After a start of all controllers, instances register one by one; if the gate opened with the first
+ * instance, all waiting requests would be sent to it. Therefore the gate opens once each service has an instance
+ * and none was added for {@link #QUIET_PERIOD_MILLIS}, at the latest after {@link #MAX_CLOSED_MILLIS}.
  *
- * <p>Updates come on one thread; delayed tasks may run on another.
+ * <p>Updates arrive on one thread; delayed tasks may run on another.
  */
 public final class StartupGateOpener {
-    /** Instances that announce themselves frequently have all done so if none was added for this long. */
-    static final long QUIET_MILLIS = 200;
-    /** A service without an instance for this long has none. */
+    /** Instances send heartbeats frequently: if none was added for this long, all have registered. */
+    static final long QUIET_PERIOD_MILLIS = 200;
+    /** A service without an instance for this long is assumed to have none. */
     static final long MAX_CLOSED_MILLIS = 1500;
 
-    private static final int NOTHING_RECEIVED = -1;
+    private static final int NO_UPDATE_RECEIVED = -1;
 
-    private final DelayedExecutor delays;
-    private final Runnable open;
-    private volatile int knownInstances = NOTHING_RECEIVED;
+    private final DelayedExecutor delayedExecutor;
+    private final Runnable openGate;
+    private volatile int knownInstances = NO_UPDATE_RECEIVED;
 
-    /** @param open runs at least once, possibly more often */
-    public StartupGateOpener(DelayedExecutor delays, Runnable open) {
-        this.delays = delays;
-        this.open = open;
+    /**
+     * Creates an opener.
+     *
+     * @param openGate opens the gate; runs at least once, possibly more often
+     */
+    public StartupGateOpener(DelayedExecutor delayedExecutor, Runnable openGate) {
+        this.delayedExecutor = delayedExecutor;
+        this.openGate = openGate;
     }
 
-    /** The complete configuration and all instances that are known now. */
+    /** Called with the configuration in force and all known instances. */
     public void onUpdate(Configuration configuration, Collection<Instance> instances) {
-        int before = knownInstances;
-        int now = instances.size();
-        if (before == NOTHING_RECEIVED) {
-            delays.schedule(open, MAX_CLOSED_MILLIS);
+        int previousCount = knownInstances;
+        int count = instances.size();
+        if (previousCount == NO_UPDATE_RECEIVED) {
+            delayedExecutor.schedule(openGate, MAX_CLOSED_MILLIS);
         }
-        if (now > before) {
-            knownInstances = now;
+        if (count > previousCount) {
+            knownInstances = count;
             if (ServiceAvailability.hasInstanceOfEachService(configuration, instances)) {
-                delays.schedule(() -> openIfUnchanged(now), QUIET_MILLIS);
+                delayedExecutor.schedule(() -> openIfUnchanged(count), QUIET_PERIOD_MILLIS);
             }
         }
     }
 
-    private void openIfUnchanged(int instancesThen) {
-        if (knownInstances == instancesThen) {
-            open.run();
+    private void openIfUnchanged(int countThen) {
+        if (knownInstances == countThen) {
+            openGate.run();
         }
     }
 }
--- a/router/src/main/java/burlarch/router/server/ClientConnectionFactory.java
+++ b/router/src/main/java/burlarch/router/server/ClientConnectionFactory.java
@@ -10,46 +10,45 @@
 import org.eclipse.jetty.server.internal.HttpConnection;
 
 /**
- * Creates client connections that differ from Jetty's in two points.
+ * Factory of client connections, which differ from Jetty's connections in two points.
  *
  * <ul>
- *   <li>The chunked framing is left to {@link ClientResponse}. Jetty sends the line end of a chunk together
- *       with the next chunk: a client that waits for it would receive each event too late.
- *   <li>A request whose body was cut off by the end of input is never taken for complete.
+ *   <li>{@link ClientResponse} does the chunked framing. Jetty sends the line end of a chunk together with the next
+ *       chunk, so that a client that waits for the line end would receive each event too late.
+ *   <li>A request whose body is truncated by the end of input is never treated as complete.
  * </ul>
  */
 public final class ClientConnectionFactory extends HttpConnectionFactory {
-    /** A factory whose connections follow that configuration, also when it changes later. */
+    /** Creates a factory whose connections use the given configuration, including later changes of it. */
     public ClientConnectionFactory(HttpConfiguration configuration) {
         super(configuration);
     }
 
     @Override
     public Connection newConnection(Connector connector, EndPoint endPoint) {
-        return configure(new UnframedConnection(getHttpConfiguration(), connector, endPoint), connector, endPoint);
+        return configure(new PreFramedConnection(getHttpConfiguration(), connector, endPoint), connector, endPoint);
     }
 
-    private static final class UnframedConnection extends HttpConnection {
-        UnframedConnection(HttpConfiguration configuration, Connector connector, EndPoint endPoint) {
+    private static final class PreFramedConnection extends HttpConnection {
+        PreFramedConnection(HttpConfiguration configuration, Connector connector, EndPoint endPoint) {
             super(configuration, connector, endPoint);
         }
 
         @Override
         protected RequestHandler newRequestHandler() {
-            return new CompleteRequests();
+            return new TruncationReportingHandler();
         }
 
         @Override
         protected HttpGenerator newHttpGenerator() {
-            return new UnframedGenerator();
+            return new PreFramedGenerator();
         }
 
         /**
-         * Reports each request that the end of input has cut off within its body. Jetty takes a chunked body
-         * for complete if only the last line end is missing, and may end one silently after the bytes of a
-         * chunk.
+         * Reports each request whose body is truncated by the end of input. Jetty treats a chunked body as complete
+         * if only the last line end is missing, and may end one without an error after the bytes of a chunk.
          */
-        private final class CompleteRequests extends RequestHandler {
+        private final class TruncationReportingHandler extends RequestHandler {
             @Override
             public boolean messageComplete() {
                 if (getParser().isAtEOF()) {
@@ -70,8 +69,8 @@
         }
     }
 
-    /** Announces chunks in the head, and expects a body that is already framed. */
-    private static final class UnframedGenerator extends HttpGenerator {
+    /** Leaves the body as it is: it is already framed as chunks, which the head announces. */
+    private static final class PreFramedGenerator extends HttpGenerator {
         @Override
         public boolean isChunking() {
             return false;
--- a/router/src/main/java/burlarch/router/server/ClientDisconnectWatcher.java
+++ b/router/src/main/java/burlarch/router/server/ClientDisconnectWatcher.java
@@ -10,9 +10,9 @@
 import org.eclipse.jetty.util.thread.Invocable;
 
 /**
- * Detects that a client closes its connection while its request is being handled and nobody else reads. Bytes
- * of a next request are handed to the connection, which processes them after the response. Its callbacks come
- * on Jetty's threads; guarded by this.
+ * Watcher of one client connection: detects that the client closes it while its request is being handled and nothing
+ * else reads from the connection. Bytes of the next request are passed on to the connection, which processes them
+ * after the response. Callbacks run on Jetty's threads; guarded by this.
  */
 final class ClientDisconnectWatcher implements Callback {
     private static final int BUFFER_BYTES = 4096;
@@ -26,20 +26,20 @@
         this.onDisconnect = onDisconnect;
     }
 
-    /** Starts to watch; to be called once the request has been read completely. */
+    /** Starts to watch. Must be called after the request has been read completely. */
     synchronized void start() {
         active = endPoint instanceof AbstractEndPoint && endPoint.tryFillInterested(this);
     }
 
-    /** As {@link #start}, but returns true if the client has already left. */
-    synchronized boolean startAndCheck() {
+    /** As {@link #start}, but returns true if the client has already disconnected. */
+    synchronized boolean startAndCheckDisconnected() {
         if (!(endPoint instanceof AbstractEndPoint)) {
             return false;
         }
-        return hasDisconnected();
+        return readAndCheckDisconnected();
     }
 
-    /** Stops watching; must precede the last write of the response, as the connection reads itself after it. */
+    /** Stops watching. Must precede the last write of the response, after which the connection reads by itself. */
     void stop() {
         synchronized (this) {
             if (!active) {
@@ -58,14 +58,14 @@
                 return;
             }
             active = false;
-            disconnected = hasDisconnected();
+            disconnected = readAndCheckDisconnected();
         }
         if (disconnected) {
             onDisconnect.run();
         }
     }
 
-    private boolean hasDisconnected() {
+    private boolean readAndCheckDisconnected() {
         ByteBuffer buffer = BufferUtil.allocate(BUFFER_BYTES);
         try {
             int filled = endPoint.fill(buffer);
--- a/router/src/main/java/burlarch/router/server/ClientResponse.java
+++ b/router/src/main/java/burlarch/router/server/ClientResponse.java
@@ -17,14 +17,14 @@
 import org.eclipse.jetty.util.Callback;
 
 /**
- * The response to one request of a client: the forwarded response of an instance, or one of the router's own.
- * It ends at most once, by {@link #finish}, {@link #respond} or {@link #abort}; the first of them wins. The
- * calls come one after another. Owned by its exchange.
+ * Response to one client request: either the forwarded response of an instance or one that the router generates.
+ * It ends at most once, by the first call of {@link #finish}, {@link #respond} or {@link #abort}; later calls are
+ * ignored. Not thread-safe: owned by its exchange.
  */
 public final class ClientResponse {
-    /** What happens to the client's connection after a response of the router's own. */
+    /** State of the client's connection after a response that the router generated. */
     public enum ConnectionAfter {
-        /** The connection may carry another request, unless the router drains. */
+        /** The connection may carry another request, unless the router is draining. */
         REUSABLE,
         /** The response announces that the connection closes. */
         CLOSED
@@ -57,14 +57,14 @@
     }
 
     /**
-     * As {@link #watchDisconnect}, for a request that has waited: its client may have left while nobody
-     * watched.
+     * As {@link #watchDisconnect}, for a request that has waited: its client may have disconnected unnoticed
+     * in the meantime.
      *
      * @return whether the client is still connected
      */
     public boolean watchDisconnectAfterWait(Runnable onDisconnect) {
         watcher = new ClientDisconnectWatcher(endPoint, onDisconnect);
-        return !watcher.startAndCheck();
+        return !watcher.startAndCheckDisconnected();
     }
 
     /** Whether the client's connection is still open on this side. */
@@ -72,7 +72,7 @@
         return endPoint.isOpen();
     }
 
-    /** Sets status and headers of an instance's response; they are sent with the first write. */
+    /** Sets the status and headers of an instance's response; they are sent with the first write. */
     public void forwardHead(int status, HttpFields fields) {
         response.setStatus(status);
         HttpFields.Mutable headers = response.getHeaders();
@@ -85,12 +85,12 @@
         announceCloseIfDraining(headers);
         chunked = status != 204 && status != 304 && !headers.contains(HttpHeader.CONTENT_LENGTH);
         if (chunked) {
-            // Set explicitly: a body must not end with the connection, as a truncated one would look complete.
+            // Set explicitly: a truncated body would look complete if the end of the connection marked its end.
             headers.put(HttpHeader.TRANSFER_ENCODING, "chunked");
         }
     }
 
-    /** Sends bytes of the body at once. The content must not change until {@code written} completes. */
+    /** Sends bytes of the body immediately. The content must not change until {@code written} completes. */
     public void write(ByteBuffer content, Callback written) {
         response.write(false, chunked ? ChunkedFraming.chunk(content) : content, written);
     }
@@ -98,7 +98,7 @@
     /**
      * Ends the response as complete.
      *
-     * @param lastBytes of a body with a Content-Length
+     * @param lastBytes last bytes of a body with a Content-Length; ignored for a chunked body
      */
     public void finish(ByteBuffer lastBytes) {
         if (endOnce()) {
@@ -107,7 +107,7 @@
     }
 
     /**
-     * Ends the response with a status of the router's own and no body.
+     * Ends the response with a status that the router generates and without a body.
      *
      * @param retryAfter value of Retry-After, or null
      */
@@ -117,9 +117,9 @@
         }
         response.setStatus(status);
         HttpFields.Mutable headers = response.getHeaders();
-        String id = request.getHeaders().get(Headers.REQUEST_ID);
-        if (id != null) {
-            headers.put(Headers.REQUEST_ID, id);
+        String requestId = request.getHeaders().get(Headers.REQUEST_ID);
+        if (requestId != null) {
+            headers.put(Headers.REQUEST_ID, requestId);
         }
         if (retryAfter != null) {
             headers.put(Headers.RETRY_AFTER, retryAfter);
@@ -146,7 +146,7 @@
         }
     }
 
-    /** The request is in flight until its response is written or its connection is closed. */
+    /** Ends the request when its response is written or its connection is closed; until then it is in flight. */
     private Callback onWritten() {
         return new Callback.Nested(callback) {
             @Override
--- a/router/src/main/java/burlarch/router/server/EmptyErrorHandler.java
+++ b/router/src/main/java/burlarch/router/server/EmptyErrorHandler.java
@@ -7,7 +7,7 @@
 import org.eclipse.jetty.util.BufferUtil;
 import org.eclipse.jetty.util.Callback;
 
-/** Responds to a malformed request with a status and no body, and closes the connection. */
+/** Error handler that responds to a malformed request without a body and closes the connection. */
 public final class EmptyErrorHandler implements Request.Handler {
     @Override
     public boolean handle(Request request, Response response, Callback callback) {
--- a/router/src/main/java/burlarch/router/server/RequestBodyReader.java
+++ b/router/src/main/java/burlarch/router/server/RequestBodyReader.java
@@ -7,30 +7,30 @@
 import org.eclipse.jetty.util.thread.Invocable;
 
 /**
- * Reads the complete body of one request without blocking, up to a limit. Runs on Jetty's threads, one call
+ * Non-blocking reader of the complete body of one request, up to a size limit. Runs on Jetty's threads, one call
  * after another.
  */
 public final class RequestBodyReader implements Invocable.Task {
-    private static final int INITIAL_BYTES = 1024;
+    private static final int INITIAL_BUFFER_BYTES = 1024;
 
-    /** Receives the result; exactly one method is called, once. */
+    /** Receives the result; exactly one of the methods is called, once. */
     public interface Listener {
-        /** The complete body; empty if the request has none. */
+        /** Called with the complete body; empty if the request has none. */
         void onBody(ByteBuffer body);
 
-        /** The body exceeds the limit; the rest is not read. */
+        /** Called if the body exceeds the limit; the rest is not read. */
         void onTooLarge();
 
-        /** The client has disconnected, sent nothing in time, or violated the protocol. */
+        /** Called if the client has disconnected, timed out or violated the protocol. */
         void onFailure(Throwable cause);
     }
 
     private final Request request;
     private final int maxBytes;
     private final Listener listener;
-    private ByteArrayOutputStream bytes;
+    private ByteArrayOutputStream received;
 
-    /** A reader that has not started; {@link #run} starts it. */
+    /** Creates a reader that has not started; {@link #run} starts it. */
     public RequestBodyReader(Request request, int maxBytes, Listener listener) {
         this.request = request;
         this.maxBytes = maxBytes;
@@ -42,7 +42,7 @@
         return InvocationType.NON_BLOCKING;
     }
 
-    /** Reads what is available and asks to be run again when there is more. */
+    /** Reads the available bytes and asks Jetty to run it again when there are more. */
     @Override
     public void run() {
         while (true) {
@@ -63,27 +63,27 @@
                 return;
             }
             if (last) {
-                listener.onBody(bytes == null ? ByteBuffer.allocate(0) : ByteBuffer.wrap(bytes.toByteArray()));
+                listener.onBody(received == null ? ByteBuffer.allocate(0) : ByteBuffer.wrap(received.toByteArray()));
                 return;
             }
         }
     }
 
-    /** Returns false if the limit is exceeded. */
+    /** Appends a chunk. Returns false if the size limit is exceeded. */
     private boolean append(ByteBuffer chunk) {
         int length = chunk.remaining();
         if (length == 0) {
             return true;
         }
-        if (bytes == null) {
-            bytes = new ByteArrayOutputStream((int) Math.min(maxBytes, Math.max(INITIAL_BYTES, length)));
+        if (received == null) {
+            received = new ByteArrayOutputStream((int) Math.min(maxBytes, Math.max(INITIAL_BUFFER_BYTES, length)));
         }
-        if (length > maxBytes - bytes.size()) {
+        if (length > maxBytes - received.size()) {
             return false;
         }
         byte[] copy = new byte[length];
         chunk.get(copy);
-        bytes.write(copy, 0, length);
+        received.write(copy, 0, length);
         return true;
     }
 }
--- a/router/src/main/java/burlarch/router/server/RequestReader.java
+++ b/router/src/main/java/burlarch/router/server/RequestReader.java
@@ -10,7 +10,7 @@
 import org.eclipse.jetty.http.HttpHeader;
 import org.eclipse.jetty.http.HttpURI;
 
-/** Finds route, tenant, deadline and hints of a request by its head and the configuration in force. */
+/** Reader of request heads: determines route, tenant, deadline and placement hints by the configuration in force. */
 public final class RequestReader {
     private static final long MAX_DEADLINE_MILLIS = 3_600_000;
     private static final long NANOS_PER_MILLI = 1_000_000;
@@ -20,17 +20,17 @@
 
     private RequestReader() {}
 
-    /** What the configuration says of a request. */
+    /** Result of reading a request head. */
     public sealed interface Result {}
 
-    /** The request is to be forwarded. */
+    /** The request may be forwarded. */
     public record Accepted(RouteRequest request) implements Result {}
 
-    /** The request is to be answered with that status. */
+    /** The request is rejected with the given status. */
     public record Rejected(int status) implements Result {}
 
     /**
-     * Reads a request.
+     * Reads the head of a request.
      *
      * @param receivedNanos when the head was received, by {@link System#nanoTime}
      */
@@ -44,12 +44,12 @@
         if (route == null) {
             return NOT_FOUND;
         }
-        String key = Headers.singleValue(fields, Headers.CREDENTIAL);
-        Tenant tenant = key == null ? null : table.tenantOf(key);
+        String apiKey = Headers.singleValue(fields, Headers.CREDENTIAL);
+        Tenant tenant = apiKey == null ? null : table.tenantOf(apiKey);
         if (tenant == null && table.requiresKey() && !route.isPublic()) {
             return UNAUTHORIZED;
         }
-        int[] usage = HintHeaders.tokenUsage(fields.get("X-Token-Usage"));
+        int[] tokenUsage = HintHeaders.tokenUsage(fields.get("X-Token-Usage"));
         long deadlineMillis =
                 Math.min(Headers.parseNumber(fields.get(Headers.DEADLINE), MAX_DEADLINE_MILLIS), route.timeoutMillis());
         return new Accepted(new RouteRequest(
@@ -57,15 +57,15 @@
                 route,
                 tenant,
                 fields.get("X-Model"),
-                usage[0],
-                usage[1],
+                tokenUsage[0],
+                tokenUsage[1],
                 HintHeaders.promptSegments(fields.get("X-Prefix-Hash")),
                 fields.contains(Headers.LAST_EVENT_ID),
                 receivedNanos,
                 receivedNanos + deadlineMillis * NANOS_PER_MILLI));
     }
 
-    /** The host without its port; the route table matches names in lower case. */
+    /** Returns the host name without the port; the route table matches names in lower case. */
     private static String hostName(String host) {
         if (host == null) {
             return "";
@@ -74,7 +74,7 @@
         return colon < 0 ? host : host.substring(0, colon);
     }
 
-    /** Whether a target can be forwarded byte for byte: visible ASCII only, starting with a slash. */
+    /** Whether a target can be forwarded unchanged: it contains only visible ASCII and starts with a slash. */
     private static boolean isForwardable(String target) {
         if (target == null) {
             return false;
