--- a/router/src/main/java/burlarch/router/AttemptLog.java
+++ b/router/src/main/java/burlarch/router/AttemptLog.java
@@ -4,18 +4,18 @@
 import org.tinylog.Logger;
 
 /**
- * Logs each attempt with what was planned and what became of it, for measurements. Off unless the system property
- * {@value #PROPERTY} is true: a line for each attempt costs processor time.
+ * Log of all attempts, with the plan and the outcome of each, for measurements. Disabled unless the system property
+ * {@value #PROPERTY} is true, because a line for each attempt costs processor time.
  */
 final class AttemptLog implements AttemptObserver {
-    /** Name of the system property that switches the log on. */
+    /** Name of the system property that enables the log. */
     static final String PROPERTY = "burlarch.attempt.log";
 
     private static final long NANOS_PER_MILLI = 1_000_000;
 
     private AttemptLog() {}
 
-    /** The log, or an observer that does nothing if it is off. */
+    /** Returns the log, or an observer that does nothing if the log is disabled. */
     static AttemptObserver ifEnabled() {
         return Boolean.getBoolean(PROPERTY) ? new AttemptLog() : NONE;
     }
--- a/router/src/main/java/burlarch/router/ControllerUpdateApplier.java
+++ b/router/src/main/java/burlarch/router/ControllerUpdateApplier.java
@@ -13,8 +13,9 @@
 import org.tinylog.Logger;
 
 /**
- * Puts the updates of the controllers into effect. The router becomes ready, and its startup gate is prepared
- * to open, once it has both a configuration and instances. Runs on the event loop.
+ * Handler that puts the updates of the controllers into effect. Once the router has both a configuration and
+ * instances, it becomes ready and {@link StartupGateOpener} decides when its startup gate opens. Runs on the event
+ * loop.
  */
 final class ControllerUpdateApplier implements ControllerLinks.UpdateHandler {
     private final Planner planner;
@@ -24,9 +25,9 @@
     private final RouterCountMonitor routerCount;
     private final PrefixCacheEventPublisher publisher;
     private final StartupGateOpener gateOpener;
-    /** Null until one is in force. */
+    /** Null until a configuration is in force. */
     private Configuration configuration;
-    /** Null until instances were received. */
+    /** Null until instances are received. */
     private MergedInstanceView instances;
 
     ControllerUpdateApplier(
@@ -48,11 +49,11 @@
     @Override
     public boolean onConfiguration(long version, byte[] json) {
         try {
-            Configuration newer = ConfigurationDocument.parseTrusted(json);
-            server.onConfiguration(newer);
-            sources.onConfiguration(newer);
-            configuration = newer;
-            becomeReadyIfInformed();
+            Configuration newConfiguration = ConfigurationDocument.parseTrusted(json);
+            server.onConfiguration(newConfiguration);
+            sources.onConfiguration(newConfiguration);
+            configuration = newConfiguration;
+            updateReadiness();
             return true;
         } catch (InvalidConfigurationException invalid) {
             Logger.error("configuration unreadable: version={} error={}", version, invalid.getMessage());
@@ -61,13 +62,13 @@
     }
 
     @Override
-    public void onInstances(MergedInstanceView merged) {
+    public void onInstances(MergedInstanceView mergedInstances) {
         synchronized (plannerLock) {
-            planner.onInstances(merged.instances(), System.nanoTime());
+            planner.onInstances(mergedInstances.instances(), System.nanoTime());
         }
-        sources.onInstances(merged.instances());
-        instances = merged;
-        becomeReadyIfInformed();
+        sources.onInstances(mergedInstances.instances());
+        instances = mergedInstances;
+        updateReadiness();
     }
 
     @Override
@@ -85,7 +86,7 @@
         publisher.onBatch(batch);
     }
 
-    private void becomeReadyIfInformed() {
+    private void updateReadiness() {
         if (configuration != null && instances != null) {
             server.setReady(true);
             gateOpener.onUpdate(configuration, instances.instances());
--- a/router/src/main/java/burlarch/router/RouterProgram.java
+++ b/router/src/main/java/burlarch/router/RouterProgram.java
@@ -39,13 +39,13 @@
 import java.util.function.Consumer;
 import org.tinylog.Logger;
 
-/** The router program: assembles its parts and starts them. */
+/** Entry point of the router program: creates its components and starts them. */
 public final class RouterProgram {
     private static final double NANOS_PER_SECOND = 1e9;
 
     private RouterProgram() {}
 
-    /** Starts the router; it runs on threads of its own until a signal ends it. */
+    /** Starts the router, which runs on its own threads until it is terminated by a signal. */
     public static void run(NodeSettings settings) throws Exception {
         Planner planner = new FleetPlanner(plannerSettings(settings), AttemptLog.ifEnabled());
         Object plannerLock = new Object();
@@ -53,15 +53,15 @@
         Optional<ConfigurationConfirmer> confirmer = confirmer(settings, loop);
         RouterServer server = startServer(settings, planner, plannerLock, confirmer);
         String name = NodeAddresses.memberName(settings, NodeRoles.ROUTER);
-        PrefixIndexUpdater index = new PrefixIndexUpdater(planner, plannerLock);
-        PrefixCacheEventPublisher publisher = new PrefixCacheEventPublisher(loop, index);
+        PrefixIndexUpdater indexUpdater = new PrefixIndexUpdater(planner, plannerLock);
+        PrefixCacheEventPublisher publisher = new PrefixCacheEventPublisher(loop, indexUpdater);
         KvEventSubscriber subscriber = new KvEventSubscriber(
                 new EngineClient(server.newEngineHttp()),
                 publisher,
                 server.delays(),
                 System::nanoTime,
                 () -> ThreadLocalRandom.current().nextDouble());
-        SourceSubscriptions sources = new SourceSubscriptions(name, subscriber, index);
+        SourceSubscriptions sources = new SourceSubscriptions(name, subscriber, indexUpdater);
         RouterCountMonitor routerCount = new RouterCountMonitor(
                 loop,
                 new RouterCountTracker(
@@ -72,15 +72,17 @@
                 sources::onRouterCount);
         ControllerLinks links = new ControllerLinks(
                 new ControllerUpdateApplier(planner, plannerLock, server, sources, routerCount, publisher), confirmer);
-        RouterPositionTracker position = new RouterPositionTracker(name, settings.zone());
-        MembershipService membership = join(settings, loop, links, routerCount, sources, members -> {
-            if (position.onMembers(members)) {
-                setPosition(planner, plannerLock, position.position());
+        RouterPositionTracker positionTracker = new RouterPositionTracker(name, settings.zone());
+        MembershipService membership = joinMembership(settings, loop, links, routerCount, sources, members -> {
+            if (positionTracker.onMembers(members)) {
+                setPosition(planner, plannerLock, positionTracker.position());
             }
         });
-        confirmer.ifPresent(started -> loop.execute(() -> started.start(links::connectedControllers)));
+        confirmer.ifPresent(
+                startedConfirmer -> loop.execute(() -> startedConfirmer.start(links::connectedControllers)));
         loop.execute(() -> publisher.start(sources::isShared, () -> links.publishingController(name, settings.zone())));
-        SettingsFileWatcher.start(newer -> loop.execute(() -> links.addControllers(NodeAddresses.seeds(newer))));
+        SettingsFileWatcher.start(
+                newSettings -> loop.execute(() -> links.addControllers(NodeAddresses.seeds(newSettings))));
         ShutdownHook.onSignal(() -> {
             server.drain().join();
             membership.leaveWithinTimeout();
@@ -91,7 +93,7 @@
                 settings.listen().front());
     }
 
-    /** Only where the revocation of a key has a bound of its own, because each confirmation costs a quorum read. */
+    /** Present only if the revocation of keys has a time limit, because each confirmation costs a quorum read. */
     private static Optional<ConfigurationConfirmer> confirmer(NodeSettings settings, SelectorEventLoop loop) {
         return settings.bounds().revocation()
                 ? Optional.of(new ConfigurationConfirmer(loop, settings.bounds().revokeNanos()))
@@ -115,8 +117,8 @@
         return server;
     }
 
-    /** Connects to the controllers and joins the membership. */
-    private static MembershipService join(
+    /** Connects to the controllers and joins the membership on the event loop. */
+    private static MembershipService joinMembership(
             NodeSettings settings,
             SelectorEventLoop loop,
             ControllerLinks links,
--- a/router/src/main/java/burlarch/router/RouterServer.java
+++ b/router/src/main/java/burlarch/router/RouterServer.java
@@ -35,16 +35,16 @@
 import org.eclipse.jetty.util.thread.Scheduler;
 
 /**
- * The router's data path: accepts requests of clients, has the planner place them, and forwards requests and
- * responses. Owns the server, the client towards the instances, and their threads. Its methods may be called
- * on any thread; {@link #start} comes first and {@link #close} last.
+ * Data path of the router: accepts client requests, has the planner place them, and forwards requests and responses.
+ * Owns the HTTP server, the HTTP client for the instances, and their threads. The methods may be called on any
+ * thread; {@link #start} must be called first and {@link #close} last.
  */
 public final class RouterServer implements AutoCloseable {
     private static final int MAX_THREADS = 8;
     private static final int MIN_THREADS = 4;
     private static final long STOP_TIMEOUT_MILLIS = 200;
-    private static final int ACCEPT_QUEUE = 512;
-    /** Further clients wait in the accept queue of the socket. */
+    private static final int ACCEPT_QUEUE_SIZE = 512;
+    /** Maximum number of client connections; further clients wait in the accept queue of the socket. */
     private static final int MAX_CLIENT_CONNECTIONS = 2500;
 
     private static final int POOL_FACTOR_BYTES = 4096;
@@ -54,55 +54,55 @@
     private static final int DEFAULT_REQUEST_HEAD_BYTES = 16384;
     private static final int RESPONSE_HEAD_BYTES = 16384;
     private static final long DEFAULT_IDLE_TIMEOUT_MILLIS = 60_000;
-    /** Idle connections are kept this much longer than the configuration states. */
+    /** Idle client connections are kept this much longer than the configured timeout. */
     private static final long IDLE_TIMEOUT_SLACK_MILLIS = 1000;
 
     private final RouterServerSettings settings;
-    private final Function<Configuration, RouteTable> routeTables;
+    private final Function<Configuration, RouteTable> routeTableFactory;
     private final SynchronizedPlanner planner;
     private final Scheduler scheduler = new ScheduledExecutorScheduler("router-timer", true);
     private final Server server;
     private final UpstreamClient client;
     private final StartupGate startupGate = new StartupGate(scheduler);
-    private final InFlightRequests requests = new InFlightRequests();
+    private final InFlightRequests inFlightRequests = new InFlightRequests();
     private final DrainState drainState = new DrainState();
     private final ForwardingContext context;
     private final ClientRequestHandler handler;
-    private final HttpConfiguration http = httpConfiguration();
-    private ServerConnector front;
-    private ServerConnector readiness;
+    private final HttpConfiguration httpConfiguration = newHttpConfiguration();
+    private ServerConnector clientConnector;
+    private ServerConnector readinessConnector;
     private volatile boolean ready;
     private volatile boolean draining;
     /** Null until the drain starts; guarded by this. */
     private CompletableFuture<Void> drained;
 
     /**
-     * A data path that has not been started.
+     * Creates a data path that has not been started.
      *
-     * @param planner called under {@code plannerLock} only
-     * @param routeTables prepares a configuration for lookups
+     * @param planner called only while {@code plannerLock} is held
+     * @param routeTableFactory creates the route table of a configuration
      */
     public RouterServer(
             RouterServerSettings settings,
             Planner planner,
             Object plannerLock,
-            Function<Configuration, RouteTable> routeTables) {
-        this(settings, planner, plannerLock, routeTables, CredentialValidity.UNBOUNDED);
+            Function<Configuration, RouteTable> routeTableFactory) {
+        this(settings, planner, plannerLock, routeTableFactory, CredentialValidity.UNBOUNDED);
     }
 
     /**
      * As {@link #RouterServer(RouterServerSettings, Planner, Object, Function)}.
      *
-     * @param credentials whether requests that need a key are forwarded at the moment
+     * @param credentials decides whether requests that need an API key are forwarded at the moment
      */
     public RouterServer(
             RouterServerSettings settings,
             Planner planner,
             Object plannerLock,
-            Function<Configuration, RouteTable> routeTables,
+            Function<Configuration, RouteTable> routeTableFactory,
             CredentialValidity credentials) {
         this.settings = settings;
-        this.routeTables = routeTables;
+        this.routeTableFactory = routeTableFactory;
         this.planner = new SynchronizedPlanner(planner, plannerLock);
         QueuedThreadPool threads = newThreadPool();
         this.server = new Server(
@@ -118,7 +118,7 @@
         this.client = new UpstreamClient(threads, scheduler, settings.connectTimeoutMillis());
         this.context = new ForwardingContext(this.planner, client, scheduler, startupGate, drainState, credentials);
         this.handler = new ClientRequestHandler(
-                requests, drainState, () -> ready && !draining, (request, response) -> new Exchange(
+                inFlightRequests, drainState, () -> ready && !draining, (request, response) -> new Exchange(
                                 context, request, response)
                         .start());
     }
@@ -131,23 +131,23 @@
         return threads;
     }
 
-    private static HttpConfiguration httpConfiguration() {
-        HttpConfiguration http = new HttpConfiguration();
-        http.setSendServerVersion(false);
-        http.setSendDateHeader(false);
-        http.setUriCompliance(UriCompliance.UNSAFE);
-        http.setRequestHeaderSize(DEFAULT_REQUEST_HEAD_BYTES);
-        http.setResponseHeaderSize(RESPONSE_HEAD_BYTES);
-        return http;
+    private static HttpConfiguration newHttpConfiguration() {
+        HttpConfiguration httpConfiguration = new HttpConfiguration();
+        httpConfiguration.setSendServerVersion(false);
+        httpConfiguration.setSendDateHeader(false);
+        httpConfiguration.setUriCompliance(UriCompliance.UNSAFE);
+        httpConfiguration.setRequestHeaderSize(DEFAULT_REQUEST_HEAD_BYTES);
+        httpConfiguration.setResponseHeaderSize(RESPONSE_HEAD_BYTES);
+        return httpConfiguration;
     }
 
-    /** Listens at both addresses. */
+    /** Starts to listen at the addresses for clients and for readiness checks. */
     public void start() throws Exception {
-        front = addConnector(settings.front());
-        front.setAcceptQueueSize(ACCEPT_QUEUE);
-        readiness = addConnector(settings.readiness());
-        handler.setReadinessConnector(readiness);
-        server.addBean(new ConnectionLimit(MAX_CLIENT_CONNECTIONS, front));
+        clientConnector = addConnector(settings.front());
+        clientConnector.setAcceptQueueSize(ACCEPT_QUEUE_SIZE);
+        readinessConnector = addConnector(settings.readiness());
+        handler.setReadinessConnector(readinessConnector);
+        server.addBean(new ConnectionLimit(MAX_CLIENT_CONNECTIONS, clientConnector));
         server.setHandler(handler);
         server.setErrorHandler(new EmptyErrorHandler());
         server.setStopAtShutdown(false);
@@ -157,7 +157,7 @@
 
     private ServerConnector addConnector(InetSocketAddress address) {
         ServerConnector connector =
-                new ServerConnector(server, null, null, null, 0, 1, new ClientConnectionFactory(http));
+                new ServerConnector(server, null, null, null, 0, 1, new ClientConnectionFactory(httpConfiguration));
         connector.setHost(address.getAddress().getHostAddress());
         connector.setPort(address.getPort());
         connector.setIdleTimeout(DEFAULT_IDLE_TIMEOUT_MILLIS);
@@ -166,68 +166,68 @@
     }
 
     /**
-     * A client for calls to engines that are no requests of clients, on the threads and buffers of this
-     * server; to be called once it has started.
+     * Creates an HTTP client for calls to engines other than forwarded requests. It uses the threads and buffers of
+     * this server. Must be called after {@link #start}.
      */
     public HttpClient newEngineHttp() throws Exception {
         return EngineHttpClientFactory.start(server.getThreadPool(), scheduler, server.getByteBufferPool());
     }
 
-    /** Runs tasks later, on the timer thread of this server. */
+    /** Executor of delayed tasks on the timer thread of this server. */
     public DelayedExecutor delays() {
         return (task, delayMillis) -> scheduler.schedule(task, delayMillis, TimeUnit.MILLISECONDS);
     }
 
-    /** Port for clients, also if the settings leave its choice to the system. */
+    /** Actual port for clients, also if the settings let the system choose it. */
     public int frontPort() {
-        return front.getLocalPort();
+        return clientConnector.getLocalPort();
     }
 
-    /** Port for readiness checks. */
+    /** Actual port for readiness checks. */
     public int readinessPort() {
-        return readiness.getLocalPort();
+        return readinessConnector.getLocalPort();
     }
 
-    /** Puts a configuration into force for requests from now on. */
+    /** Applies a configuration to all requests that are read from now on. */
     public void onConfiguration(Configuration configuration) {
-        RouteTable routeTable = routeTables.apply(configuration);
+        RouteTable routeTable = routeTableFactory.apply(configuration);
         Limits limits = configuration.limits();
         if (limits != null) {
-            http.setRequestHeaderSize(limits.maxHeaderBytes());
-            front.setIdleTimeout(limits.idleTimeoutMillis() + IDLE_TIMEOUT_SLACK_MILLIS);
+            httpConfiguration.setRequestHeaderSize(limits.maxHeaderBytes());
+            clientConnector.setIdleTimeout(limits.idleTimeoutMillis() + IDLE_TIMEOUT_SLACK_MILLIS);
         }
         planner.onConfiguration(configuration);
         context.setRouteTable(routeTable);
     }
 
-    /** Lets the requests pass that wait for the first configuration; from now on none waits. */
+    /** Releases the requests that wait for the first configuration; from now on no request waits. */
     public void openStartupGate() {
         startupGate.open();
     }
 
-    /** Number of requests that wait for the first configuration. */
+    /** Number of requests that are waiting for the first configuration. */
     int waitingRequests() {
         return startupGate.waitingCount();
     }
 
-    /** Whether the platform may send clients to this router. */
-    public void setReady(boolean now) {
-        ready = now;
+    /** Sets whether the platform may direct clients to this router. */
+    public void setReady(boolean isReady) {
+        ready = isReady;
     }
 
     /**
-     * Starts the graceful shutdown; completes when no request is in flight or the time is over. {@link #close}
-     * comes next.
+     * Starts the graceful shutdown. The result completes when no request is in flight or the drain schedule is over;
+     * then {@link #close} may be called.
      */
     public CompletableFuture<Void> drain() {
         return drain(DrainSchedule.within(settings.graceMillis()));
     }
 
-    /** As {@link #drain()}, by another schedule. */
+    /** As {@link #drain()}, with the given schedule. */
     synchronized CompletableFuture<Void> drain(DrainSchedule schedule) {
         if (drained == null) {
             draining = true;
-            Drain drain = new Drain(requests, front, scheduler, schedule);
+            Drain drain = new Drain(inFlightRequests, clientConnector, scheduler, schedule);
             drainState.onDrainStarted(drain);
             drained = drain.done();
         }
--- a/router/src/main/java/burlarch/router/RouterServerSettings.java
+++ b/router/src/main/java/burlarch/router/RouterServerSettings.java
@@ -5,14 +5,14 @@
 /**
  * Settings of the router's data path.
  *
- * @param front address for clients
- * @param readiness address for readiness checks of the platform
- * @param graceMillis time between SIGTERM and SIGKILL
- * @param connectTimeoutMillis maximum time until a connection to an instance is established
+ * @param front listen address for clients
+ * @param readiness listen address for readiness checks of the platform
+ * @param graceMillis time between SIGTERM and SIGKILL, in milliseconds
+ * @param connectTimeoutMillis maximum time to establish a connection to an instance, in milliseconds
  */
 public record RouterServerSettings(
         InetSocketAddress front, InetSocketAddress readiness, long graceMillis, long connectTimeoutMillis) {
-    /** An attempt at an instance that takes longer to accept has failed; nothing was sent to it by then. */
+    /** Default connect timeout. An attempt that cannot connect in this time has failed without sending anything. */
     public static final long CONNECT_TIMEOUT_MILLIS = 800;
 
     /** Settings with the default connect timeout. */
--- a/router/src/main/java/burlarch/router/control/ConfigurationConfirmer.java
+++ b/router/src/main/java/burlarch/router/control/ConfigurationConfirmer.java
@@ -12,29 +12,26 @@
 import org.tinylog.Logger;
 
 /**
- * Has the configuration in force confirmed by a controller periodically, so that keys are accepted only as long as
- * none of
- * them can have been revoked for longer than the deployment allows. A router that no controller with a quorum
- * responds to
- * accepts no keys once that time is over, until one responds again.
+ * Periodic confirmation of the configuration in force by a controller. API keys are accepted only while none of them
+ * can have been revoked for longer than the deployment allows. Without a response of a controller that has a quorum,
+ * the router stops accepting keys when that time has passed, until a controller responds again.
  *
- * <p>All routers prefer the same controller, the first by name, so that one quorum read serves many of them. A
- * controller
- * without a quorum does not respond, and the next one is asked. Runs on the event loop; {@link #mayAccept} on any
- * thread.
+ * <p>All routers prefer the same controller, the first by name, so that one quorum read serves many routers. A
+ * controller without a quorum does not respond, and the router asks the next one. Runs on the event loop;
+ * {@link #mayAccept} may be called on any thread.
  */
 public final class ConfigurationConfirmer {
-    /** Time from one confirmed request to the next. */
+    /** Interval between confirmed requests. */
     static final long PERIOD_NANOS = 1_500_000_000L;
-    /** How long a controller may take to respond before the next one is asked. */
+    /** Time for a controller to respond before the router asks the next one. */
     static final long RESPONSE_TIMEOUT_NANOS = 700_000_000L;
-    /** How often it is checked whether a request is due. */
+    /** Interval of the check whether a request is due. */
     static final long CHECK_INTERVAL_NANOS = 250_000_000L;
 
     private static final long NANOS_PER_MILLI = 1_000_000L;
 
-    /** Whether keys are accepted; updated at each check, for the log alone. */
-    private enum State {
+    /** Whether keys are accepted; updated at each check and used only for logging. */
+    private enum KeyState {
         KEYS_REJECTED,
         KEYS_ACCEPTED
     }
@@ -43,19 +40,23 @@
     private final long maxAgeNanos;
     private final ConfigurationConfirmation confirmation = new ConfigurationConfirmation();
     private Supplier<Collection<PeerConnection>> controllers = List::of;
-    private int unanswered;
-    private State state = State.KEYS_REJECTED;
+    private int unansweredRequests;
+    private KeyState keyState = KeyState.KEYS_REJECTED;
 
-    /** @param maxAgeNanos for how long after its confirmation the configuration's keys are accepted */
+    /**
+     * Creates a confirmer that has not started.
+     *
+     * @param maxAgeNanos time after a confirmation for which the keys of the configuration are accepted
+     */
     public ConfigurationConfirmer(EventLoop loop, long maxAgeNanos) {
         this.loop = loop;
         this.maxAgeNanos = maxAgeNanos;
     }
 
     /**
-     * Starts to send requests; to be called once, on the loop.
+     * Starts to send requests. Must be called once, on the event loop.
      *
-     * @param connectedControllers the controllers that are connected at the moment
+     * @param connectedControllers supplies the controllers that are connected at the moment
      */
     public void start(Supplier<Collection<PeerConnection>> connectedControllers) {
         controllers = connectedControllers;
@@ -63,20 +64,20 @@
     }
 
     private void check() {
-        reportState();
+        logKeyStateChange();
         if (isRequestDue()) {
             request();
         }
         loop.schedule(CHECK_INTERVAL_NANOS, this::check);
     }
 
-    private void reportState() {
-        State next = mayAccept(loop.nanoTime()) ? State.KEYS_ACCEPTED : State.KEYS_REJECTED;
-        if (next == state) {
+    private void logKeyStateChange() {
+        KeyState next = mayAccept(loop.nanoTime()) ? KeyState.KEYS_ACCEPTED : KeyState.KEYS_REJECTED;
+        if (next == keyState) {
             return;
         }
-        state = next;
-        if (state == State.KEYS_ACCEPTED) {
+        keyState = next;
+        if (keyState == KeyState.KEYS_ACCEPTED) {
             Logger.info("configuration confirmed, keys are accepted");
         } else {
             Logger.warn(
@@ -94,7 +95,7 @@
         if (now - confirmation.requestedAtNanos() < RESPONSE_TIMEOUT_NANOS) {
             return false;
         }
-        unanswered++;
+        unansweredRequests++;
         return true;
     }
 
@@ -104,31 +105,31 @@
             return;
         }
         connected.sort(Comparator.comparing(connection -> connection.peerHello().nodeName()));
-        PeerConnection chosen = connected.get(Math.floorMod(unanswered, connected.size()));
-        chosen.send(new ConfirmConfiguration(confirmation.onRequest(loop.nanoTime())));
+        PeerConnection controller = connected.get(Math.floorMod(unansweredRequests, connected.size()));
+        controller.send(new ConfirmConfiguration(confirmation.onRequest(loop.nanoTime())));
     }
 
-    /** A controller is connected. A router that has just started asks it at once. */
+    /** Called when a controller is connected. A router that has just started sends it a request immediately. */
     void onControllerConnected() {
         if (!confirmation.isPending() && isRequestDue()) {
             request();
         }
     }
 
-    /** A controller has responded; {@code inForceVersion} is 0 while no configuration is in force. */
+    /** Called when a controller has responded; {@code inForceVersion} is 0 while no configuration is in force. */
     void onConfirmed(ConfigurationConfirmed response, long inForceVersion) {
         confirmation.onResponse(response.request(), response.version(), inForceVersion);
     }
 
-    /** A configuration is in force. */
+    /** Called when the given version is in force. */
     void onInForce(long version) {
         confirmation.onInForce(version);
     }
 
     /**
-     * Whether keys may be accepted from a request.
+     * Whether the API key of a request may be accepted.
      *
-     * @param receivedNanos when the request was received, by the loop's clock
+     * @param receivedNanos time at which the request was received, by the clock of the event loop
      */
     public boolean mayAccept(long receivedNanos) {
         return confirmation.isConfirmedSince(receivedNanos - maxAgeNanos);
--- a/router/src/main/java/burlarch/router/control/ConfigurationInForce.java
+++ b/router/src/main/java/burlarch/router/control/ConfigurationInForce.java
@@ -5,18 +5,19 @@
 import burlarch.transport.NodeMessage.ConfigurationChange;
 
 /**
- * The configuration that a router has in force, as the bytes that were committed. Immutable; nobody may write
- * to the document.
+ * Configuration that a router has in force, as the committed bytes. Immutable: callers must not modify the
+ * document.
  *
- * @param version 0 if there is none
+ * @param version version of the configuration; 0 if there is none
+ * @param document committed bytes of the configuration
  */
 record ConfigurationInForce(long version, byte[] document) {
     static final ConfigurationInForce NONE = new ConfigurationInForce(0, DocumentDelta.NO_BASE);
 
     /**
-     * The configuration that results from applying a change to this one.
+     * Returns the configuration that results from applying a change to this one.
      *
-     * @throws DeltaMismatchException if the change is based on another document, or does not yield the intended one
+     * @throws DeltaMismatchException if the change is based on another document, or does not yield the expected one
      */
     ConfigurationInForce apply(ConfigurationChange change) throws DeltaMismatchException {
         byte[] base = change.carriesCompleteDocument() ? DocumentDelta.NO_BASE : document;
--- a/router/src/main/java/burlarch/router/control/ControllerLinks.java
+++ b/router/src/main/java/burlarch/router/control/ControllerLinks.java
@@ -30,94 +30,100 @@
 import org.tinylog.Logger;
 
 /**
- * Links of a router to all controllers. The newest configuration wins, the instances of all controllers are
- * merged, and what has been put into effect is acknowledged. It keeps the invariants <em>no step back</em> (a
- * configuration is taken only if its version is higher) and <em>acknowledged means in force</em> (an
- * acknowledgement is sent only after the handler has returned). Runs on the event loop.
+ * Links of a router to all controllers. They apply the newest configuration, merge the instances of all controllers,
+ * and acknowledge what is in effect. Invariants: <em>versions increase</em> (a configuration is applied only if its
+ * version is higher) and <em>acknowledged means in force</em> (an acknowledgement is sent only after the handler has
+ * returned). Runs on the event loop.
  */
 public final class ControllerLinks implements PeerConnectionListener {
     /**
-     * Maximum number of known controllers. Beyond it the first in order is dropped that is neither connected
-     * nor named by the update at hand.
+     * Maximum number of known controllers. To add a further one, the oldest one is removed that is neither
+     * connected nor named by the current update.
      */
     static final int MAX_CONTROLLERS = 32;
 
-    /** Puts updates into effect; each call returns once the update is in effect. */
+    /** Puts updates into effect; each method returns when the update is in effect. */
     public interface UpdateHandler {
-        /** @return whether the configuration could be read and is in force */
+        /**
+         * Called with a newer configuration.
+         *
+         * @return whether the configuration could be read and is in force
+         */
         boolean onConfiguration(long version, byte[] json);
 
-        /** The instances have changed; {@code instances} holds all that are known. */
+        /** Called when the instances have changed; {@code instances} holds all known instances. */
         void onInstances(MergedInstanceView instances);
 
-        /** The controllers report how many routers are connected to them. */
+        /** Called when the controllers report how many routers are connected to them. */
         void onRouterCount(int live);
 
-        /** A controller is unreachable; what was sent to it last may be lost. */
+        /** Called when a controller is unreachable; the last messages sent to it may be lost. */
         void onControllerLost();
 
-        /** Another router has published updates of its prefix-cache sources. */
+        /** Called when another router has published updates of its prefix-cache sources. */
         void onPrefixCacheBatch(byte[] batch);
     }
 
     private final UpdateHandler handler;
     private final Optional<ConfigurationConfirmer> confirmer;
     private final MergedInstanceView mergedInstances = new MergedInstanceView();
-    /** The connected controllers, and how many routers each of them has reported last. */
+    /** The connected controllers, with the number of routers that each of them reported last. */
     private final Map<PeerConnection, Integer> reportedRouters = new HashMap<>();
-    /** Addresses of known controllers; those that were named or lost last are at the end. */
+    /** Addresses of the known controllers; those that were named or disconnected last are at the end. */
     private final Set<String> controllers = new LinkedHashSet<>();
 
     private PeerConnections transport;
-    /** Connections on which the complete configuration was requested and has not arrived yet. */
+    /** Connections on which the complete configuration was requested and has not been received yet. */
     private final Set<PeerConnection> awaitingCompleteDocument = new HashSet<>();
 
     private ConfigurationInForce configuration = ConfigurationInForce.NONE;
-    /** The instances in effect; null until a controller has sent some. */
+    /** The instances in effect; null until a controller has sent instances. */
     private List<Instance> instances;
 
-    /** Links without a transport; see {@link #start}. The configuration in force is never confirmed. */
+    /** Creates links without a transport, see {@link #start}, that never confirm the configuration in force. */
     public ControllerLinks(UpdateHandler handler) {
         this(handler, Optional.empty());
     }
 
-    /** As {@link #ControllerLinks(UpdateHandler)}; the confirmer is notified of what concerns it. */
+    /** As {@link #ControllerLinks(UpdateHandler)}, but notifies the confirmer, if present, of events that affect it. */
     public ControllerLinks(UpdateHandler handler, Optional<ConfigurationConfirmer> confirmer) {
         this.handler = handler;
         this.confirmer = confirmer;
     }
 
-    /** Connects to the seed controllers; to be called once, before any connection is up. */
-    public void start(PeerConnections ownTransport, Collection<String> seeds) {
-        transport = ownTransport;
+    /** Connects to the seed controllers. Must be called once, before any connection is established. */
+    public void start(PeerConnections peerConnections, Collection<String> seeds) {
+        transport = peerConnections;
         addControllers(seeds);
     }
 
-    /** Connects to the controllers that were not known before. */
+    /** Connects to those of the given controllers that were not known before. */
     public void addControllers(Collection<String> addresses) {
         for (String address : addresses) {
-            if (!moveToEnd(address) && makeRoom(addresses)) {
+            if (!moveToEnd(address) && evictIfFull(addresses)) {
                 controllers.add(address);
                 transport.connect(LiteralAddresses.parse(address));
             }
         }
     }
 
-    /** Returns whether the address is known. */
+    /** Moves a known address to the end of the order. Returns false if the address is not known. */
     private boolean moveToEnd(String address) {
         return controllers.remove(address) && controllers.add(address);
     }
 
-    private boolean makeRoom(Collection<String> named) {
+    /** Returns whether another address may be added; if necessary, removes one that is no longer needed. */
+    private boolean evictIfFull(Collection<String> namedAddresses) {
         if (controllers.size() < MAX_CONTROLLERS) {
             return true;
         }
-        Set<String> needed = new HashSet<>(named);
+        Set<String> neededAddresses = new HashSet<>(namedAddresses);
         reportedRouters
                 .keySet()
-                .forEach(connection -> needed.add(connection.peerHello().address()));
+                .forEach(
+                        connection -> neededAddresses.add(connection.peerHello().address()));
         for (String address : controllers) {
-            if (!needed.contains(address)) {
+            if (!neededAddresses.contains(address)) {
                 controllers.remove(address);
                 transport.disconnect(LiteralAddresses.parse(address));
                 return true;
@@ -131,28 +137,28 @@
         return 2 * reportedRouters.size() > controllers.size();
     }
 
-    /** The connected controllers, in no order. */
+    /** The connected controllers, in no particular order. */
     public Collection<PeerConnection> connectedControllers() {
         return Collections.unmodifiableSet(reportedRouters.keySet());
     }
 
     /**
-     * The connected controller through which a router publishes its prefix-cache updates: by rendezvous
-     * hashing, and one of the router's own zone if there is one. Empty if no controller is connected.
+     * The connected controller through which a router publishes its prefix-cache updates. It is chosen by rendezvous
+     * hashing, among the controllers of the router's own zone if there are any. Empty if no controller is connected.
      */
     public Optional<PeerConnection> publishingController(String router, String zone) {
-        PeerConnection best = null;
+        PeerConnection bestConnection = null;
         double bestScore = -1;
         for (PeerConnection connection : reportedRouters.keySet()) {
-            double sameZone = connection.peerHello().zone().equals(zone) ? 1 : 0;
-            double score =
-                    sameZone + RendezvousAssignment.score(connection.peerHello().nodeName(), router);
+            double sameZoneBonus = connection.peerHello().zone().equals(zone) ? 1 : 0;
+            double score = sameZoneBonus
+                    + RendezvousAssignment.score(connection.peerHello().nodeName(), router);
             if (score > bestScore) {
                 bestScore = score;
-                best = connection;
+                bestConnection = connection;
             }
         }
-        return Optional.ofNullable(best);
+        return Optional.ofNullable(bestConnection);
     }
 
     @Override
@@ -176,9 +182,9 @@
         } else if (message instanceof FleetUpdate update) {
             addControllers(update.controllers());
             reportedRouters.put(connection, update.routerCount());
-            applyRouterCount();
+            reportRouterCount();
         } else if (message instanceof ConfigurationConfirmed confirmed) {
-            confirmer.ifPresent(known -> known.onConfirmed(confirmed, configuration.version()));
+            confirmer.ifPresent(active -> active.onConfirmed(confirmed, configuration.version()));
         } else if (message instanceof PrefixCacheEvents events) {
             handler.onPrefixCacheBatch(events.batch());
         }
@@ -192,7 +198,7 @@
         }
     }
 
-    /** Every controller sends each change: only the first one has an effect. */
+    /** Passes the merged instances on if they differ: every controller sends each change. */
     private void applyInstances() {
         List<Instance> newer = mergedInstances.instances();
         if (!newer.equals(instances)) {
@@ -223,7 +229,7 @@
         }
     }
 
-    /** Requests it once. A broken complete document is not requested again, as it would come the same. */
+    /** Requests the complete document once. If it is rejected itself, it is not requested again: it would not change. */
     private void requestCompleteDocument(PeerConnection connection, ConfigurationChange rejected) {
         if (!rejected.carriesCompleteDocument() && awaitingCompleteDocument.add(connection)) {
             connection.send(new FetchConfiguration());
@@ -236,7 +242,7 @@
                 return;
             }
             configuration = newer;
-            confirmer.ifPresent(known -> known.onInForce(newer.version()));
+            confirmer.ifPresent(active -> active.onInForce(newer.version()));
             Logger.info("configuration in force: version={}", configuration.version());
             reportedRouters.keySet().forEach(this::acknowledgeConfiguration);
         } else {
@@ -260,11 +266,11 @@
         }
     }
 
-    private void applyRouterCount() {
-        int highest = 1;
+    private void reportRouterCount() {
+        int routerCount = 1;
         for (int reported : reportedRouters.values()) {
-            highest = Math.max(highest, reported);
+            routerCount = Math.max(routerCount, reported);
         }
-        handler.onRouterCount(highest);
+        handler.onRouterCount(routerCount);
     }
 }
--- a/router/src/main/java/burlarch/router/control/RouterCountMonitor.java
+++ b/router/src/main/java/burlarch/router/control/RouterCountMonitor.java
@@ -7,7 +7,7 @@
 import java.util.function.BooleanSupplier;
 import java.util.function.IntConsumer;
 
-/** Publishes the number of routers whenever it changes. Runs on the event loop. */
+/** Monitor that reports the number of routers whenever it changes. Runs on the event loop. */
 public final class RouterCountMonitor implements MembershipService.Listener {
     private static final long CHECK_INTERVAL_NANOS = 500_000_000;
 
@@ -15,14 +15,14 @@
     private final RouterCountTracker tracker;
     private final IntConsumer onBudgetShares;
     private final IntConsumer onLiveRouters;
-    private BooleanSupplier isConnectedToMostControllers = () -> false;
+    private BooleanSupplier hasQuorumContact = () -> false;
     private int budgetShares;
     private int liveRouters;
 
     /**
-     * A monitor that has not started.
+     * Creates a monitor that has not started.
      *
-     * @param onBudgetShares receives the number by which budgets are divided
+     * @param onBudgetShares receives the number of routers that share each budget
      * @param onLiveRouters receives the number of live routers
      */
     public RouterCountMonitor(
@@ -33,13 +33,17 @@
         this.onLiveRouters = onLiveRouters;
     }
 
-    /** @param quorumContact whether more than half of the controllers are reachable */
+    /**
+     * Starts the periodic check.
+     *
+     * @param quorumContact whether more than half of the controllers are reachable
+     */
     public void start(BooleanSupplier quorumContact) {
-        isConnectedToMostControllers = quorumContact;
+        hasQuorumContact = quorumContact;
         check();
     }
 
-    /** The controllers report how many routers are connected to them. */
+    /** Called when the controllers report how many routers are connected to them. */
     public void onReportedCount(int routers) {
         tracker.onReportedCount(routers);
         update();
@@ -58,7 +62,7 @@
 
     private void update() {
         long nowNanos = loop.nanoTime();
-        if (isConnectedToMostControllers.getAsBoolean()) {
+        if (hasQuorumContact.getAsBoolean()) {
             tracker.onQuorumContact(nowNanos);
         }
         int newBudgetShares = tracker.budgetShares(nowNanos);
--- a/router/src/main/java/burlarch/router/control/RouterCountTracker.java
+++ b/router/src/main/java/burlarch/router/control/RouterCountTracker.java
@@ -9,20 +9,24 @@
 import java.util.Set;
 
 /**
- * How many routers share a budget or a task, according to membership and to the controllers. No I/O and no
- * clock: all times are nanoseconds of one monotonic clock. Called on one thread.
+ * Tracker of the number of routers that share a budget or a task, based on membership and on the reports of the
+ * controllers. Uses no I/O and no clock: all times are nanoseconds of one monotonic clock. Not thread-safe.
  */
 public final class RouterCountTracker {
     private final BudgetSettings settings;
     private final RouterCountEstimate estimate;
     /** Process ids of the other live routers. */
-    private final Set<Long> others = new HashSet<>();
+    private final Set<Long> otherRouters = new HashSet<>();
 
     private int reportedCount = 1;
-    private boolean contacted;
+    private boolean hadQuorumContact;
     private long firstContactNanos;
 
-    /** @param firstStart whether the complete fleet starts for the first time */
+    /**
+     * Creates a tracker without known routers.
+     *
+     * @param firstStart whether the complete fleet starts for the first time
+     */
     public RouterCountTracker(BudgetSettings settings, boolean firstStart, long nowNanos) {
         this.settings = settings;
         estimate = firstStart
@@ -30,7 +34,7 @@
                 : RouterCountEstimate.inRunningFleet(settings, nowNanos);
     }
 
-    /** Membership has changed. */
+    /** Called when the membership has changed. */
     void onChanges(List<MemberChange> changes, long nowNanos) {
         for (MemberChange change : changes) {
             if (change.member().role().equals(NodeRoles.ROUTER)) {
@@ -40,54 +44,54 @@
     }
 
     private void onRouterChange(MemberChange change, long nowNanos) {
-        long process = change.member().processId();
-        if (change.appeared() && others.size() < settings.maxRouters()) {
-            others.add(process);
-            estimate.onRouterAppeared(process, nowNanos);
-        } else if (change.disappeared() && others.remove(process)) {
-            estimate.onRouterDisappeared(process, nowNanos);
+        long processId = change.member().processId();
+        if (change.appeared() && otherRouters.size() < settings.maxRouters()) {
+            otherRouters.add(processId);
+            estimate.onRouterAppeared(processId, nowNanos);
+        } else if (change.disappeared() && otherRouters.remove(processId)) {
+            estimate.onRouterDisappeared(processId, nowNanos);
         }
     }
 
-    /** The controllers report how many routers are connected to them. */
+    /** Called when the controllers report how many routers are connected to them. */
     void onReportedCount(int count) {
         reportedCount = Math.max(1, count);
         estimate.onReportedCount(count);
     }
 
-    /** More than half of the controllers are reachable now. */
+    /** Called while more than half of the controllers are reachable. */
     void onQuorumContact(long nowNanos) {
-        if (!contacted) {
-            contacted = true;
+        if (!hadQuorumContact) {
+            hadQuorumContact = true;
             firstContactNanos = nowNanos;
         }
         estimate.onQuorumContact(nowNanos);
     }
 
     /**
-     * Number of live routers, this one included. The count of the controllers is taken into account until
-     * membership is certain to know all routers.
+     * Number of live routers, including this one. The number that the controllers report is taken into account until
+     * the membership is certain to contain all routers.
      */
     int liveRouters(long nowNanos) {
-        if (others.isEmpty()) {
+        if (otherRouters.isEmpty()) {
             return reportedCount;
         }
-        int members = others.size() + 1;
+        int members = otherRouters.size() + 1;
         return estimate.isEstablished(nowNanos) ? members : Math.max(members, reportedCount);
     }
 
     /**
-     * Number by which shared budgets are divided. Routers that cannot count this one yet still use the share
-     * they are used to. A router that is new or partitioned therefore counts all that it has met within the
-     * window of a budget. At its very start, when it has hardly met any, it uses a number that is safe for
-     * several new routers at once.
+     * Number of routers by which shared budgets are divided. Routers that do not know this one yet still use their
+     * previous share. Therefore a router that is new or partitioned counts all routers that it has seen within the
+     * budget window. Right after its start, when it has seen few routers, it uses a number that is safe even if
+     * several routers start at once.
      */
     int budgetShares(long nowNanos) {
         if (estimate.isEstablished(nowNanos)) {
             return liveRouters(nowNanos);
         }
-        boolean atStart = !contacted || nowNanos - firstContactNanos < settings.disseminationNanos();
-        int least = atStart ? settings.minReserveRouters() : 1;
-        return Math.max(least, Math.max(liveRouters(nowNanos), estimate.count(nowNanos)));
+        boolean isStarting = !hadQuorumContact || nowNanos - firstContactNanos < settings.disseminationNanos();
+        int minShares = isStarting ? settings.minReserveRouters() : 1;
+        return Math.max(minShares, Math.max(liveRouters(nowNanos), estimate.count(nowNanos)));
     }
 }
--- a/router/src/main/java/burlarch/router/prefixcache/KvUpdateBatchCodec.java
+++ b/router/src/main/java/burlarch/router/prefixcache/KvUpdateBatchCodec.java
@@ -12,23 +12,27 @@
 import java.util.Map;
 
 /**
- * Binary format of the updates that routers publish to one another: a version, the salts as texts, then for
- * each update its source, epoch, offsets and events. Numbers are varints of seven bits a byte, the low ones
- * first; ids of segments have four bytes if these suffice and eight otherwise. The model of an event is left out:
- * the salt identifies it. Stateless.
+ * Codec of the binary format in which routers publish updates to one another: a version, the salts as strings, then
+ * for each update its source, epoch, offsets and events. Numbers are varints with seven bits per byte, lowest bits
+ * first. Segment ids take four bytes if the id fits into them, and eight otherwise. The model of an event is omitted,
+ * as the salt identifies it. Stateless.
  */
 public final class KvUpdateBatchCodec {
     private static final int VERSION = 1;
-    private static final int SNAPSHOT = 1;
-    private static final int LOST = 2;
-    private static final int ADDED = 1;
-    private static final int WIDE = 2;
+    /** Flags of an update. */
+    private static final int SNAPSHOT_FLAG = 1;
+
+    private static final int LOST_FLAG = 2;
+    /** Flags of an event, stored in the low {@link #FLAG_BITS} bits of its first number. */
+    private static final int ADDED_FLAG = 1;
+
+    private static final int WIDE_SEGMENT_FLAG = 2;
     private static final int FLAG_BITS = 2;
-    private static final int MAX_TEXT_BYTES = 1_024;
+    private static final int MAX_STRING_BYTES = 1_024;
 
     private KvUpdateBatchCodec() {}
 
-    /** The bytes are no batch of this version; nothing of them may be used. */
+    /** Thrown if bytes are not a batch of the supported version; no part of them may be used. */
     public static final class MalformedBatchException extends Exception {
         private static final long serialVersionUID = 1;
 
@@ -37,21 +41,21 @@
         }
     }
 
-    /** The bytes of a batch, in the format that {@link #decode} reads. */
+    /** Encodes a batch in the format that {@link #decode} reads. */
     public static byte[] encode(List<KvUpdate> batch) {
-        Map<String, Integer> salts = salts(batch);
-        Output out = new Output();
-        out.write(VERSION);
-        out.number(salts.size());
-        salts.keySet().forEach(out::text);
-        out.number(batch.size());
+        Map<String, Integer> salts = collectSalts(batch);
+        Output output = new Output();
+        output.write(VERSION);
+        output.writeVarint(salts.size());
+        salts.keySet().forEach(output::writeString);
+        output.writeVarint(batch.size());
         for (KvUpdate update : batch) {
-            encode(update, salts, out);
+            encode(update, salts, output);
         }
-        return out.toByteArray();
+        return output.toByteArray();
     }
 
-    private static Map<String, Integer> salts(List<KvUpdate> batch) {
+    private static Map<String, Integer> collectSalts(List<KvUpdate> batch) {
         Map<String, Integer> salts = new LinkedHashMap<>();
         for (KvUpdate update : batch) {
             for (KvEvent event : update.events().events()) {
@@ -61,72 +65,73 @@
         return salts;
     }
 
-    private static void encode(KvUpdate update, Map<String, Integer> salts, Output out) {
+    private static void encode(KvUpdate update, Map<String, Integer> salts, Output output) {
         KvEvents events = update.events();
-        out.write((update.snapshot() ? SNAPSHOT : 0) | (events.lost() ? LOST : 0));
-        out.text(events.source());
-        out.number(events.epoch());
-        out.number(update.since());
-        out.number(update.next() - update.since());
-        out.number(events.events().size());
+        output.write((update.snapshot() ? SNAPSHOT_FLAG : 0) | (events.lost() ? LOST_FLAG : 0));
+        output.writeString(events.source());
+        output.writeVarint(events.epoch());
+        output.writeVarint(update.since());
+        output.writeVarint(update.next() - update.since());
+        output.writeVarint(events.events().size());
         for (KvEvent event : events.events()) {
             boolean wide = event.segment() >>> Integer.SIZE != 0;
-            int flags = (event.added() ? ADDED : 0) | (wide ? WIDE : 0);
-            out.number((long) salts.get(event.salt()) << FLAG_BITS | flags);
-            out.fixed(event.segment(), wide ? Long.BYTES : Integer.BYTES);
-            out.number(event.tokens());
+            int flags = (event.added() ? ADDED_FLAG : 0) | (wide ? WIDE_SEGMENT_FLAG : 0);
+            output.writeVarint((long) salts.get(event.salt()) << FLAG_BITS | flags);
+            output.writeFixed(event.segment(), wide ? Long.BYTES : Integer.BYTES);
+            output.writeVarint(event.tokens());
         }
     }
 
     /**
-     * Decodes what {@link #encode} has produced.
+     * Decodes a batch that {@link #encode} has produced.
      *
      * @throws MalformedBatchException if the bytes are truncated, malformed or of another version
      */
     public static List<KvUpdate> decode(byte[] bytes) throws MalformedBatchException {
-        Input in = new Input(bytes);
+        Input input = new Input(bytes);
         try {
-            return decode(in);
+            return decode(input);
         } catch (IndexOutOfBoundsException e) {
             throw new MalformedBatchException("truncated after " + bytes.length + " bytes");
         }
     }
 
-    private static List<KvUpdate> decode(Input in) throws MalformedBatchException {
-        if (in.next() != VERSION) {
-            throw new MalformedBatchException("unknown version");
+    private static List<KvUpdate> decode(Input input) throws MalformedBatchException {
+        if (input.readByte() != VERSION) {
+            throw new MalformedBatchException("version is not supported");
         }
-        int count = in.count();
+        int count = input.readCount();
         String[] salts = new String[count];
         for (int i = 0; i < count; i++) {
-            salts[i] = in.text();
+            salts[i] = input.readString();
         }
-        int updates = in.count();
-        List<KvUpdate> batch = new ArrayList<>(updates);
-        for (int i = 0; i < updates; i++) {
-            batch.add(update(in, salts));
+        int updateCount = input.readCount();
+        List<KvUpdate> batch = new ArrayList<>(updateCount);
+        for (int i = 0; i < updateCount; i++) {
+            batch.add(decodeUpdate(input, salts));
         }
         return batch;
     }
 
-    private static KvUpdate update(Input in, String[] salts) throws MalformedBatchException {
-        int flags = in.next();
-        String source = in.text();
-        long epoch = in.number();
-        long since = in.number();
-        long next = since + in.number();
-        int count = in.count();
+    private static KvUpdate decodeUpdate(Input input, String[] salts) throws MalformedBatchException {
+        int flags = input.readByte();
+        String source = input.readString();
+        long epoch = input.readVarint();
+        long since = input.readVarint();
+        long next = since + input.readVarint();
+        int count = input.readCount();
         List<KvEvent> events = new ArrayList<>(count);
         for (int i = 0; i < count; i++) {
-            long head = in.number();
-            String salt = salts[(int) Math.min(head >>> FLAG_BITS, Integer.MAX_VALUE)];
-            long segment = in.fixed((head & WIDE) != 0 ? Long.BYTES : Integer.BYTES);
-            events.add(new KvEvent((head & ADDED) != 0, salt, segment, (int) in.number(), ""));
+            long saltAndFlags = input.readVarint();
+            String salt = salts[(int) Math.min(saltAndFlags >>> FLAG_BITS, Integer.MAX_VALUE)];
+            long segment = input.readFixed((saltAndFlags & WIDE_SEGMENT_FLAG) != 0 ? Long.BYTES : Integer.BYTES);
+            events.add(new KvEvent((saltAndFlags & ADDED_FLAG) != 0, salt, segment, (int) input.readVarint(), ""));
         }
-        KvEvents decoded = new KvEvents(source, epoch, (flags & LOST) != 0, events);
-        return new KvUpdate(decoded, (flags & SNAPSHOT) != 0, since, next);
+        KvEvents decoded = new KvEvents(source, epoch, (flags & LOST_FLAG) != 0, events);
+        return new KvUpdate(decoded, (flags & SNAPSHOT_FLAG) != 0, since, next);
     }
 
+    /** Writer of encoded values. */
     private static final class Output extends ByteArrayOutputStream {
         private static final int INITIAL_BYTES = 512;
 
@@ -134,7 +139,7 @@
             super(INITIAL_BYTES);
         }
 
-        void number(long value) {
+        void writeVarint(long value) {
             long rest = value;
             while ((rest & ~0x7FL) != 0) {
                 write((int) (rest & 0x7F | 0x80));
@@ -143,20 +148,20 @@
             write((int) rest);
         }
 
-        void fixed(long value, int size) {
+        void writeFixed(long value, int size) {
             for (int shift = (size - 1) * Byte.SIZE; shift >= 0; shift -= Byte.SIZE) {
                 write((int) (value >>> shift));
             }
         }
 
-        void text(String text) {
+        void writeString(String text) {
             byte[] bytes = text.getBytes(UTF_8);
-            number(bytes.length);
+            writeVarint(bytes.length);
             write(bytes, 0, bytes.length);
         }
     }
 
-    /** Every read beyond the end throws IndexOutOfBoundsException. */
+    /** Reader of encoded values; each read beyond the end throws IndexOutOfBoundsException. */
     private static final class Input {
         private static final int MAX_SHIFT = 63;
 
@@ -167,43 +172,43 @@
             this.bytes = bytes;
         }
 
-        int next() {
+        int readByte() {
             return bytes[offset++] & 0xff;
         }
 
-        long number() throws MalformedBatchException {
+        long readVarint() throws MalformedBatchException {
             long value = 0;
             for (int shift = 0; shift <= MAX_SHIFT; shift += 7) {
-                int read = next();
-                value |= (long) (read & 0x7F) << shift;
-                if (read < 0x80) {
+                int nextByte = readByte();
+                value |= (long) (nextByte & 0x7F) << shift;
+                if (nextByte < 0x80) {
                     return value;
                 }
             }
-            throw new MalformedBatchException("number too long");
+            throw new MalformedBatchException("varint is too long");
         }
 
-        /** A count of items that take at least one byte each. */
-        int count() throws MalformedBatchException {
-            long count = number();
+        /** Reads a number of items that take at least one byte each. */
+        int readCount() throws MalformedBatchException {
+            long count = readVarint();
             if (count < 0 || count > bytes.length - offset) {
                 throw new MalformedBatchException("count out of range: " + count);
             }
             return (int) count;
         }
 
-        long fixed(int size) {
+        long readFixed(int size) {
             long value = 0;
             for (int i = 0; i < size; i++) {
-                value = value << Byte.SIZE | next();
+                value = value << Byte.SIZE | readByte();
             }
             return value;
         }
 
-        String text() throws MalformedBatchException {
-            int length = count();
-            if (length > MAX_TEXT_BYTES) {
-                throw new MalformedBatchException("text too long: bytes=" + length);
+        String readString() throws MalformedBatchException {
+            int length = readCount();
+            if (length > MAX_STRING_BYTES) {
+                throw new MalformedBatchException("string is too long: bytes=" + length);
             }
             String text = new String(bytes, offset, length, UTF_8);
             offset += length;
--- a/router/src/main/java/burlarch/router/prefixcache/OutgoingBatch.java
+++ b/router/src/main/java/burlarch/router/prefixcache/OutgoingBatch.java
@@ -5,35 +5,39 @@
 import java.util.List;
 
 /**
- * Updates that wait to be published together. A batch is sent when its oldest update has waited for
- * {@link #DELAY_NANOS} or when it is full. Not thread-safe.
+ * Batch of updates that wait to be published together. The batch is sent when its oldest update has waited for
+ * {@link #MAX_DELAY_NANOS} or when it is full. Not thread-safe.
  */
 public final class OutgoingBatch {
-    /** How long the oldest update waits: briefly, because a router that shares its sources reads few of them. */
-    public static final long DELAY_NANOS = 20_000_000;
+    /** Maximum wait of the oldest update; short, because a router that shares its sources reads few of them. */
+    public static final long MAX_DELAY_NANOS = 20_000_000;
 
-    /** A batch with that many updates, or that many events in them, is full. */
-    private static final int FULL_COUNT = 64;
+    /** Number of updates, or of events in them, at which a batch is full. */
+    private static final int MAX_COUNT = 64;
 
-    private List<KvUpdate> waiting = new ArrayList<>();
+    private List<KvUpdate> waitingUpdates = new ArrayList<>();
     private int eventCount;
 
-    /** @return whether the update is the first of its batch, so that the delay starts with it */
+    /**
+     * Adds an update to the batch.
+     *
+     * @return whether the update is the first one of its batch, so that the delay starts with it
+     */
     public boolean add(KvUpdate update) {
-        waiting.add(update);
+        waitingUpdates.add(update);
         eventCount += update.events().events().size();
-        return waiting.size() == 1;
+        return waitingUpdates.size() == 1;
     }
 
-    /** Whether the batch must be sent at once. */
+    /** Whether the batch must be sent immediately. */
     public boolean isFull() {
-        return eventCount >= FULL_COUNT || waiting.size() >= FULL_COUNT;
+        return eventCount >= MAX_COUNT || waitingUpdates.size() >= MAX_COUNT;
     }
 
-    /** Removes and returns the updates that wait; empty if there are none. */
+    /** Removes and returns the waiting updates; empty if there are none. */
     public List<KvUpdate> take() {
-        List<KvUpdate> taken = waiting;
-        waiting = new ArrayList<>();
+        List<KvUpdate> taken = waitingUpdates;
+        waitingUpdates = new ArrayList<>();
         eventCount = 0;
         return taken;
     }
--- a/router/src/main/java/burlarch/router/prefixcache/PrefixCacheEventPublisher.java
+++ b/router/src/main/java/burlarch/router/prefixcache/PrefixCacheEventPublisher.java
@@ -13,8 +13,9 @@
 import org.tinylog.Logger;
 
 /**
- * Applies the updates that this router has read of its sources and those that other routers have published,
- * and publishes the former through one controller if the other routers do not read the source themselves.
+ * Publisher of prefix-cache updates. It applies the updates that this router has read from its sources and those that
+ * other routers have published. It publishes the former through one controller if the other routers do not read the
+ * source themselves.
  */
 public final class PrefixCacheEventPublisher implements KvUpdateListener {
     private final SelectorEventLoop loop;
@@ -25,17 +26,17 @@
     private volatile Predicate<String> isShared = source -> false;
     private Supplier<Optional<PeerConnection>> controller = Optional::empty;
 
-    /** A publisher that applies updates but publishes none until it is started. */
+    /** Creates a publisher that applies updates, but publishes none until it is started. */
     public PrefixCacheEventPublisher(SelectorEventLoop loop, PrefixIndexUpdater index) {
         this.loop = loop;
         this.index = index;
     }
 
     /**
-     * To be called once, on the loop.
+     * Starts to publish. Must be called once, on the event loop.
      *
-     * @param sharedSources whether other routers rely on the updates of a source; called on any thread
-     * @param publishingController the controller to send through, empty if none is connected
+     * @param sharedSources whether other routers depend on the published updates of a source; called on any thread
+     * @param publishingController supplies the controller to send through, empty if none is connected
      */
     public void start(Predicate<String> sharedSources, Supplier<Optional<PeerConnection>> publishingController) {
         controller = publishingController;
@@ -49,7 +50,7 @@
         }
     }
 
-    /** Another router has published a batch. */
+    /** Called when another router has published a batch. */
     public void onBatch(byte[] bytes) {
         List<KvUpdate> updates;
         try {
@@ -64,21 +65,21 @@
     }
 
     private void publish(KvUpdate update) {
-        boolean first = batch.add(update);
+        boolean isFirst = batch.add(update);
         if (batch.isFull()) {
             send();
-        } else if (first) {
-            loop.schedule(OutgoingBatch.DELAY_NANOS, this::send);
+        } else if (isFirst) {
+            loop.schedule(OutgoingBatch.MAX_DELAY_NANOS, this::send);
         }
     }
 
     private void send() {
-        List<KvUpdate> waiting = batch.take();
-        if (waiting.isEmpty()) {
+        List<KvUpdate> updates = batch.take();
+        if (updates.isEmpty()) {
             return;
         }
         controller
                 .get()
-                .ifPresent(connection -> connection.send(new PrefixCacheEvents(KvUpdateBatchCodec.encode(waiting))));
+                .ifPresent(connection -> connection.send(new PrefixCacheEvents(KvUpdateBatchCodec.encode(updates))));
     }
 }
--- a/router/src/main/java/burlarch/router/prefixcache/PrefixIndexUpdater.java
+++ b/router/src/main/java/burlarch/router/prefixcache/PrefixIndexUpdater.java
@@ -7,44 +7,52 @@
 import java.util.Set;
 
 /**
- * Hands the updates of engines and stores to the planner, none of them twice. May be called on any thread;
- * guarded by the planner's lock.
+ * Updater of the planner's prefix index: passes each update of engines and stores to the planner exactly once. May be
+ * called on any thread; guarded by the planner's lock.
  */
 public final class PrefixIndexUpdater {
     private final Planner planner;
     private final Object lock;
     private final SourceOffsets offsets = new SourceOffsets();
 
-    /** @param lock guards the planner; every other caller of the planner holds it too */
+    /**
+     * Creates an updater that has applied no updates.
+     *
+     * @param lock guards the planner; every other caller of the planner holds it too
+     */
     public PrefixIndexUpdater(Planner planner, Object lock) {
         this.planner = planner;
         this.lock = lock;
     }
 
-    /** @return whether the update was new here */
+    /**
+     * Applies an update unless it is a duplicate.
+     *
+     * @return whether the update was new to this router
+     */
     boolean apply(KvUpdate update) {
         synchronized (lock) {
-            KvUpdate fresh = offsets.accept(update);
-            if (fresh == null) {
+            KvUpdate newUpdate = offsets.accept(update);
+            if (newUpdate == null) {
                 return false;
             }
-            if (fresh.snapshot()) {
-                planner.onKvList(fresh.events(), System.nanoTime());
+            if (newUpdate.snapshot()) {
+                planner.onKvList(newUpdate.events(), System.nanoTime());
             } else {
-                planner.onKvEvents(fresh.events(), System.nanoTime());
+                planner.onKvEvents(newUpdate.events(), System.nanoTime());
             }
             return true;
         }
     }
 
-    /** Up to which offset the source is known; empty if it is unknown. */
+    /** The offset up to which the events of a source are known; empty if the source is unknown. */
     Optional<KvOffset> offsetOf(String source) {
         synchronized (lock) {
             return offsets.offsetOf(source);
         }
     }
 
-    /** Forgets the offsets of all other sources. */
+    /** Removes the offsets of all sources except the given ones. */
     void retain(Set<String> sources) {
         synchronized (lock) {
             offsets.retain(sources);
--- a/router/src/main/java/burlarch/router/prefixcache/SourceAssignment.java
+++ b/router/src/main/java/burlarch/router/prefixcache/SourceAssignment.java
@@ -6,64 +6,65 @@
 import java.util.TreeSet;
 
 /**
- * Which sources a router reads itself. Each source holds only a few calls at once. As long as it can hold one
- * of every router, all routers read it. Otherwise a single router reads it, chosen by rendezvous hashing over
- * the live routers, and publishes what it has read. It needs no standby: all routers know up to which offset
- * the source was read, so the next reader continues from there and misses nothing. Immutable.
+ * Assignment of sources to routers: decides which sources a router reads itself. Each source accepts only a few
+ * concurrent calls. If it accepts one of every router, all routers read it. Otherwise a single router, chosen by
+ * rendezvous hashing over the live routers, reads it and publishes what it has read. No standby is needed: all
+ * routers know up to which offset the source was read, so the next reader continues there without a gap. Immutable.
  */
 public final class SourceAssignment {
-    /** Calls that are left to others, and to calls that have not ended when the next one begins. */
+    /** Calls reserved for other callers and for calls that have not ended when the next one begins. */
     private static final int RESERVED_CALLS = 2;
 
     private final String self;
-    private final int routers;
-    private final Set<String> others;
+    private final int routerCount;
+    private final Set<String> otherRouters;
 
     /**
-     * The assignment for one set of routers.
+     * Creates the assignment for one set of routers.
      *
-     * @param routers number of live routers, this one included, as far as is known
-     * @param others names of the other live routers that are known; at times fewer than that number
+     * @param self name of this router
+     * @param routerCount estimated number of live routers, including this one
+     * @param otherRouters names of the other known live routers; may be fewer than the estimated number
      */
-    public SourceAssignment(String self, int routers, Collection<String> others) {
+    public SourceAssignment(String self, int routerCount, Collection<String> otherRouters) {
         this.self = self;
-        this.routers = Math.max(routers, others.size() + 1);
-        this.others = new TreeSet<>(others);
-        this.others.remove(self);
+        this.routerCount = Math.max(routerCount, otherRouters.size() + 1);
+        this.otherRouters = new TreeSet<>(otherRouters);
+        this.otherRouters.remove(self);
     }
 
     /**
-     * Whether a single router reads a source for all.
+     * Whether a single router reads a source for all routers.
      *
-     * @param callLimit how many calls the source holds at once
+     * @param callLimit maximum number of concurrent calls of the source
      */
     public boolean isShared(int callLimit) {
-        return routers > maxReaders(callLimit);
+        return routerCount > maxReaders(callLimit);
     }
 
     /**
-     * Whether this router reads the source.
+     * Whether this router reads a source.
      *
-     * @param callLimit how many calls the source holds at once
+     * @param callLimit maximum number of concurrent calls of the source
      */
     public boolean isReader(String source, int callLimit) {
         return !isShared(callLimit) || mayBeReader(source, callLimit) && hasHighestScore(source);
     }
 
     /**
-     * Limits the sources of a router that knows few others yet and would otherwise read nearly all. Only those
-     * routers may read a source whose score is among the best that the source could bear; the best one of all
-     * is among them except in one case in thousands.
+     * Limits the sources of a router that knows few others yet and would otherwise read nearly all sources. A router
+     * may read a source only if its score is so high that the expected number of such routers does not exceed the
+     * call limit. The router with the highest score is among them except in one case in thousands.
      */
     private boolean mayBeReader(String source, int callLimit) {
-        return 1 - RendezvousAssignment.score(self, source) < (double) maxReaders(callLimit) / routers;
+        return 1 - RendezvousAssignment.score(self, source) < (double) maxReaders(callLimit) / routerCount;
     }
 
     private boolean hasHighestScore(String source) {
-        double own = RendezvousAssignment.score(self, source);
-        for (String other : others) {
+        double ownScore = RendezvousAssignment.score(self, source);
+        for (String other : otherRouters) {
             double score = RendezvousAssignment.score(other, source);
-            if (score > own || score == own && other.compareTo(self) < 0) {
+            if (score > ownScore || score == ownScore && other.compareTo(self) < 0) {
                 return false;
             }
         }
--- a/router/src/main/java/burlarch/router/prefixcache/SourceOffsets.java
+++ b/router/src/main/java/burlarch/router/prefixcache/SourceOffsets.java
@@ -9,12 +9,12 @@
 import java.util.Set;
 
 /**
- * Up to which offset the events of each source are known, whichever router has read them. It drops duplicates
- * and marks updates that follow a gap, so it is safe that two routers read one source for a while. No I/O, no
- * clock, not thread-safe.
+ * Offsets up to which the events of each source are known, whichever router has read them. Duplicates are dropped and
+ * updates that follow a gap are marked, so two routers may safely read the same source for a while. Uses no I/O and
+ * no clock; not thread-safe.
  */
 public final class SourceOffsets {
-    /** Updates of further sources are neither checked for duplicates nor for gaps. */
+    /** Maximum number of tracked sources; updates of others are checked neither for duplicates nor for gaps. */
     private static final int MAX_SOURCES = 8_192;
 
     private final Map<String, SourceState> sources = new HashMap<>();
@@ -22,7 +22,7 @@
     private static final class SourceState {
         private long epoch;
         private long next;
-        private long formerEpoch;
+        private long previousEpoch;
         private boolean restarted;
 
         SourceState(long epoch, long next) {
@@ -31,7 +31,7 @@
         }
 
         void onRestart(long newEpoch) {
-            formerEpoch = epoch;
+            previousEpoch = epoch;
             restarted = true;
             epoch = newEpoch;
             next = 0;
@@ -49,7 +49,7 @@
             return acceptFirst(update);
         }
         if (update.events().epoch() != source.epoch) {
-            if (source.restarted && update.events().epoch() == source.formerEpoch) {
+            if (source.restarted && update.events().epoch() == source.previousEpoch) {
                 return null;
             }
             source.onRestart(update.events().epoch());
@@ -67,17 +67,17 @@
             sources.put(
                     update.events().source(), new SourceState(update.events().epoch(), update.next()));
         }
-        return withGap(update, !update.snapshot() && update.since() > 0);
+        return markLostIfGap(update, !update.snapshot() && update.since() > 0);
     }
 
-    private static KvUpdate advance(SourceState source, KvUpdate update, boolean gap) {
+    private static KvUpdate advance(SourceState source, KvUpdate update, boolean followsGap) {
         source.next = Math.max(source.next, update.next());
-        return withGap(update, gap);
+        return markLostIfGap(update, followsGap);
     }
 
-    private static KvUpdate withGap(KvUpdate update, boolean gap) {
+    private static KvUpdate markLostIfGap(KvUpdate update, boolean followsGap) {
         KvEvents events = update.events();
-        if (!gap || events.lost()) {
+        if (!followsGap || events.lost()) {
             return update;
         }
         return new KvUpdate(
@@ -87,14 +87,14 @@
                 update.next());
     }
 
-    /** Up to which offset the source is known; empty if it is unknown. */
+    /** The offset up to which the events of a source are known; empty if the source is unknown. */
     public Optional<KvOffset> offsetOf(String source) {
         SourceState state = sources.get(source);
         return state == null ? Optional.empty() : Optional.of(new KvOffset(state.epoch, state.next));
     }
 
-    /** Forgets all other sources. */
-    public void retain(Set<String> names) {
-        sources.keySet().retainAll(names);
+    /** Removes all sources except the given ones. */
+    public void retain(Set<String> retainedNames) {
+        sources.keySet().retainAll(retainedNames);
     }
 }
--- a/router/src/main/java/burlarch/router/prefixcache/SourceSubscriptions.java
+++ b/router/src/main/java/burlarch/router/prefixcache/SourceSubscriptions.java
@@ -16,8 +16,8 @@
 import java.util.Set;
 
 /**
- * The engines and stores to which this router subscribes, as {@link SourceAssignment} decides. Runs on the
- * event loop; {@link #isShared} may be called on any thread.
+ * Subscriptions of this router to engines and stores, as decided by {@link SourceAssignment}. Runs on the event loop;
+ * {@link #isShared} may be called on any thread.
  */
 public final class SourceSubscriptions {
     private final String nodeName;
@@ -25,35 +25,35 @@
     private final PrefixIndexUpdater index;
     private Configuration configuration;
     private Collection<Instance> instances = List.of();
-    /** All sources, and how many calls each of them holds at once. */
+    /** All sources, with the maximum number of concurrent calls of each. */
     private Map<Source, Integer> callLimits = Map.of();
 
     private int liveRouters = 1;
     /** Names of the other live routers. */
     private Set<String> otherRouters = Set.of();
-    /** Sources that one router reads for all; replaced, never changed. */
+    /** Sources that one router reads for all routers; the set is replaced, never modified. */
     private volatile Set<String> sharedSources = Set.of();
 
-    /** Subscribes to nothing until a configuration and instances are known. */
+    /** Creates an empty set of subscriptions; sources are added when a configuration and instances are known. */
     public SourceSubscriptions(String nodeName, KvEventSubscriber subscriber, PrefixIndexUpdater index) {
         this.nodeName = nodeName;
         this.subscriber = subscriber;
         this.index = index;
     }
 
-    /** A configuration is in force. */
+    /** Called when a configuration is in force. */
     public void onConfiguration(Configuration newer) {
         configuration = newer;
         updateSources();
     }
 
-    /** All instances that are known now. */
-    public void onInstances(Collection<Instance> known) {
-        instances = known;
+    /** Called with all known instances. */
+    public void onInstances(Collection<Instance> knownInstances) {
+        instances = knownInstances;
         updateSources();
     }
 
-    /** The number of live routers, this one included. */
+    /** Called with the number of live routers, including this one. */
     public void onRouterCount(int live) {
         if (live != liveRouters) {
             liveRouters = live;
@@ -61,7 +61,7 @@
         }
     }
 
-    /** The live members without this one. */
+    /** Called with the live members except this one. */
     public void onMembers(Collection<MemberInfo> members) {
         Set<String> routers = new HashSet<>();
         for (MemberInfo member : members) {
@@ -80,8 +80,8 @@
     }
 
     /**
-     * Another router is new, or updates on their way to others may be lost. Snapshots of the shared sources
-     * make up for both.
+     * Called when another router is new or updates sent to other routers may be lost. In both cases snapshots of the
+     * shared sources are requested, which contain the missing state.
      */
     public void onUpdatesMissedByOthers() {
         if (!sharedSources.isEmpty()) {
@@ -89,59 +89,59 @@
         }
     }
 
-    /** Whether one router reads that source for all. */
+    /** Whether a single router reads the source for all routers. */
     public boolean isShared(String source) {
         return sharedSources.contains(source);
     }
 
-    /** Subscribes anew if there are other sources; most updates of instances change none. */
+    /** Renews the subscriptions if the sources have changed; most updates of instances do not change them. */
     private void updateSources() {
         if (configuration == null) {
             return;
         }
-        Map<Source, Integer> found = findSources();
-        if (!found.equals(callLimits)) {
-            callLimits = found;
+        Map<Source, Integer> sourceLimits = findSources();
+        if (!sourceLimits.equals(callLimits)) {
+            callLimits = sourceLimits;
             subscribe();
         }
     }
 
     private Map<Source, Integer> findSources() {
         Map<String, Service> services = new HashMap<>();
-        Map<Source, Integer> found = new HashMap<>();
+        Map<Source, Integer> sourceLimits = new HashMap<>();
         for (Service service : configuration.services()) {
             services.put(service.name(), service);
             if (service.kvStore() != null) {
-                found.put(new Source(service.name(), service.kvStore(), true), service.maxInFlight());
+                sourceLimits.put(new Source(service.name(), service.kvStore(), true), service.maxInFlight());
             }
         }
         for (Instance instance : instances) {
             Service service = services.get(instance.service());
             if (service != null && service.engine() != null) {
-                found.put(
+                sourceLimits.put(
                         new Source(instance.id(), instance.address(), false),
                         service.engine().maxInFlight());
             }
         }
-        return found;
+        return sourceLimits;
     }
 
     private void subscribe() {
         SourceAssignment assignment = new SourceAssignment(nodeName, liveRouters, otherRouters);
-        List<Source> own = new ArrayList<>();
-        Set<String> shared = new HashSet<>();
-        Set<String> known = new HashSet<>();
+        List<Source> ownSources = new ArrayList<>();
+        Set<String> newSharedSources = new HashSet<>();
+        Set<String> knownSources = new HashSet<>();
         callLimits.forEach((source, callLimit) -> {
-            known.add(source.name());
+            knownSources.add(source.name());
             if (assignment.isShared(callLimit)) {
-                shared.add(source.name());
+                newSharedSources.add(source.name());
             }
             if (assignment.isReader(source.name(), callLimit)) {
-                own.add(source);
+                ownSources.add(source);
             }
         });
-        sharedSources = shared;
-        index.retain(known);
-        subscriber.subscribe(own, index::offsetOf);
+        sharedSources = newSharedSources;
+        index.retain(knownSources);
+        subscriber.subscribe(ownSources, index::offsetOf);
     }
 }
