--- a/router/src/main/java/burlarch/router/control/ControllerLinks.java
+++ b/router/src/main/java/burlarch/router/control/ControllerLinks.java
@@ -229,7 +229,7 @@
         }
     }
 
-    /** Requests the complete document once. If it is rejected itself, it is not requested again: it would not change. */
+    /** Requests the complete document once. If that is rejected too, another request would yield the same one. */
     private void requestCompleteDocument(PeerConnection connection, ConfigurationChange rejected) {
         if (!rejected.carriesCompleteDocument() && awaitingCompleteDocument.add(connection)) {
             connection.send(new FetchConfiguration());
--- a/router/src/main/java/burlarch/router/forwarding/AttemptSequence.java
+++ b/router/src/main/java/burlarch/router/forwarding/AttemptSequence.java
@@ -98,7 +98,7 @@
         return eventAssembler;
     }
 
-    /** As {@link #eventAssembler}, but creates the assembler for the first response; the response must be an event stream. */
+    /** As {@link #eventAssembler}, for a response that is an event stream: creates the assembler for the first one. */
     EventStreamAssembler eventAssemblerOfStream() {
         if (eventAssembler == null && RetrySafety.isResumable(routedRequest.route())) {
             eventAssembler = new EventStreamAssembler();
--- a/router/src/main/java/burlarch/router/forwarding/EventStreamAssembler.java
+++ b/router/src/main/java/burlarch/router/forwarding/EventStreamAssembler.java
@@ -8,8 +8,8 @@
  * incomplete ones, so that a stream that breaks off can continue with the events of another run in the same
  * response. A run is the stream of one attempt. Uses no I/O and no clock; owned by its exchange.
  *
- * <p>Invariant: only complete events are released, except by {@link #releaseIncompleteEvent} at the end of a complete run. A
- * run that resumes the stream is invalid unless the id of its first event is above {@link #lastEventId}.
+ * <p>Invariant: only complete events are released, except by {@link #releaseIncompleteEvent} at the end of a complete
+ * run. A run that resumes the stream is invalid unless the id of its first event is above {@link #lastEventId}.
  */
 final class EventStreamAssembler {
     /** Maximum size of an event and of the held-back bytes; instances send no larger events. */
@@ -37,7 +37,7 @@
     private boolean awaitingFirstEventOfRun;
     private boolean invalid;
 
-    /** Adds bytes of the current run. Returns the complete events that may be forwarded now, empty if there are none. */
+    /** Adds bytes of the current run. Returns the complete events that may be forwarded now, if any. */
     ByteBuffer accept(ByteBuffer content) {
         int addedBytes = content.remaining();
         if (invalid || length + addedBytes > MAX_EVENT_BYTES) {
--- a/router/src/main/java/burlarch/router/upstream/UpstreamConnection.java
+++ b/router/src/main/java/burlarch/router/upstream/UpstreamConnection.java
@@ -166,7 +166,7 @@
         read();
     }
 
-    /** The listener of that call has processed the content it received last. */
+    /** Continues to read after the listener of the given call has processed the last content. */
     void proceed(UpstreamCall owner) {
         if (activeCall() != owner) {
             return;
--- a/router/src/main/java/burlarch/router/upstream/UpstreamListener.java
+++ b/router/src/main/java/burlarch/router/upstream/UpstreamListener.java
@@ -15,7 +15,7 @@
      */
     void onHead(int status, HttpFields fields, long contentLength);
 
-    /** Called with bytes of the body, valid until {@link UpstreamCall#proceed} is called; no more bytes are read before. */
+    /** Called with bytes of the body. They are valid, and no more are read, until {@link UpstreamCall#proceed}. */
     void onContent(ByteBuffer content);
 
     /** Called when the response is complete. */
