--- a/router/src/main/java/burlarch/router/ControllerUpdateApplier.java
+++ b/router/src/main/java/burlarch/router/ControllerUpdateApplier.java
@@ -72,8 +72,8 @@
     }
 
     @Override
-    public void onRouterCount(int live) {
-        routerCount.onReportedCount(live);
+    public void onRouterCount(int liveRouters) {
+        routerCount.onReportedCount(liveRouters);
     }
 
     @Override
--- a/router/src/main/java/burlarch/router/control/ConfigurationConfirmer.java
+++ b/router/src/main/java/burlarch/router/control/ConfigurationConfirmer.java
@@ -72,11 +72,11 @@
     }
 
     private void logKeyStateChange() {
-        KeyState next = mayAccept(loop.nanoTime()) ? KeyState.KEYS_ACCEPTED : KeyState.KEYS_REJECTED;
-        if (next == keyState) {
+        KeyState newState = mayAccept(loop.nanoTime()) ? KeyState.KEYS_ACCEPTED : KeyState.KEYS_REJECTED;
+        if (newState == keyState) {
             return;
         }
-        keyState = next;
+        keyState = newState;
         if (keyState == KeyState.KEYS_ACCEPTED) {
             Logger.info("configuration confirmed, keys are accepted");
         } else {
@@ -88,11 +88,11 @@
     }
 
     private boolean isRequestDue() {
-        long now = loop.nanoTime();
+        long nowNanos = loop.nanoTime();
         if (!confirmation.isPending()) {
-            return !confirmation.isConfirmedSince(now - PERIOD_NANOS);
+            return !confirmation.isConfirmedSince(nowNanos - PERIOD_NANOS);
         }
-        if (now - confirmation.requestedAtNanos() < RESPONSE_TIMEOUT_NANOS) {
+        if (nowNanos - confirmation.requestedAtNanos() < RESPONSE_TIMEOUT_NANOS) {
             return false;
         }
         unansweredRequests++;
--- a/router/src/main/java/burlarch/router/control/ControllerLinks.java
+++ b/router/src/main/java/burlarch/router/control/ControllerLinks.java
@@ -55,7 +55,7 @@
         void onInstances(MergedInstanceView instances);
 
         /** Called when the controllers report how many routers are connected to them. */
-        void onRouterCount(int live);
+        void onRouterCount(int liveRouters);
 
         /** Called when a controller is unreachable; the last messages sent to it may be lost. */
         void onControllerLost();
--- a/router/src/main/java/burlarch/router/forwarding/FailureLog.java
+++ b/router/src/main/java/burlarch/router/forwarding/FailureLog.java
@@ -29,12 +29,12 @@
         KindLimit limit = limitByKind.computeIfAbsent(kind, k -> new KindLimit());
         int suppressedBefore;
         synchronized (limit) {
-            long now = System.nanoTime();
-            if (now - limit.lastLoggedNanos < INTERVAL_NANOS) {
+            long nowNanos = System.nanoTime();
+            if (nowNanos - limit.lastLoggedNanos < INTERVAL_NANOS) {
                 limit.suppressed++;
                 return;
             }
-            limit.lastLoggedNanos = now;
+            limit.lastLoggedNanos = nowNanos;
             suppressedBefore = limit.suppressed;
             limit.suppressed = 0;
         }
--- a/router/src/main/java/burlarch/router/forwarding/SynchronizedPlanner.java
+++ b/router/src/main/java/burlarch/router/forwarding/SynchronizedPlanner.java
@@ -28,10 +28,10 @@
     /** Places an attempt; if it is to be sent, the planner counts it as sent from now on. */
     Placement place(RouteRequest request, int attempt) {
         synchronized (lock) {
-            long now = System.nanoTime();
-            Placement placement = planner.plan(request, attempt, now);
+            long nowNanos = System.nanoTime();
+            Placement placement = planner.plan(request, attempt, nowNanos);
             if (placement instanceof Placement.Send send) {
-                planner.onSent(request, send, now);
+                planner.onSent(request, send, nowNanos);
             }
             return placement;
         }
--- a/router/src/main/java/burlarch/router/prefixcache/KvUpdateBatchCodec.java
+++ b/router/src/main/java/burlarch/router/prefixcache/KvUpdateBatchCodec.java
@@ -140,12 +140,12 @@
         }
 
         void writeVarint(long value) {
-            long rest = value;
-            while ((rest & ~0x7FL) != 0) {
-                write((int) (rest & 0x7F | 0x80));
-                rest >>>= 7;
+            long remainingBits = value;
+            while ((remainingBits & ~0x7FL) != 0) {
+                write((int) (remainingBits & 0x7F | 0x80));
+                remainingBits >>>= 7;
             }
-            write((int) rest);
+            write((int) remainingBits);
         }
 
         void writeFixed(long value, int size) {
--- a/router/src/main/java/burlarch/router/prefixcache/OutgoingBatch.java
+++ b/router/src/main/java/burlarch/router/prefixcache/OutgoingBatch.java
@@ -36,9 +36,9 @@
 
     /** Removes and returns the waiting updates; empty if there are none. */
     public List<KvUpdate> take() {
-        List<KvUpdate> taken = waitingUpdates;
+        List<KvUpdate> takenUpdates = waitingUpdates;
         waitingUpdates = new ArrayList<>();
         eventCount = 0;
-        return taken;
+        return takenUpdates;
     }
 }
--- a/router/src/main/java/burlarch/router/prefixcache/SourceSubscriptions.java
+++ b/router/src/main/java/burlarch/router/prefixcache/SourceSubscriptions.java
@@ -54,9 +54,9 @@
     }
 
     /** Called with the number of live routers, including this one. */
-    public void onRouterCount(int live) {
-        if (live != liveRouters) {
-            liveRouters = live;
+    public void onRouterCount(int newCount) {
+        if (newCount != liveRouters) {
+            liveRouters = newCount;
             subscribe();
         }
     }
--- a/router/src/main/java/burlarch/router/upstream/UpstreamConnection.java
+++ b/router/src/main/java/burlarch/router/upstream/UpstreamConnection.java
@@ -63,7 +63,7 @@
      *
      * @return false if the connection is not usable: it is closed, and nothing was sent
      */
-    boolean send(UpstreamCall next) {
+    boolean send(UpstreamCall newCall) {
         boolean unusable;
         boolean started;
         synchronized (this) {
@@ -71,13 +71,13 @@
                 return false;
             }
             unusable = isClosedOrHasInput();
-            started = !unusable && next.assignTo(this);
+            started = !unusable && newCall.assignTo(this);
             if (unusable) {
                 state = state.on(Event.CLOSE);
             } else if (started) {
-                reader.begin(next);
+                reader.begin(newCall);
                 state = state.on(Event.CALL_STARTED);
-                call = next;
+                call = newCall;
             }
         }
         if (unusable) {
@@ -88,9 +88,9 @@
                     .write(
                             Callback.from(
                                     Invocable.InvocationType.NON_BLOCKING,
-                                    () -> onWritten(next),
-                                    cause -> onWriteFailed(next, cause)),
-                            next.message());
+                                    () -> onWritten(newCall),
+                                    cause -> onWriteFailed(newCall, cause)),
+                            newCall.message());
         } else {
             pool.onIdle(this);
         }
@@ -217,17 +217,17 @@
     /** Returns the connection to the pool, or closes it, before the listener is notified. */
     private void onResponseComplete() {
         UpstreamCall ended;
-        UpstreamConnectionState next;
+        UpstreamConnectionState nextState;
         synchronized (this) {
             ended = call;
-            next = state.on(mayReuse() ? Event.RESPONSE_COMPLETE : Event.CLOSE);
-            state = next;
-            call = next == UpstreamConnectionState.AWAITING_WRITE ? ended : null;
+            nextState = state.on(mayReuse() ? Event.RESPONSE_COMPLETE : Event.CLOSE);
+            state = nextState;
+            call = nextState == UpstreamConnectionState.AWAITING_WRITE ? ended : null;
         }
         reader.releaseInput();
-        if (next == UpstreamConnectionState.IDLE) {
+        if (nextState == UpstreamConnectionState.IDLE) {
             becomeIdle();
-        } else if (next == UpstreamConnectionState.CLOSED) {
+        } else if (nextState == UpstreamConnectionState.CLOSED) {
             closeAndRemove();
         }
         if (ended != null && ended.endOnce()) {
