--- a/router/src/main/java/burlarch/router/forwarding/ExchangeAction.java
+++ b/router/src/main/java/burlarch/router/forwarding/ExchangeAction.java
@@ -1,6 +1,6 @@
 package burlarch.router.forwarding;
 
-/** Action of an exchange after a send has ended, at its deadline, or if the planner refuses to place it. */
+/** Action of an exchange after a send has ended, at the deadline, or if the planner refuses to place an attempt. */
 enum ExchangeAction {
     /** Sends the complete request again. */
     RETRY,
