--- a/configuration/src/main/java/burlarch/configuration/CanonicalDigest.java
+++ b/configuration/src/main/java/burlarch/configuration/CanonicalDigest.java
@@ -12,28 +12,28 @@
 import java.util.List;
 
 /**
- * SHA-256 of a JSON tree in canonical form: without white space, keys sorted, equal numbers written alike. Documents
- * that differ in these respects alone have the same digest. The form is fixed: digests are stored and compared across
- * programs.
+ * Computes the SHA-256 digest of a JSON tree in a canonical form: no white space, sorted keys, and one spelling for
+ * equal numbers. Documents that differ only in these respects have the same digest. The form must not change, because
+ * digests are stored and compared between processes.
  */
 final class CanonicalDigest {
     private final StringBuilder text = new StringBuilder();
 
     private CanonicalDigest() {}
 
-    /** Returns the digest in hexadecimal digits. */
+    /** Returns the digest as 64 lower-case hexadecimal digits. */
     static String of(JsonNode tree) {
-        CanonicalDigest form = new CanonicalDigest();
-        form.append(tree);
-        // UTF-16, since UTF-8 would encode every unpaired surrogate, which JSON allows, as the same byte.
-        ByteBuffer bytes = ByteBuffer.allocate(Character.BYTES * form.text.length());
-        bytes.asCharBuffer().append(form.text);
+        CanonicalDigest canonicalForm = new CanonicalDigest();
+        canonicalForm.append(tree);
+        // UTF-16: JSON allows unpaired surrogates, and UTF-8 would encode all of them as the same byte.
+        ByteBuffer bytes = ByteBuffer.allocate(Character.BYTES * canonicalForm.text.length());
+        bytes.asCharBuffer().append(canonicalForm.text);
         try {
             MessageDigest digest = MessageDigest.getInstance("SHA-256");
             digest.update(bytes);
             return HexFormat.of().formatHex(digest.digest());
         } catch (NoSuchAlgorithmException e) {
-            throw new AssertionError("every Java platform has SHA-256", e);
+            throw new AssertionError("every Java platform must provide SHA-256", e);
         }
     }
 
@@ -41,15 +41,15 @@
         if (node.isObject()) {
             appendObject(node);
         } else if (node.isArray()) {
-            char before = '[';
+            char separator = '[';
             for (JsonNode item : node) {
-                text.append(before);
+                text.append(separator);
                 append(item);
-                before = ',';
+                separator = ',';
             }
             text.append(node.isEmpty() ? "[]" : "]");
         } else if (node.isTextual()) {
-            appendText(node.textValue());
+            appendString(node.textValue());
         } else if (node.isNumber()) {
             text.append(node.decimalValue().stripTrailingZeros());
         } else {
@@ -57,15 +57,16 @@
         }
     }
 
+    /** Appends the fields sorted by name, each followed by a comma. */
     private void appendObject(JsonNode object) {
-        List<String> names = new ArrayList<>(object.size());
-        for (Iterator<String> all = object.fieldNames(); all.hasNext(); ) {
-            names.add(all.next());
+        List<String> sortedNames = new ArrayList<>(object.size());
+        for (Iterator<String> remainingNames = object.fieldNames(); remainingNames.hasNext(); ) {
+            sortedNames.add(remainingNames.next());
         }
-        Collections.sort(names);
+        Collections.sort(sortedNames);
         text.append('{');
-        for (String name : names) {
-            appendText(name);
+        for (String name : sortedNames) {
+            appendString(name);
             text.append(':');
             append(object.get(name));
             text.append(',');
@@ -73,7 +74,7 @@
         text.append('}');
     }
 
-    private void appendText(String value) {
+    private void appendString(String value) {
         text.append('"');
         JsonStringEncoder.getInstance().quoteAsString(value, text);
         text.append('"');
--- a/configuration/src/main/java/burlarch/configuration/Configuration.java
+++ b/configuration/src/main/java/burlarch/configuration/Configuration.java
@@ -5,8 +5,9 @@
 import java.util.List;
 
 /**
- * The content of a complete configuration. Absent lists are empty; other absent fields have the defaults named here, or
- * else 0. Names in documents are fixed by annotations.
+ * The content of a configuration document as immutable records. An absent list is read as an empty list; any other
+ * absent field has the default stated here, or else 0, false or null. Unknown fields are ignored. The annotations fix
+ * the field names of the document.
  */
 @JsonIgnoreProperties(ignoreUnknown = true)
 public record Configuration(
@@ -17,19 +18,25 @@
         @JsonProperty("tenants") List<Tenant> tenants) {
 
     public Configuration {
-        routes = given(routes);
-        services = given(services);
+        routes = copyOrEmpty(routes);
+        services = copyOrEmpty(services);
         limits = limits == null ? new Limits(0, 0, 0, 0) : limits;
-        tenants = given(tenants);
+        tenants = copyOrEmpty(tenants);
     }
 
-    private static <T> List<T> given(List<T> list) {
+    private static <T> List<T> copyOrEmpty(List<T> list) {
         return list == null ? List.of() : List.copyOf(list);
     }
 
     /**
-     * Which requests are forwarded to which service, and how. A route without a type is not idempotent; one without a
-     * latency target has its timeout as target; each allows one attempt at least.
+     * Assigns the requests of a host and path prefix to one service, or to several services by weight.
+     *
+     * @param type {@link RouteType#NON_IDEMPOTENT} if absent
+     * @param targetLatencyMillis the timeout if absent
+     * @param priority overridden by the priority of the tenant, if that is set
+     * @param service the only service, unless {@code trafficSplit} is given
+     * @param retries the maximum number of attempts, the first one included; at least 1
+     * @param isPublic whether requests are accepted without an API key
      */
     @JsonIgnoreProperties(ignoreUnknown = true)
     public record Route(
@@ -47,17 +54,17 @@
             @JsonProperty("session_affinity") boolean sessionAffinity,
             @JsonProperty("resumable") boolean resumable,
             @JsonProperty("gap_aim_ms") long gapTargetMillis) {
-        private static final int RETRIES_LEAST = 1;
+        private static final int MIN_ATTEMPTS = 1;
 
         public Route {
             type = type == null ? RouteType.NON_IDEMPOTENT : type;
             targetLatencyMillis = targetLatencyMillis > 0 ? targetLatencyMillis : timeoutMillis;
-            trafficSplit = given(trafficSplit);
-            retries = Math.max(RETRIES_LEAST, retries);
+            trafficSplit = copyOrEmpty(trafficSplit);
+            retries = Math.max(MIN_ATTEMPTS, retries);
         }
     }
 
-    /** Whether a request may be sent again, and whether its response is a stream. */
+    /** States whether a request may be sent again, and whether its response is a stream. */
     public enum RouteType {
         @JsonProperty("idempotent")
         IDEMPOTENT,
@@ -67,11 +74,20 @@
         STREAMING
     }
 
-    /** A service that receives a part of a route's traffic, in proportion to its weight. */
+    /** One service of a traffic split. It receives requests of the route in proportion to its weight. */
     @JsonIgnoreProperties(ignoreUnknown = true)
     public record Split(@JsonProperty("service") String service, @JsonProperty("weight") double weight) {}
 
-    /** A group of equal servers, or, if {@code kvStore} is given, a store of prefix caches at that address. */
+    /**
+     * A group of interchangeable instances, or a store of prefix caches.
+     *
+     * @param engine the properties of the instances if they are model engines, else null
+     * @param kvStore the address of the store, null if this is a group of instances
+     * @param zone the zone of the store
+     * @param kvCapacity the capacity of the store in tokens, 0 if unknown
+     * @param linkMbps the link speed of the store in Mbit/s
+     * @param maxInFlight the number of concurrent calls for its events that the store accepts
+     */
     @JsonIgnoreProperties(ignoreUnknown = true)
     public record Service(
             @JsonProperty("name") String name,
@@ -84,7 +100,14 @@
             @JsonProperty("link_mbps") double linkMbps,
             @JsonProperty("max_in_flight") int maxInFlight) {}
 
-    /** What the engines of a service have in common. */
+    /**
+     * The properties that all engines of a service share.
+     *
+     * @param kvCapacity the KV cache of each engine in tokens, 0 if unknown
+     * @param kvTokenBytes the size of the KV cache of one token in bytes
+     * @param linkMbps the nominal link speed of each engine in Mbit/s
+     * @param maxInFlight the number of concurrent calls for its events that each engine accepts
+     */
     @JsonIgnoreProperties(ignoreUnknown = true)
     public record Engine(
             @JsonProperty("capacity") int capacity,
@@ -96,35 +119,40 @@
             @JsonProperty("models") List<Model> models) {
 
         public Engine {
-            models = given(models);
+            models = copyOrEmpty(models);
         }
     }
 
-    /** A model that an engine may serve. */
+    /** A model that the engines of a service may serve. */
     @JsonIgnoreProperties(ignoreUnknown = true)
     public record Model(@JsonProperty("name") String name) {}
 
-    /** Limits on requests of clients and on their idle connections. */
+    /** Limits on client requests and on idle client connections. A limit that is absent or 0 has its default. */
     @JsonIgnoreProperties(ignoreUnknown = true)
     public record Limits(
             @JsonProperty("max_header_bytes") int maxHeaderBytes,
             @JsonProperty("max_body_bytes") int maxBodyBytes,
             @JsonProperty("header_timeout_ms") long headerTimeoutMillis,
             @JsonProperty("idle_timeout_ms") long idleTimeoutMillis) {
-        private static final int HEADER_BYTES = 16_384;
-        private static final int BODY_BYTES = 4_194_304;
-        private static final long HEADER_TIMEOUT_MILLIS = 3_000;
-        private static final long IDLE_TIMEOUT_MILLIS = 15_000;
+        private static final int DEFAULT_MAX_HEADER_BYTES = 16_384;
+        private static final int DEFAULT_MAX_BODY_BYTES = 4_194_304;
+        private static final long DEFAULT_HEADER_TIMEOUT_MILLIS = 3_000;
+        private static final long DEFAULT_IDLE_TIMEOUT_MILLIS = 15_000;
 
         public Limits {
-            maxHeaderBytes = maxHeaderBytes > 0 ? maxHeaderBytes : HEADER_BYTES;
-            maxBodyBytes = maxBodyBytes > 0 ? maxBodyBytes : BODY_BYTES;
-            headerTimeoutMillis = headerTimeoutMillis > 0 ? headerTimeoutMillis : HEADER_TIMEOUT_MILLIS;
-            idleTimeoutMillis = idleTimeoutMillis > 0 ? idleTimeoutMillis : IDLE_TIMEOUT_MILLIS;
+            maxHeaderBytes = maxHeaderBytes > 0 ? maxHeaderBytes : DEFAULT_MAX_HEADER_BYTES;
+            maxBodyBytes = maxBodyBytes > 0 ? maxBodyBytes : DEFAULT_MAX_BODY_BYTES;
+            headerTimeoutMillis = headerTimeoutMillis > 0 ? headerTimeoutMillis : DEFAULT_HEADER_TIMEOUT_MILLIS;
+            idleTimeoutMillis = idleTimeoutMillis > 0 ? idleTimeoutMillis : DEFAULT_IDLE_TIMEOUT_MILLIS;
         }
     }
 
-    /** A client of the fleet, known by its keys. If {@code priority} is null, that of the route applies. */
+    /**
+     * A client of the fleet, identified by its API keys.
+     *
+     * @param priority the priority of its requests; null if the priority of the route applies
+     * @param isolated whether its prompts share no cached prefixes with other tenants
+     */
     @JsonIgnoreProperties(ignoreUnknown = true)
     public record Tenant(
             @JsonProperty("name") String name,
@@ -133,7 +161,7 @@
             @JsonProperty("isolated") boolean isolated) {
 
         public Tenant {
-            apiKeys = given(apiKeys);
+            apiKeys = copyOrEmpty(apiKeys);
         }
     }
 }
--- a/configuration/src/main/java/burlarch/configuration/ConfigurationDocument.java
+++ b/configuration/src/main/java/burlarch/configuration/ConfigurationDocument.java
@@ -6,12 +6,13 @@
 import java.util.List;
 
 /**
- * A valid configuration together with the document that the operator sent. Unknown fields, the order of fields and the
- * form of numbers are retained, since operators compare what they read back with what they sent. Immutable.
+ * A validated configuration together with the JSON document that the operator sent. Unknown fields, the order of fields
+ * and the precision of numbers are retained, because operators compare what they read back with what they sent.
+ * Immutable.
  */
 public final class ConfigurationDocument {
-    static final String VERSION = "config_version";
-    private static final String EXAMPLE =
+    static final String VERSION_FIELD = "config_version";
+    private static final String WARM_UP_DOCUMENT =
             """
             {"config_version": 1, "routes": [{"name": "r", "hostname": "h", "path_prefix": "/",
             "route_type": "streaming", "timeout_ms": 1, "traffic_split": [{"service": "s", "weight": 1}]}],
@@ -29,58 +30,58 @@
     }
 
     /**
-     * Parses and validates a complete configuration. Whether its version may follow the one in force is decided by
+     * Parses and validates a complete configuration. The version is not compared with the one in force; see
      * {@link #supersedes}.
      *
-     * @throws InvalidConfigurationException if the document cannot be read or breaks a rule; names every problem found
+     * @throws InvalidConfigurationException if the document cannot be read or is invalid; lists every problem found
      */
     public static ConfigurationDocument parse(byte[] json) throws InvalidConfigurationException {
         return of(ConfigurationJson.readObject(json));
     }
 
-    /** Validates a complete configuration. The tree is not retained. */
+    /** Validates a complete configuration. Retains no reference to the tree. */
     static ConfigurationDocument of(ObjectNode tree) throws InvalidConfigurationException {
         checkVersion(tree);
         byte[] json = ConfigurationJson.write(tree);
-        refuse(ConstraintValidator.check(ConfigurationJson.convert(tree, ConfigurationConstraints.class)));
+        requireNoProblems(ConstraintValidator.check(ConfigurationJson.convert(tree, ConfigurationConstraints.class)));
         Configuration configuration = ConfigurationJson.convert(tree, Configuration.class);
-        refuse(CrossReferenceValidator.check(configuration));
+        requireNoProblems(CrossReferenceValidator.check(configuration));
         return new ConfigurationDocument(json, configuration, CanonicalDigest.of(tree));
     }
 
-    /** Checks the version before it is read as a long, which would drop a fraction. */
+    /** Checks the version in the tree, because the conversion to a long would drop a fraction. */
     static void checkVersion(JsonNode tree) throws InvalidConfigurationException {
-        JsonNode version = tree.path(VERSION);
+        JsonNode version = tree.path(VERSION_FIELD);
         if (!version.canConvertToExactIntegral() || !version.canConvertToLong() || version.longValue() < 1) {
-            throw new InvalidConfigurationException(VERSION, "must be a whole number from 1");
+            throw new InvalidConfigurationException(VERSION_FIELD, "must be a whole number from 1");
         }
     }
 
-    private static void refuse(List<ConfigurationProblem> problems) throws InvalidConfigurationException {
+    private static void requireNoProblems(List<ConfigurationProblem> problems) throws InvalidConfigurationException {
         if (!problems.isEmpty()) {
             throw new InvalidConfigurationException(problems);
         }
     }
 
     /**
-     * Parses a configuration that a controller has validated. Starts no validator.
+     * Parses a configuration that a controller has already validated. Does not load the validator.
      *
-     * @throws InvalidConfigurationException if it cannot be read completely
+     * @throws InvalidConfigurationException if the document cannot be read completely
      */
     public static Configuration parseTrusted(byte[] json) throws InvalidConfigurationException {
         return ConfigurationJson.read(json, Configuration.class);
     }
 
-    /** Validates a small example, so that the first real validation does not wait for class loading. */
+    /** Validates a small document, so that the first validation of a real one does not wait for class loading. */
     public static void warmUpValidation() {
         try {
-            parse(EXAMPLE.getBytes(StandardCharsets.UTF_8));
+            parse(WARM_UP_DOCUMENT.getBytes(StandardCharsets.UTF_8));
         } catch (InvalidConfigurationException e) {
-            throw new AssertionError("the example is valid", e);
+            throw new AssertionError("the warm-up document must be valid", e);
         }
     }
 
-    /** Returns the document as sent, without white space. The array is the caller's own. */
+    /** Returns a copy of the document as sent, without white space, in UTF-8. */
     public byte[] json() {
         return json.clone();
     }
@@ -93,12 +94,16 @@
         return configuration.version();
     }
 
-    /** Returns the digest of the document; documents that differ in the order of fields alone have the same. */
+    /** Returns the digest of the document, which does not depend on the order of fields or the format of numbers. */
     public String digest() {
         return digest;
     }
 
-    /** Returns whether the version is above the current one, 0 if there is none; otherwise the change is invalid. */
+    /**
+     * Returns whether this document may replace the configuration in force: its version must be higher.
+     *
+     * @param currentVersion the version in force, 0 if there is none
+     */
     public boolean supersedes(long currentVersion) {
         return version() > currentVersion;
     }
--- a/configuration/src/main/java/burlarch/configuration/ConfigurationJson.java
+++ b/configuration/src/main/java/burlarch/configuration/ConfigurationJson.java
@@ -14,15 +14,15 @@
 import java.io.IOException;
 
 /**
- * Reads and writes configurations as JSON. Nothing is lost: numbers keep their precision. Nothing ambiguous is
- * accepted: duplicate keys, trailing tokens and coerced scalars are rejected.
+ * Reads and writes configurations as JSON with one strictly configured mapper. Numbers keep their precision. Duplicate
+ * keys, trailing tokens, coerced scalars and numbers for enum constants are rejected.
  */
 final class ConfigurationJson {
-    /** Bounds the stack depth of reading and writing. */
-    private static final int MAX_DEPTH = 64;
+    /** Bounds the recursion of the parser and the writer. */
+    private static final int MAX_NESTING_DEPTH = 64;
 
     private static final StreamReadConstraints CONSTRAINTS =
-            StreamReadConstraints.builder().maxNestingDepth(MAX_DEPTH).build();
+            StreamReadConstraints.builder().maxNestingDepth(MAX_NESTING_DEPTH).build();
     private static final JsonMapper MAPPER = JsonMapper.builder(JsonFactory.builder()
                     .streamReadConstraints(CONSTRAINTS)
                     .enable(StreamReadFeature.STRICT_DUPLICATE_DETECTION)
@@ -36,12 +36,13 @@
 
     private ConfigurationJson() {}
 
+    /** Parses a document as a tree. */
     static ObjectNode readObject(byte[] json) throws InvalidConfigurationException {
         JsonNode tree;
         try {
             tree = MAPPER.readTree(json);
         } catch (IOException e) {
-            throw unreadable(e);
+            throw invalidConfiguration(e);
         }
         if (tree instanceof ObjectNode object) {
             return object;
@@ -49,19 +50,21 @@
         throw new InvalidConfigurationException("", "not a JSON object");
     }
 
+    /** Parses a document as an instance of a type. */
     static <T> T read(byte[] json, Class<T> type) throws InvalidConfigurationException {
         try {
             return requireNotNull(MAPPER.readValue(json, type));
         } catch (IOException e) {
-            throw unreadable(e);
+            throw invalidConfiguration(e);
         }
     }
 
+    /** Converts a tree to an instance of a type. */
     static <T> T convert(JsonNode tree, Class<T> type) throws InvalidConfigurationException {
         try {
             return requireNotNull(MAPPER.treeToValue(tree, type));
         } catch (JsonProcessingException e) {
-            throw unreadable(e);
+            throw invalidConfiguration(e);
         }
     }
 
@@ -72,30 +75,31 @@
         return value;
     }
 
-    /** Writes without white space. */
+    /** Returns the tree as UTF-8 JSON without white space. */
     static byte[] write(JsonNode tree) {
         try {
             return MAPPER.writeValueAsBytes(tree);
         } catch (JsonProcessingException e) {
-            throw new AssertionError("a tree that was read can be written", e);
+            throw new AssertionError("a JSON tree that was read must be writable", e);
         }
     }
 
-    private static InvalidConfigurationException unreadable(IOException e) {
-        if (!(e instanceof JsonProcessingException problem)) {
+    private static InvalidConfigurationException invalidConfiguration(IOException e) {
+        if (!(e instanceof JsonProcessingException jsonException)) {
             return new InvalidConfigurationException("", "not JSON: " + e.getMessage());
         }
-        String field = e instanceof JsonMappingException mapping ? path(mapping) : "";
-        return new InvalidConfigurationException(field, problem.getOriginalMessage());
+        String field = e instanceof JsonMappingException mappingException ? fieldPath(mappingException) : "";
+        return new InvalidConfigurationException(field, jsonException.getOriginalMessage());
     }
 
-    private static String path(JsonMappingException e) {
+    /** Returns the path of the field at fault, such as {@code routes[0].name}. */
+    private static String fieldPath(JsonMappingException e) {
         StringBuilder path = new StringBuilder();
-        for (JsonMappingException.Reference step : e.getPath()) {
-            if (step.getFieldName() == null) {
-                path.append('[').append(step.getIndex()).append(']');
+        for (JsonMappingException.Reference reference : e.getPath()) {
+            if (reference.getFieldName() == null) {
+                path.append('[').append(reference.getIndex()).append(']');
             } else {
-                path.append(path.length() == 0 ? "" : ".").append(step.getFieldName());
+                path.append(path.length() == 0 ? "" : ".").append(reference.getFieldName());
             }
         }
         return path.toString();
--- a/configuration/src/main/java/burlarch/configuration/ConfigurationPatch.java
+++ b/configuration/src/main/java/burlarch/configuration/ConfigurationPatch.java
@@ -10,16 +10,16 @@
 import java.util.Set;
 
 /**
- * The operator's change to named items of a configuration. An item under {@code upsert} reindexes the item of its
- * name, or is appended; then the items named under {@code delete} are removed; any other field reindexes the present
- * one completely. Immutable.
+ * A change by the operator to named items of a configuration. Fields other than {@code upsert} and {@code delete}
+ * replace the field of the same name completely. Then each item under {@code upsert} replaces the item of the same
+ * name, or is appended if there is none. Then the items named under {@code delete} are removed. Immutable.
  */
 public final class ConfigurationPatch {
     private static final String UPSERT = "upsert";
     private static final String DELETE = "delete";
     private static final String NAME = "name";
 
-    /** Checks the form of one list of a patch. */
+    /** Checks the structure of one list under {@code upsert} or {@code delete}. */
     private interface ListCheck {
         void check(String field, JsonNode list) throws InvalidConfigurationException;
     }
@@ -32,7 +32,7 @@
         this.digest = CanonicalDigest.of(tree);
     }
 
-    /** Parses a patch and validates its form; {@link #applyTo} validates the result of applying it. */
+    /** Parses a patch and checks its structure. The patched configuration is validated by {@link #applyTo}. */
     public static ConfigurationPatch parse(byte[] json) throws InvalidConfigurationException {
         ObjectNode tree = ConfigurationJson.readObject(json);
         ConfigurationDocument.checkVersion(tree);
@@ -41,17 +41,17 @@
         return new ConfigurationPatch(tree);
     }
 
-    private static void checkLists(ObjectNode tree, String change, ListCheck check)
+    private static void checkLists(ObjectNode tree, String operation, ListCheck check)
             throws InvalidConfigurationException {
-        JsonNode lists = tree.path(change);
-        if (lists.isMissingNode() || lists.isNull()) {
+        JsonNode listsByField = tree.path(operation);
+        if (listsByField.isMissingNode() || listsByField.isNull()) {
             return;
         }
-        if (!lists.isObject()) {
-            throw new InvalidConfigurationException(change, "must be an object of lists");
+        if (!listsByField.isObject()) {
+            throw new InvalidConfigurationException(operation, "must be an object of lists");
         }
-        for (Map.Entry<String, JsonNode> list : lists.properties()) {
-            String field = change + "." + list.getKey();
+        for (Map.Entry<String, JsonNode> list : listsByField.properties()) {
+            String field = operation + "." + list.getKey();
             if (!list.getValue().isArray()) {
                 throw new InvalidConfigurationException(field, "must be a list");
             }
@@ -59,7 +59,7 @@
         }
     }
 
-    /** Items to upsert are objects with a name each, no two alike. */
+    /** Requires that each item to upsert has a name of its own. */
     private static void checkUpserts(String field, JsonNode items) throws InvalidConfigurationException {
         Set<String> names = new HashSet<>();
         for (int i = 0; i < items.size(); i++) {
@@ -71,7 +71,7 @@
         }
     }
 
-    /** Items to delete are names; a repeated one does no harm. */
+    /** Requires that each item to delete is a name. Repeated names are allowed. */
     private static void checkDeletes(String field, JsonNode names) throws InvalidConfigurationException {
         for (int i = 0; i < names.size(); i++) {
             requireName(field, i, names.get(i));
@@ -85,42 +85,51 @@
     }
 
     public long version() {
-        return tree.get(ConfigurationDocument.VERSION).longValue();
+        return tree.get(ConfigurationDocument.VERSION_FIELD).longValue();
     }
 
-    /** Returns the digest of the patch as sent, independent of the order of fields. */
+    /** Returns the digest of the patch as sent, which does not depend on the order of fields. */
     public String digest() {
         return digest;
     }
 
-    /** Returns whether the version is above the current one; otherwise the change is invalid. */
+    /**
+     * Returns whether the patched configuration may replace the one in force: its version must be higher.
+     *
+     * @param currentVersion the version in force, 0 if there is none
+     */
     public boolean supersedes(long currentVersion) {
         return version() > currentVersion;
     }
 
-    /** Returns the base with this change applied, validated completely. Neither of the two is changed. */
+    /**
+     * Returns a new document: the base with this patch applied, completely validated.
+     *
+     * @throws InvalidConfigurationException if a field with items to upsert or delete is not a list, or the result is
+     *     invalid
+     */
     public ConfigurationDocument applyTo(ConfigurationDocument base) throws InvalidConfigurationException {
-        ObjectNode changed = ConfigurationJson.readObject(base.json());
+        ObjectNode patched = ConfigurationJson.readObject(base.json());
         for (Map.Entry<String, JsonNode> field : tree.properties()) {
             if (!field.getKey().equals(UPSERT) && !field.getKey().equals(DELETE)) {
-                changed.set(field.getKey(), field.getValue().deepCopy());
+                patched.set(field.getKey(), field.getValue().deepCopy());
             }
         }
         for (Map.Entry<String, JsonNode> list : tree.path(UPSERT).properties()) {
-            upsert(listOf(changed, list.getKey()), list.getValue());
+            upsert(getOrCreateList(patched, list.getKey()), list.getValue());
         }
         for (Map.Entry<String, JsonNode> list : tree.path(DELETE).properties()) {
-            if (changed.hasNonNull(list.getKey())) {
-                delete(listOf(changed, list.getKey()), list.getValue());
+            if (patched.hasNonNull(list.getKey())) {
+                delete(getOrCreateList(patched, list.getKey()), list.getValue());
             }
         }
-        return ConfigurationDocument.of(changed);
+        return ConfigurationDocument.of(patched);
     }
 
-    private static ArrayNode listOf(ObjectNode changed, String name) throws InvalidConfigurationException {
-        JsonNode list = changed.path(name);
+    private static ArrayNode getOrCreateList(ObjectNode patched, String name) throws InvalidConfigurationException {
+        JsonNode list = patched.path(name);
         if (list.isMissingNode() || list.isNull()) {
-            return changed.putArray(name);
+            return patched.putArray(name);
         }
         if (list instanceof ArrayNode array) {
             return array;
@@ -129,12 +138,12 @@
     }
 
     private static void upsert(ArrayNode list, JsonNode items) {
-        Map<String, Integer> indexes = new HashMap<>();
+        Map<String, Integer> indexesByName = new HashMap<>();
         for (int i = 0; i < list.size(); i++) {
-            indexes.put(list.get(i).path(NAME).asText(), i);
+            indexesByName.put(list.get(i).path(NAME).asText(), i);
         }
         for (JsonNode item : items) {
-            Integer index = indexes.get(item.path(NAME).textValue());
+            Integer index = indexesByName.get(item.path(NAME).textValue());
             if (index == null) {
                 list.add(item);
             } else {
--- a/configuration/src/main/java/burlarch/configuration/ConstraintValidator.java
+++ b/configuration/src/main/java/burlarch/configuration/ConstraintValidator.java
@@ -16,49 +16,54 @@
 import org.hibernate.validator.spi.nodenameprovider.Property;
 import org.hibernate.validator.spi.nodenameprovider.PropertyNodeNameProvider;
 
-/** Checks single fields by their constraints. The validator, which is slow to start, starts with the first check. */
+/**
+ * Checks the single fields of a configuration against their Bean Validation constraints. The first check creates the
+ * validator, which is slow.
+ */
 final class ConstraintValidator {
     private ConstraintValidator() {}
 
-    /** Returns every violated constraint, with the field's path in the document, sorted by path. */
-    static List<ConfigurationProblem> check(ConfigurationConstraints declared) {
+    /** Returns every violated constraint, sorted by the path of the field and then by the reason. */
+    static List<ConfigurationProblem> check(ConfigurationConstraints configuration) {
         List<ConfigurationProblem> problems = new ArrayList<>();
-        for (ConstraintViolation<ConfigurationConstraints> each : Started.VALIDATOR.validate(declared)) {
-            problems.add(new ConfigurationProblem(field(each.getPropertyPath()), each.getMessage()));
+        for (ConstraintViolation<ConfigurationConstraints> violation :
+                ValidatorHolder.VALIDATOR.validate(configuration)) {
+            problems.add(new ConfigurationProblem(documentPath(violation.getPropertyPath()), violation.getMessage()));
         }
         problems.sort(Comparator.comparing(ConfigurationProblem::field).thenComparing(ConfigurationProblem::reason));
         return problems;
     }
 
-    /** Returns the path without the steps that name the element of a list, as {@code [0].<list element>}. */
-    private static String field(Path path) {
+    /** Returns the path without the nodes that stand for the element of a list, as in {@code [0].<list element>}. */
+    private static String documentPath(Path path) {
         return path.toString().replaceAll("\\.?<[^>]*>", "");
     }
 
-    /** Holds the validator: loaded by its first use. */
-    private static final class Started {
+    /** Creates the validator when this class is first used. */
+    private static final class ValidatorHolder {
         static final Validator VALIDATOR = Validation.byProvider(HibernateValidator.class)
                 .configure()
                 .ignoreXmlConfiguration()
                 .messageInterpolator(new ParameterMessageInterpolator())
-                .propertyNodeNameProvider(new DocumentNames())
-                .traversableResolver(new EveryField())
+                .propertyNodeNameProvider(new JsonPropertyNames())
+                .traversableResolver(new AllFieldsResolver())
                 .buildValidatorFactory()
                 .getValidator();
     }
 
-    /** Gives a field its name in the document. */
-    private static final class DocumentNames implements PropertyNodeNameProvider {
+    /** Names a field in a path by its {@link JsonProperty}, which is its name in the document. */
+    private static final class JsonPropertyNames implements PropertyNodeNameProvider {
         @Override
         public String getName(Property property) {
-            if (property instanceof JavaBeanProperty bean) {
+            if (property instanceof JavaBeanProperty beanProperty) {
                 try {
-                    JsonProperty name = bean.getDeclaringClass()
-                            .getDeclaredField(bean.getName())
+                    JsonProperty name = beanProperty
+                            .getDeclaringClass()
+                            .getDeclaredField(beanProperty.getName())
                             .getAnnotation(JsonProperty.class);
-                    return name == null ? bean.getName() : name.value();
+                    return name == null ? beanProperty.getName() : name.value();
                 } catch (NoSuchFieldException e) {
-                    return bean.getName();
+                    return beanProperty.getName();
                 }
             }
             return property.getName();
@@ -66,9 +71,10 @@
     }
 
     /**
-     * Has every field validated: records load nothing lazily, so the default's question for each field is not needed.
+     * Has every field validated. The default resolver asks for each field whether it is loaded, which is not needed,
+     * because records load no field lazily.
      */
-    private static final class EveryField implements TraversableResolver {
+    private static final class AllFieldsResolver implements TraversableResolver {
         @Override
         public boolean isReachable(Object object, Path.Node property, Class<?> root, Path path, ElementType type) {
             return true;
--- a/configuration/src/main/java/burlarch/configuration/DeltaMismatchException.java
+++ b/configuration/src/main/java/burlarch/configuration/DeltaMismatchException.java
@@ -1,11 +1,10 @@
 package burlarch.configuration;
 
 /**
- * A delta does not lead from the document at hand to the one that was meant.
+ * A delta cannot be applied to a document: the delta was made for another base, is corrupt, or yields a result with
+ * another digest than the delta states.
  *
- * <p><b>Causes:</b> the base is another document, the delta is corrupt, or its result has another digest.
- *
- * <p><b>What the caller may do:</b> keep its document and fetch the complete new one; applying again does not help.
+ * <p>The caller keeps its document and fetches the complete new one. Applying the same delta again fails again.
  */
 public final class DeltaMismatchException extends Exception {
     private static final long serialVersionUID = 1L;
--- a/configuration/src/main/java/burlarch/configuration/IndexedRouteTable.java
+++ b/configuration/src/main/java/burlarch/configuration/IndexedRouteTable.java
@@ -6,28 +6,30 @@
 import java.util.Map;
 
 /**
- * Finds routes by hash look-ups: the prefixes of a path that end at a slash, from the longest that any route of the
- * host has to the shortest. The work is bounded by the host's longest prefix, whatever a client sends.
+ * A route table that finds a route by hash lookups. It looks up each prefix of a path that ends at a slash, from the
+ * length of the host's longest route prefix down to the shortest. The longest route prefix of the host therefore bounds
+ * the work for any path that a client sends. Immutable.
  */
 public final class IndexedRouteTable implements RouteTable {
     private final Configuration configuration;
-    private final Map<String, HostRoutes> hosts = new HashMap<>();
-    private final Map<String, Tenant> tenants = new HashMap<>();
+    private final Map<String, HostRoutes> routesByHost = new HashMap<>();
+    private final Map<String, Tenant> tenantsByKey = new HashMap<>();
 
     private IndexedRouteTable(Configuration configuration) {
         this.configuration = configuration;
         for (Route route : configuration.routes()) {
-            hosts.computeIfAbsent(HostName.of(route.hostname()), host -> new HostRoutes())
+            routesByHost
+                    .computeIfAbsent(HostName.of(route.hostname()), host -> new HostRoutes())
                     .add(route);
         }
         for (Tenant tenant : configuration.tenants()) {
             for (String key : tenant.apiKeys()) {
-                tenants.put(key, tenant);
+                tenantsByKey.put(key, tenant);
             }
         }
     }
 
-    /** Returns the table of a valid configuration. */
+    /** Builds the table of a valid configuration. */
     public static IndexedRouteTable of(Configuration configuration) {
         return new IndexedRouteTable(configuration);
     }
@@ -37,19 +39,19 @@
         return configuration;
     }
 
-    /** {@inheritDoc} The case and port of the host and the query of the path are ignored. */
+    /** {@inheritDoc} Ignores the case and the port of the host, and the query of the path. */
     @Override
     public Route match(String host, String path) {
         if (host == null || path == null) {
             return null;
         }
-        HostRoutes routes = hosts.get(HostName.of(host));
-        return routes == null ? null : routes.match(path);
+        HostRoutes hostRoutes = routesByHost.get(HostName.of(host));
+        return hostRoutes == null ? null : hostRoutes.match(path);
     }
 
     @Override
     public Tenant tenantOf(String key) {
-        return key == null ? null : tenants.get(key);
+        return key == null ? null : tenantsByKey.get(key);
     }
 
     @Override
@@ -60,17 +62,17 @@
     /** The routes of one host. */
     private static final class HostRoutes {
         private final Map<String, Route> byPrefix = new HashMap<>();
-        private int longest;
+        private int maxPrefixLength;
 
         void add(Route route) {
             byPrefix.put(route.pathPrefix(), route);
-            longest = Math.max(longest, route.pathPrefix().length());
+            maxPrefixLength = Math.max(maxPrefixLength, route.pathPrefix().length());
         }
 
         Route match(String target) {
-            int query = target.indexOf('?');
-            String path = query < 0 ? target : target.substring(0, query);
-            int slash = path.lastIndexOf('/', longest - 1);
+            int queryStart = target.indexOf('?');
+            String path = queryStart < 0 ? target : target.substring(0, queryStart);
+            int slash = path.lastIndexOf('/', maxPrefixLength - 1);
             while (slash >= 0) {
                 Route route = byPrefix.get(path.substring(0, slash + 1));
                 if (route != null) {
--- a/configuration/src/main/java/burlarch/configuration/RollingHashMatcher.java
+++ b/configuration/src/main/java/burlarch/configuration/RollingHashMatcher.java
@@ -5,23 +5,25 @@
 import java.util.Map;
 
 /**
- * Finds chunks of a base in a result by the algorithm of rsync: blocks of the base are indexed by hash, a window
- * rolls over the result, and each match is extended in both directions. Time and memory are linear in the lengths.
- * Not safe for use by several threads: it remembers the last match.
+ * Finds chunks of a base in a result with the rolling hash of the rsync algorithm. The blocks of the base are indexed
+ * by hash, a window of the size of a block slides over the result, and each match is extended in both directions. Time
+ * and memory are linear in the lengths of base and result. Not thread-safe, because it keeps state about the last
+ * match.
  */
 final class RollingHashMatcher {
     private static final int BLOCK_BYTES = 32;
     private static final int MULTIPLIER = 31;
-    private static final int LAST_WEIGHT = lastWeight();
+    private static final int FIRST_BYTE_WEIGHT = firstByteWeight();
 
     private final byte[] base;
     private final byte[] result;
-    private final Map<Integer, Integer> blocks = new HashMap<>();
-    /** Offset of the base relative to the result in the last match; the next one often has the same. */
-    private int shift;
+    private final Map<Integer, Integer> blockStartByHash = new HashMap<>();
+    /** Start in the base minus start in the result of the last match; the next match often has the same difference. */
+    private int lastShift;
 
     /**
-     * A chunk of the base that was found in the result. The length is 0 if there is none up to the end of the result.
+     * A chunk of the base that occurs in the result. A length of 0 at the end of the result means that there is no
+     * further match.
      */
     record Match(int baseStart, int resultStart, int length) {}
 
@@ -29,50 +31,54 @@
         this.base = base;
         this.result = result;
         for (int start = 0; start + BLOCK_BYTES <= base.length; start += BLOCK_BYTES) {
-            blocks.putIfAbsent(hash(base, start), start);
+            blockStartByHash.putIfAbsent(hash(base, start), start);
         }
     }
 
-    /** Returns the first match at or after an offset of the result. */
-    Match next(int from) {
-        int last = result.length - BLOCK_BYTES;
-        int hash = last < from ? 0 : hash(result, from);
-        for (int at = from; at <= last; at++) {
-            Match match = matchAt(from, at, hash);
+    /** Returns the first match that starts at or after an offset of the result. */
+    Match next(int minStart) {
+        int lastWindowStart = result.length - BLOCK_BYTES;
+        int hash = lastWindowStart < minStart ? 0 : hash(result, minStart);
+        for (int position = minStart; position <= lastWindowStart; position++) {
+            Match match = matchAt(minStart, position, hash);
             if (match != null) {
-                shift = match.baseStart() - match.resultStart();
+                lastShift = match.baseStart() - match.resultStart();
                 return match;
             }
-            if (at < last) {
-                hash = (hash - result[at] * LAST_WEIGHT) * MULTIPLIER + result[at + BLOCK_BYTES];
+            if (position < lastWindowStart) {
+                hash = (hash - result[position] * FIRST_BYTE_WEIGHT) * MULTIPLIER + result[position + BLOCK_BYTES];
             }
         }
         return new Match(0, result.length, 0);
     }
 
-    private Match matchAt(int from, int at, int hash) {
-        int sameShift = at + shift;
-        if (isBlockAt(sameShift, at)) {
-            return extend(from, at, sameShift);
+    private Match matchAt(int minStart, int position, int hash) {
+        int expectedStart = position + lastShift;
+        if (isBlockAt(expectedStart, position)) {
+            return extend(minStart, position, expectedStart);
         }
-        Integer known = blocks.get(hash);
-        return known != null && isBlockAt(known, at) ? extend(from, at, known) : null;
+        Integer candidateStart = blockStartByHash.get(hash);
+        return candidateStart != null && isBlockAt(candidateStart, position)
+                ? extend(minStart, position, candidateStart)
+                : null;
     }
 
-    private boolean isBlockAt(int baseStart, int at) {
+    private boolean isBlockAt(int baseStart, int position) {
         return baseStart >= 0
                 && baseStart + BLOCK_BYTES <= base.length
-                && Arrays.equals(base, baseStart, baseStart + BLOCK_BYTES, result, at, at + BLOCK_BYTES);
+                && Arrays.equals(base, baseStart, baseStart + BLOCK_BYTES, result, position, position + BLOCK_BYTES);
     }
 
-    private Match extend(int from, int at, int baseAt) {
-        int before = 0;
-        while (at - before > from && baseAt - before > 0 && result[at - before - 1] == base[baseAt - before - 1]) {
-            before++;
+    private Match extend(int minStart, int position, int baseStart) {
+        int lengthBefore = 0;
+        while (position - lengthBefore > minStart
+                && baseStart - lengthBefore > 0
+                && result[position - lengthBefore - 1] == base[baseStart - lengthBefore - 1]) {
+            lengthBefore++;
         }
-        int after = Arrays.mismatch(base, baseAt, base.length, result, at, result.length);
-        int length = after < 0 ? result.length - at : after;
-        return new Match(baseAt - before, at - before, before + length);
+        int lengthAfter = Arrays.mismatch(base, baseStart, base.length, result, position, result.length);
+        int length = lengthAfter < 0 ? result.length - position : lengthAfter;
+        return new Match(baseStart - lengthBefore, position - lengthBefore, lengthBefore + length);
     }
 
     private static int hash(byte[] bytes, int start) {
@@ -83,7 +89,8 @@
         return hash;
     }
 
-    private static int lastWeight() {
+    /** Returns the factor of the first byte of a window in the hash of the window. */
+    private static int firstByteWeight() {
         int weight = 1;
         for (int i = 1; i < BLOCK_BYTES; i++) {
             weight *= MULTIPLIER;
--- a/configuration/src/main/java/burlarch/configuration/package-info.java
+++ b/configuration/src/main/java/burlarch/configuration/package-info.java
@@ -1,20 +1,20 @@
 /**
- * The operator's configuration: its document, its validation, changes to it and look-ups in it.
+ * The configuration of the fleet: document, validation, changes and lookups.
  *
  * <ul>
  *   <li>Document: {@link burlarch.configuration.ConfigurationDocument} is a valid document as the operator sent it,
  *       {@link burlarch.configuration.Configuration} its content as records.
  *   <li>Validation: {@code ConstraintValidator} checks single fields against {@code ConfigurationConstraints},
- *       {@code CrossReferenceValidator} how the parts refer to each other. Each
- *       {@link burlarch.configuration.ConfigurationProblem} is reported by
- *       {@link burlarch.configuration.InvalidConfigurationException}.
- *   <li>Changes: {@link burlarch.configuration.ConfigurationPatch} is the operator's, by names of items;
- *       {@link burlarch.configuration.DocumentDelta} is the one sent to routers, by bytes.
- *   <li>Look-ups: {@link burlarch.configuration.RouteTable} and {@link burlarch.configuration.TrafficSplitter}, on the
- *       path of each request: they allocate no Optional and return null for an absent result.
+ *       {@code CrossReferenceValidator} checks uniqueness and the references between fields.
+ *       {@link burlarch.configuration.InvalidConfigurationException} reports each problem as a
+ *       {@link burlarch.configuration.ConfigurationProblem}.
+ *   <li>Changes: {@link burlarch.configuration.ConfigurationPatch} is a change by the operator, which refers to items
+ *       by name; {@link burlarch.configuration.DocumentDelta} is the binary delta that is sent to routers.
+ *   <li>Lookups: {@link burlarch.configuration.RouteTable} and {@link burlarch.configuration.TrafficSplitter} are used
+ *       for every request; they allocate no Optional and return null for an absent result.
  * </ul>
  *
- * <p>Everything public is immutable or has static methods only, so that any thread may use it. The package holds no
- * state but the validator, which starts at its first use.
+ * <p>Every public type is immutable or has only static methods, so that any thread may use it. The only shared state of
+ * the package is the validator, which the first validation creates.
  */
 package burlarch.configuration;
