--- a/operator-cli/src/main/java/burlarch/operator/ConfigCommand.java
+++ b/operator-cli/src/main/java/burlarch/operator/ConfigCommand.java
@@ -12,30 +12,35 @@
 import org.kohsuke.args4j.Option;
 
 /**
- * The command {@code config} with its sub-commands get, put, patch and validate. They are public because args4j
- * creates them.
+ * The command {@code config} with its subcommands get, put, patch and validate. The subcommands are public because
+ * args4j instantiates them.
  */
 public final class ConfigCommand {
-    private static final String PATH = "/burlarch/config";
+    private static final String CONFIGURATION_PATH = "/burlarch/config";
     private static final int NOT_FOUND = 404;
 
     private ConfigCommand() {}
 
-    /** A sub-command. */
+    /** A subcommand, whose fields args4j sets before it is run. */
     public interface Action {
-        /** Runs the sub-command. */
+        /**
+         * Runs the subcommand.
+         *
+         * @param output receives the result for the operator
+         * @throws CommandFailure if the reason and the exit code are known
+         */
         void run(PrintStream output) throws Exception;
     }
 
-    /** {@code get}: prints the newest configuration. */
+    /** {@code get}: prints the configuration in force. */
     public static final class Get implements Action {
         @Option(name = "--control", metaVar = "HOST:PORT[,HOST:PORT...]", required = true)
-        private String control;
+        private String controlAddresses;
 
         @Override
         public void run(PrintStream output) throws Exception {
-            ControlClient.Response answer = read(client(control));
-            output.write(answer.body());
+            ControlClient.Response response = fetchConfiguration(createClient(controlAddresses));
+            output.write(response.body());
             output.println();
         }
     }
@@ -46,7 +51,7 @@
         private Path file;
 
         @Option(name = "--control", metaVar = "HOST:PORT[,HOST:PORT...]", required = true)
-        private String control;
+        private String controlAddresses;
 
         @Option(name = "--if-match", metaVar = "N")
         private Long ifMatch;
@@ -54,19 +59,19 @@
         @Override
         public void run(PrintStream output) throws Exception {
             byte[] json = Files.readAllBytes(file);
-            long version = valid(json).version();
-            send("PUT", client(control), json, ifMatch);
+            long version = parseValid(json).version();
+            sendChange("PUT", createClient(controlAddresses), json, ifMatch);
             output.println("configuration " + version + " is acknowledged");
         }
     }
 
-    /** {@code patch}: sends a change of named items. */
+    /** {@code patch}: sends a change to named items of the configuration. */
     public static final class Patch implements Action {
         @Argument(metaVar = "FILE", required = true)
         private Path file;
 
         @Option(name = "--control", metaVar = "HOST:PORT[,HOST:PORT...]", required = true)
-        private String control;
+        private String controlAddresses;
 
         @Option(name = "--if-match", metaVar = "N")
         private Long ifMatch;
@@ -77,15 +82,15 @@
             long version;
             try {
                 version = ConfigurationPatch.parse(json).version();
-            } catch (InvalidConfigurationException invalid) {
-                throw RejectionMessages.toFailure(invalid);
+            } catch (InvalidConfigurationException e) {
+                throw RejectionMessages.toFailure(e);
             }
-            send("PATCH", client(control), json, ifMatch);
+            sendChange("PATCH", createClient(controlAddresses), json, ifMatch);
             output.println("configuration " + version + " is acknowledged");
         }
     }
 
-    /** {@code validate}: checks a complete configuration locally, without a controller. */
+    /** {@code validate}: validates a complete configuration locally, without calling a controller. */
     public static final class Validate implements Action {
         @Argument(metaVar = "FILE", required = true)
         private Path file;
@@ -93,57 +98,60 @@
         @Override
         public void run(PrintStream output) throws Exception {
             output.println(file + ": valid configuration "
-                    + valid(Files.readAllBytes(file)).version());
+                    + parseValid(Files.readAllBytes(file)).version());
         }
     }
 
-    private static ConfigurationDocument valid(byte[] json) throws CommandFailure {
+    private static ConfigurationDocument parseValid(byte[] json) throws CommandFailure {
         try {
             return ConfigurationDocument.parse(json);
-        } catch (InvalidConfigurationException invalid) {
-            throw RejectionMessages.toFailure(invalid);
+        } catch (InvalidConfigurationException e) {
+            throw RejectionMessages.toFailure(e);
         }
     }
 
-    private static ControlClient client(String control) throws CommandFailure {
-        List<String> addresses = List.of(control.split(","));
+    private static ControlClient createClient(String controlAddresses) throws CommandFailure {
+        List<String> addresses = List.of(controlAddresses.split(","));
         for (String address : addresses) {
             if (!address.matches("[A-Za-z0-9.-]+:[0-9]{1,5}")) {
-                throw new CommandFailure(CommandFailure.INVALID_USAGE, address + " is no HOST:PORT");
+                throw new CommandFailure(
+                        CommandFailure.INVALID_USAGE, address + " is not a valid control address, expected HOST:PORT");
             }
         }
         return new ControlClient(addresses);
     }
 
-    private static ControlClient.Response read(ControlClient client) throws CommandFailure, InterruptedException {
-        ControlClient.Response answer = client.call("GET", PATH, null, null);
-        if (answer.status() == NOT_FOUND) {
-            throw new CommandFailure(CommandFailure.UNCLEAR, "there is no configuration yet");
+    private static ControlClient.Response fetchConfiguration(ControlClient client)
+            throws CommandFailure, InterruptedException {
+        ControlClient.Response response = client.call("GET", CONFIGURATION_PATH, null, null);
+        if (response.status() == NOT_FOUND) {
+            throw new CommandFailure(CommandFailure.OUTCOME_UNKNOWN, "there is no configuration yet");
         }
-        if (!answer.isSuccess()) {
-            throw RejectionMessages.toFailure(answer);
+        if (!response.isSuccess()) {
+            throw RejectionMessages.toFailure(response);
         }
-        return answer;
+        return response;
     }
 
-    /** Without an explicit base version, the change builds on the current one, or on none if there is none. */
-    private static void send(String method, ControlClient client, byte[] json, Long ifMatch)
+    /** Sends a change that is based on the given version, or on the version in force if that is null. */
+    private static void sendChange(String method, ControlClient client, byte[] json, Long ifMatch)
             throws CommandFailure, InterruptedException, IOException {
-        long base = ifMatch != null ? ifMatch : current(client);
-        ControlClient.Response answer = client.call(method, PATH, json, base);
-        if (!answer.isSuccess()) {
-            throw RejectionMessages.toFailure(answer);
+        long baseVersion = ifMatch != null ? ifMatch : versionInForce(client);
+        ControlClient.Response response = client.call(method, CONFIGURATION_PATH, json, baseVersion);
+        if (!response.isSuccess()) {
+            throw RejectionMessages.toFailure(response);
         }
     }
 
-    private static long current(ControlClient client) throws CommandFailure, InterruptedException, IOException {
-        ControlClient.Response answer = client.call("GET", PATH, null, null);
-        if (answer.status() == NOT_FOUND) {
+    /** Returns the version in force, 0 if there is no configuration yet. */
+    private static long versionInForce(ControlClient client) throws CommandFailure, InterruptedException, IOException {
+        ControlClient.Response response = client.call("GET", CONFIGURATION_PATH, null, null);
+        if (response.status() == NOT_FOUND) {
             return 0;
         }
-        if (!answer.isSuccess()) {
-            throw RejectionMessages.toFailure(answer);
+        if (!response.isSuccess()) {
+            throw RejectionMessages.toFailure(response);
         }
-        return valid(answer.body()).version();
+        return parseValid(response.body()).version();
     }
 }
--- a/operator-cli/src/main/java/burlarch/operator/ControlClient.java
+++ b/operator-cli/src/main/java/burlarch/operator/ControlClient.java
@@ -10,8 +10,9 @@
 import java.util.List;
 
 /**
- * Calls controllers as an operator: one after the other, until one responds conclusively. Retries are safe, because a
- * controller acknowledges a repeated change again. Blocks the calling thread.
+ * An HTTP client of the controllers' operator API. It calls one controller after the other until one responds
+ * conclusively. Retries are safe, because a controller acknowledges a repeated change again. Calls block the calling
+ * thread.
  */
 final class ControlClient {
     private static final int MAX_ROUNDS = 4;
@@ -25,19 +26,23 @@
             .build();
     private final List<String> controllers;
 
-    /** A response as received. */
+    /** Status and body of a response. */
     record Response(int status, byte[] body) {
         boolean isSuccess() {
             return status / 100 == 2;
         }
 
-        /** Whether another controller, or the same one later, may respond differently. */
+        /** Returns whether another controller, or the same one later, may respond differently. */
         private boolean isInconclusive() {
             return status >= 500 || status == 408 || status == 429;
         }
     }
 
-    /** @param controllers control addresses HOST:PORT, in the order in which they are called */
+    /**
+     * Creates a client.
+     *
+     * @param controllers control addresses as HOST:PORT, in the order in which they are called
+     */
     ControlClient(List<String> controllers) {
         this.controllers = List.copyOf(controllers);
     }
@@ -45,28 +50,31 @@
     /**
      * Sends a request until a controller responds conclusively.
      *
-     * @param body null for none
-     * @param ifMatch null for none
-     * @throws CommandFailure if no controller responded conclusively
+     * @param body the JSON body, null for none
+     * @param ifMatch the expected version in force, null to send no If-Match header
+     * @throws CommandFailure if no controller responds conclusively in any round
      */
     Response call(String method, String path, byte[] body, Long ifMatch) throws CommandFailure, InterruptedException {
-        String reason = "";
+        String lastFailure = "";
         for (int round = 0; round < MAX_ROUNDS; round++) {
             for (String controller : controllers) {
                 try {
-                    Response answer = send(controller, method, path, body, ifMatch);
-                    if (!answer.isInconclusive()) {
-                        return answer;
+                    Response response = send(controller, method, path, body, ifMatch);
+                    if (!response.isInconclusive()) {
+                        return response;
                     }
-                    reason = controller + ": " + RejectionMessages.reasons(answer.body(), "status " + answer.status());
-                } catch (IOException failure) {
-                    String message = failure.getMessage();
-                    reason = controller + ": " + (message == null ? "no connection" : message);
+                    lastFailure = controller + ": "
+                            + RejectionMessages.reasons(response.body(), "status " + response.status());
+                } catch (IOException e) {
+                    String message = e.getMessage();
+                    lastFailure = controller + ": " + (message == null ? "connection failed" : message);
                 }
             }
             Thread.sleep(RETRY_DELAY_MILLIS);
         }
-        throw new CommandFailure(CommandFailure.UNCLEAR, "no clear answer; last of " + reason);
+        throw new CommandFailure(
+                CommandFailure.OUTCOME_UNKNOWN,
+                "no controller responded conclusively; last response or error: " + lastFailure);
     }
 
     private Response send(String controller, String method, String path, byte[] body, Long ifMatch)
@@ -80,7 +88,7 @@
         if (ifMatch != null) {
             request.header("If-Match", ifMatch.toString());
         }
-        HttpResponse<byte[]> answer = http.send(request.build(), HttpResponse.BodyHandlers.ofByteArray());
-        return new Response(answer.statusCode(), answer.body());
+        HttpResponse<byte[]> response = http.send(request.build(), HttpResponse.BodyHandlers.ofByteArray());
+        return new Response(response.statusCode(), response.body());
     }
 }
--- a/operator-cli/src/main/java/burlarch/operator/RejectionMessages.java
+++ b/operator-cli/src/main/java/burlarch/operator/RejectionMessages.java
@@ -7,14 +7,14 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** The reasons of a rejection as text for the operator, one per line. */
+/** Converts the problems of a rejected configuration to messages for the operator, one problem per line. */
 final class RejectionMessages {
-    private static final int OTHER_VERSION = 412;
+    private static final int PRECONDITION_FAILED = 412;
 
     private RejectionMessages() {}
 
-    /** The reasons in a response's body; the given text if it has none. */
-    static String reasons(byte[] body, String otherwise) {
+    /** Returns the error and the problems in the JSON body of a response, or the fallback if the body has none. */
+    static String reasons(byte[] body, String fallback) {
         List<String> lines = new ArrayList<>();
         try {
             JsonNode json = new ObjectMapper().readTree(body);
@@ -22,31 +22,31 @@
                 lines.add(json.path("error").asText());
             }
             for (JsonNode problem : json.path("problems")) {
-                lines.add(line(
+                lines.add(formatProblem(
                         problem.path("field").asText(), problem.path("reason").asText()));
             }
-        } catch (IOException notJson) {
-            return otherwise;
+        } catch (IOException e) {
+            return fallback;
         }
-        return lines.isEmpty() ? otherwise : String.join(System.lineSeparator(), lines);
+        return lines.isEmpty() ? fallback : String.join(System.lineSeparator(), lines);
     }
 
-    private static String line(String field, String reason) {
+    private static String formatProblem(String field, String reason) {
         return field.isEmpty() ? reason : field + ": " + reason;
     }
 
-    /** The failure that a response without success means. */
-    static CommandFailure toFailure(ControlClient.Response answer) {
-        String reasons = reasons(answer.body(), "status " + answer.status());
-        return answer.status() == OTHER_VERSION
+    /** Returns the failure for an unsuccessful response. Every status other than 412 counts as invalid. */
+    static CommandFailure toFailure(ControlClient.Response response) {
+        String reasons = reasons(response.body(), "status " + response.status());
+        return response.status() == PRECONDITION_FAILED
                 ? new CommandFailure(CommandFailure.VERSION_CONFLICT, "another version is in place: " + reasons)
-                : new CommandFailure(CommandFailure.INVALID, reasons);
+                : new CommandFailure(CommandFailure.INVALID_CONFIGURATION, reasons);
     }
 
-    /** The failure that a local check found. */
-    static CommandFailure toFailure(InvalidConfigurationException invalid) {
+    /** Returns the failure for a configuration or patch that the local check found to be invalid. */
+    static CommandFailure toFailure(InvalidConfigurationException exception) {
         List<String> lines = new ArrayList<>();
-        invalid.problems().forEach(problem -> lines.add(line(problem.field(), problem.reason())));
-        return new CommandFailure(CommandFailure.INVALID, String.join(System.lineSeparator(), lines));
+        exception.problems().forEach(problem -> lines.add(formatProblem(problem.field(), problem.reason())));
+        return new CommandFailure(CommandFailure.INVALID_CONFIGURATION, String.join(System.lineSeparator(), lines));
     }
 }
--- a/operator-cli/src/main/java/burlarch/operator/package-info.java
+++ b/operator-cli/src/main/java/burlarch/operator/package-info.java
@@ -1,6 +1,5 @@
 /**
- * The operator's command line: {@code config get|put|patch|validate}. Runs on the main thread and has no state beyond
- * one
- * command.
+ * The operator's command line {@code config get|put|patch|validate}. A command runs on the main thread and keeps no
+ * state after it ends.
  */
 package burlarch.operator;
