--- a/proxy/src/main/java/burlarch/proxy/BodyBudget.java
+++ b/proxy/src/main/java/burlarch/proxy/BodyBudget.java
@@ -11,7 +11,7 @@
 
     /** Maximum length of a body in bytes. */
     static final int LARGEST = 1 << 20;
-    /** Bound on the bytes beyond {@link #ORDINARY} of all bodies: room for twenty of the longest bodies seen. */
+    /** Bound on the bytes beyond {@link #ORDINARY} in total: room for twenty of the longest bodies seen. */
     static final int BEYOND_MOST = 4 << 20;
 
     private final long maxOrdinaryBytes;
@@ -24,7 +24,10 @@
         this.maxExcessBytes = maxExcessBytes;
     }
 
-    /** A budget that bounds only the bytes beyond {@link #ORDINARY}, for bodies whose number is bounded elsewhere. */
+    /**
+     * A budget that bounds only the bytes beyond {@link #ORDINARY} of each body, for bodies whose number is bounded
+     * elsewhere.
+     */
     static BodyBudget boundingExcessOnly() {
         return new BodyBudget(Long.MAX_VALUE, BEYOND_MOST);
     }
