--- a/settings/src/main/java/burlarch/settings/LiteralAddresses.java
+++ b/settings/src/main/java/burlarch/settings/LiteralAddresses.java
@@ -4,15 +4,15 @@
 import java.net.InetSocketAddress;
 import java.net.UnknownHostException;
 
-/** Parses literal addresses with a port, as settings and endpoint lists hold them. */
+/** Parses literal IP addresses with a port, as used in settings and endpoint lists. */
 public final class LiteralAddresses {
     private LiteralAddresses() {}
 
     /**
-     * Returns the address of a text such as {@code 10.0.0.4:8081}. Host names are rejected: looking them up would
-     * block.
+     * Parses an address such as {@code 10.0.0.4:8081} or {@code [::1]:8081}. Host names are rejected, because resolving
+     * them would block.
      *
-     * @throws IllegalArgumentException if this is no literal address with a port from 1 to 65535
+     * @throws IllegalArgumentException if the text is not a literal address with a port from 1 to 65535
      */
     public static InetSocketAddress parse(String hostPort) {
         int colon = hostPort.lastIndexOf(':');
--- a/settings/src/main/java/burlarch/settings/SettingsException.java
+++ b/settings/src/main/java/burlarch/settings/SettingsException.java
@@ -1,8 +1,8 @@
 package burlarch.settings;
 
 /**
- * A settings file is missing or not valid. The message is for the operator, one line for each error with file and key.
- * The program does not start; the operator corrects the file.
+ * Thrown if a settings file is missing or invalid. The message is meant for the operator: one line for each error, with
+ * file and key. The program does not start until the file is corrected.
  */
 public final class SettingsException extends Exception {
     private static final long serialVersionUID = 1L;
--- a/settings/src/main/java/burlarch/settings/SettingsFile.java
+++ b/settings/src/main/java/burlarch/settings/SettingsFile.java
@@ -18,29 +18,29 @@
 import java.util.Set;
 
 /**
- * The operator's TOML file, read once at start. Each feature reads its section. A key that no feature has read by
- * then is an error, most likely a misspelt name ({@link #rejectUnreadKeys}).
+ * Settings file in TOML, read once at program start. Each feature reads its own section. Keys that no feature has read
+ * are errors, most likely misspelt names; {@link #rejectUnreadKeys} reports them.
  */
 public final class SettingsFile {
     private final String name;
     private final Map<String, Object> values;
     private final List<SettingsSection> sections = new ArrayList<>();
-    private final Set<String> read = new HashSet<>();
+    private final Set<String> readTables = new HashSet<>();
 
     private SettingsFile(String name, Map<String, Object> values) {
         this.name = name;
         this.values = values;
     }
 
-    /** Returns a file without any key, for programs started without one: every default applies. */
+    /** Returns a file without any keys, for programs started without a settings file: every default applies. */
     public static SettingsFile empty() {
         return new SettingsFile("", Map.of());
     }
 
     /**
-     * Reads and checks a file.
+     * Reads and parses a file.
      *
-     * @throws SettingsException if there is no such file, it can't be read, or it is no valid TOML
+     * @throws SettingsException if the file does not exist, cannot be read, or is not valid TOML in UTF-8
      */
     public static SettingsFile load(Path file) throws SettingsException {
         try {
@@ -55,40 +55,48 @@
     }
 
     /**
-     * Loads a file that may extend a base file beside it, named by its key {@code base = "other.toml"}. The keys of a
-     * table override those of the base's table, one by one; a list of tables replaces the base's list. A base has no
-     * base.
+     * Loads a file that may extend a base file in the same directory, named by its key {@code base = "other.toml"}. The
+     * keys of a table override those of the base's table, one by one; any other value, such as a list of tables,
+     * replaces the base's value. A base file must not name a base itself.
+     *
+     * @throws SettingsException if a file cannot be loaded or the base is invalid
      */
     public static SettingsFile loadWithBase(Path file) throws SettingsException {
-        SettingsFile own = load(file);
-        Object base = own.values.get("base");
+        SettingsFile extending = load(file);
+        Object base = extending.values.get("base");
         if (base == null) {
-            return own;
+            return extending;
         }
         if (!(base instanceof String text) || text.isBlank()) {
-            throw own.invalid("base", "must be the name of a file beside this one");
+            throw extending.invalid("base", "must be the name of a file in the same directory");
         }
-        SettingsFile under = load(file.resolveSibling(text));
-        if (under.values.containsKey("base")) {
-            throw under.invalid("base", "has no place in a file that is a base itself");
+        SettingsFile baseFile = load(file.resolveSibling(text));
+        if (baseFile.values.containsKey("base")) {
+            throw baseFile.invalid("base", "is not allowed in a file that is itself a base");
         }
-        Map<String, Object> merged = new LinkedHashMap<>(under.values);
-        for (Map.Entry<String, Object> entry : own.values.entrySet()) {
-            Object before = merged.get(entry.getKey());
-            if (before instanceof UnmodifiableConfig lower && entry.getValue() instanceof Config upper) {
-                Config both = Config.inMemory();
-                both.putAll(lower);
-                both.putAll(upper);
-                merged.put(entry.getKey(), both);
+        Map<String, Object> merged = new LinkedHashMap<>(baseFile.values);
+        for (Map.Entry<String, Object> entry : extending.values.entrySet()) {
+            Object baseValue = merged.get(entry.getKey());
+            if (baseValue instanceof UnmodifiableConfig baseTable
+                    && entry.getValue() instanceof Config overridingTable) {
+                Config mergedTable = Config.inMemory();
+                mergedTable.putAll(baseTable);
+                mergedTable.putAll(overridingTable);
+                merged.put(entry.getKey(), mergedTable);
             } else {
                 merged.put(entry.getKey(), entry.getValue());
             }
         }
         merged.remove("base");
-        return new SettingsFile(own.name, merged);
+        return new SettingsFile(extending.name, merged);
     }
 
-    /** @param name of the file, for messages */
+    /**
+     * Parses the text of a file.
+     *
+     * @param name name of the file, for messages
+     * @throws SettingsException if the text is not valid TOML
+     */
     public static SettingsFile parse(String name, String text) throws SettingsException {
         try {
             return new SettingsFile(
@@ -103,15 +111,19 @@
         }
     }
 
-    /** Returns the keys above all tables, and the tables themselves as values. Unknown keys in it are not rejected. */
+    /** Returns the top-level keys, with tables as values. Keys that are not read through it are not rejected. */
     public SettingsSection top() {
         return new SettingsSection(name, "", values);
     }
 
-    /** Returns the table of one feature; empty if the file has none. */
+    /**
+     * Returns the table of one feature; an empty section if the file has none.
+     *
+     * @throws SettingsException if the value under that name is not a table
+     */
     public SettingsSection section(String table) throws SettingsException {
         Object value = values.get(table);
-        read.add(table);
+        readTables.add(table);
         if (value != null && !(value instanceof UnmodifiableConfig)) {
             throw new SettingsException(name + ": " + table + " must be a table");
         }
@@ -121,37 +133,46 @@
         return section;
     }
 
-    /** Returns the tables that the file repeats under one name, as {@code [[name]]}, in its order. */
+    /**
+     * Returns the array of tables {@code [[table]]} in file order; empty if the file has none.
+     *
+     * @throws SettingsException if the value under that name is not an array of tables
+     */
     public List<SettingsSection> sections(String table) throws SettingsException {
         Object value = values.get(table);
-        read.add(table);
+        readTables.add(table);
         if (value == null) {
             return List.of();
         }
-        List<SettingsSection> found = new ArrayList<>();
-        for (Object one : value instanceof List<?> list ? list : List.of(value)) {
-            if (!(one instanceof UnmodifiableConfig config) || !(value instanceof List<?>)) {
+        List<SettingsSection> tables = new ArrayList<>();
+        for (Object element : value instanceof List<?> list ? list : List.of(value)) {
+            if (!(element instanceof UnmodifiableConfig tableValues) || !(value instanceof List<?>)) {
                 throw new SettingsException(name + ": " + table + " must be tables, each begun by [[" + table + "]]");
             }
-            found.add(new SettingsSection(name, table + "[" + found.size() + "]", config.valueMap()));
+            tables.add(new SettingsSection(name, table + "[" + tables.size() + "]", tableValues.valueMap()));
         }
-        sections.addAll(found);
-        return found;
+        sections.addAll(tables);
+        return tables;
     }
 
-    /** Returns whether the file has that table, read or not. */
+    /** Returns whether the file has the table, whether or not it has been read. */
     public boolean has(String table) {
         return values.containsKey(table);
     }
 
-    public SettingsException invalid(String key, String what) {
-        return new SettingsException(name + ": " + key + " " + what);
+    /** Returns an exception for one top-level key; the message is file, key and {@code problem}. */
+    public SettingsException invalid(String key, String problem) {
+        return new SettingsException(name + ": " + key + " " + problem);
     }
 
-    /** Rejects keys that no feature has read; to be called after every feature has read its section. */
+    /**
+     * Rejects keys that no feature has read. To be called after every feature has read its section.
+     *
+     * @throws SettingsException with the first unread table or key
+     */
     public void rejectUnreadKeys() throws SettingsException {
         for (String table : values.keySet()) {
-            if (!read.contains(table)) {
+            if (!readTables.contains(table)) {
                 throw new SettingsException(name + ": unknown key " + table);
             }
         }
--- a/settings/src/main/java/burlarch/settings/SettingsSection.java
+++ b/settings/src/main/java/burlarch/settings/SettingsSection.java
@@ -12,8 +12,8 @@
 import java.util.Set;
 
 /**
- * One table of a settings file, with a getter for each type of value. A getter returns the default if the key is
- * absent, and throws a {@link SettingsException} that names file and key if the value has another type or is out of
+ * One table of a settings file, with a typed getter for each kind of value. A getter returns the default if the key is
+ * absent. It throws a {@link SettingsException} that names file and key if the value has another type or is out of
  * range.
  */
 public final class SettingsSection {
@@ -22,7 +22,7 @@
     private final String file;
     private final String table;
     private final Map<String, Object> values;
-    private final Set<String> read = new HashSet<>();
+    private final Set<String> readKeys = new HashSet<>();
 
     SettingsSection(String file, String table, Map<String, Object> values) {
         this.file = file;
@@ -31,18 +31,19 @@
     }
 
     private Object value(String key) {
-        read.add(key);
+        readKeys.add(key);
         return values.get(key);
     }
 
-    public SettingsException invalid(String key, String what) {
-        return new SettingsException(file + ": " + (table.isEmpty() ? key : table + "." + key) + " " + what);
+    /** Returns an exception for element key; the message is file, qualified key and {@code problem}. */
+    public SettingsException invalid(String key, String problem) {
+        return new SettingsException(file + ": " + (table.isEmpty() ? key : table + "." + key) + " " + problem);
     }
 
     /**
-     * The whole number under that key, or {@code defaultValue} where the key is absent.
+     * Returns an integer; {@code defaultValue} if the key is absent.
      *
-     * @throws SettingsException if it is no whole number or outside {@code min} to {@code max}
+     * @throws SettingsException if the value is not an integer from {@code min} to {@code max}
      */
     public int integer(String key, int defaultValue, int min, int max) throws SettingsException {
         Object value = value(key);
@@ -58,19 +59,19 @@
         throw invalid(key, "must be a whole number from " + min + " to " + max);
     }
 
-    /** Returns one of some words. */
-    public String text(String key, String defaultValue, List<String> words) throws SettingsException {
+    /** Returns a text that must be one of {@code allowedTexts}; {@code defaultValue} if the key is absent. */
+    public String text(String key, String defaultValue, List<String> allowedTexts) throws SettingsException {
         Object value = value(key);
         if (value == null) {
             return defaultValue;
         }
-        if (value instanceof String text && words.contains(text)) {
+        if (value instanceof String text && allowedTexts.contains(text)) {
             return text;
         }
-        throw invalid(key, "must be one of \"" + String.join("\", \"", words) + "\"");
+        throw invalid(key, "must be one of \"" + String.join("\", \"", allowedTexts) + "\"");
     }
 
-    /** Returns any text that is not blank. */
+    /** Returns a text that must not be blank; {@code defaultValue} if the key is absent. */
     public String text(String key, String defaultValue) throws SettingsException {
         Object value = value(key);
         if (value == null) {
@@ -82,6 +83,7 @@
         throw invalid(key, "must be a text");
     }
 
+    /** Returns a boolean; {@code defaultValue} if the key is absent. */
     public boolean flag(String key, boolean defaultValue) throws SettingsException {
         Object value = value(key);
         if (value == null) {
@@ -99,13 +101,13 @@
         if (value == null) {
             return List.of();
         }
-        if (value instanceof List<?> list && list.stream().allMatch(one -> one instanceof String)) {
+        if (value instanceof List<?> list && list.stream().allMatch(element -> element instanceof String)) {
             return list.stream().map(String.class::cast).toList();
         }
         throw invalid(key, "must be a list of texts");
     }
 
-    /** Returns every key of this table with its text, in the file's order. */
+    /** Returns all keys of this table with their values, which must be texts, in file order. */
     public Map<String, String> allTexts() throws SettingsException {
         Map<String, String> texts = new LinkedHashMap<>();
         for (Map.Entry<String, Object> entry : values.entrySet()) {
@@ -117,35 +119,40 @@
         return Collections.unmodifiableMap(texts);
     }
 
-    /** Returns a list of integers; empty if the key is absent. */
+    /** Returns a list of integers from {@code min} to {@code max}; empty if the key is absent. */
     public List<Integer> integers(String key, int min, int max) throws SettingsException {
         Object value = value(key);
         if (value == null) {
             return List.of();
         }
         List<Integer> numbers = new ArrayList<>();
-        for (Object one : value instanceof List<?> list ? list : List.of("")) {
-            if (!(one instanceof Integer || one instanceof Long)
-                    || ((Number) one).longValue() < min
-                    || ((Number) one).longValue() > max) {
+        for (Object element : value instanceof List<?> list ? list : List.of("")) {
+            if (!(element instanceof Integer || element instanceof Long)
+                    || ((Number) element).longValue() < min
+                    || ((Number) element).longValue() > max) {
                 throw invalid(key, "must be a list of whole numbers from " + min + " to " + max);
             }
-            numbers.add(((Number) one).intValue());
+            numbers.add(((Number) element).intValue());
         }
         return List.copyOf(numbers);
     }
 
-    /** Returns whether the key is absent or its value a blank text. */
+    /** Returns whether the key is absent or its value is a blank text. */
     boolean isBlank(String key) {
         Object value = value(key);
         return value == null || value instanceof String text && text.isBlank();
     }
 
+    /** Returns whether the key is present, without marking it as read. */
     public boolean has(String key) {
         return values.containsKey(key);
     }
 
-    /** Requires keys to be present, for getters that have no default. */
+    /**
+     * Returns this section if all the keys are present.
+     *
+     * @throws SettingsException if a key is missing
+     */
     public SettingsSection require(String... keys) throws SettingsException {
         for (String key : keys) {
             if (!values.containsKey(key)) {
@@ -155,7 +162,7 @@
         return this;
     }
 
-    /** Returns the path of a file; null if the key is absent. */
+    /** Returns a file path; null if the key is absent. */
     public Path path(String key) throws SettingsException {
         Object value = value(key);
         if (value == null) {
@@ -166,17 +173,17 @@
                 return Path.of(text);
             }
         } catch (InvalidPathException e) {
-            // Reported below, as a value of another type is.
+            // Reported below, like a value of another type.
         }
         throw invalid(key, "must be a path");
     }
 
-    /** Returns a port; null if the key is absent. */
+    /** Returns a port number; null if the key is absent. */
     public Integer port(String key) throws SettingsException {
         return value(key) == null ? null : Integer.valueOf(integer(key, 0, 1, MAX_PORT));
     }
 
-    /** Returns an integer or decimal number. */
+    /** Returns an integer or decimal number from {@code min} to {@code max}; the default if the key is absent. */
     public double number(String key, double defaultValue, double min, double max) throws SettingsException {
         Object value = value(key);
         if (value == null) {
@@ -199,14 +206,14 @@
                 return LiteralAddresses.parse(text);
             }
         } catch (IllegalArgumentException e) {
-            // Reported below, as a value of another type is.
+            // Reported below, like a value of another type.
         }
         throw invalid(key, "must be a literal address and a port, as \"127.0.0.1:9001\"");
     }
 
     void rejectUnreadKeys() throws SettingsException {
         for (String key : values.keySet()) {
-            if (!read.contains(key)) {
+            if (!readKeys.contains(key)) {
                 throw new SettingsException(file + ": unknown key " + table + "." + key);
             }
         }
