--- a/proxy/src/main/java/burlarch/proxy/command/SignalCommand.java
+++ b/proxy/src/main/java/burlarch/proxy/command/SignalCommand.java
@@ -8,64 +8,75 @@
 import java.util.Optional;
 
 /**
- * A subcommand that asks a running proxy for something by a signal. It sends none before it has seen that the
- * process is such a proxy and catches it, as one that is not caught may end the process.
+ * Command-line subcommand that triggers an action in a running proxy by sending it a signal. The signal is sent only
+ * after {@code /proc} shows that the process is a proxy and has a handler for it, because an unhandled signal may
+ * terminate the process.
  */
 public final class SignalCommand {
     private final String name;
     private final String signal;
-    private final int number;
+    private final int signalNumber;
     private final String feature;
 
-    /** @param number of the signal, as the kernel counts them */
-    public SignalCommand(String name, String signal, int number, String feature) {
+    /**
+     * Creates the subcommand.
+     *
+     * @param signal name of the signal for {@code kill -s}
+     * @param signalNumber the kernel's number of the signal
+     * @param feature the proxy feature that handles the signal, for messages
+     */
+    public SignalCommand(String name, String signal, int signalNumber, String feature) {
         this.name = name;
         this.signal = signal;
-        this.number = number;
+        this.signalNumber = signalNumber;
         this.feature = feature;
     }
 
-    /** @return what is wrong, or nothing once the signal is sent */
+    /**
+     * Parses the arguments and sends the signal.
+     *
+     * @return the error message; empty if the signal was sent
+     */
     public Optional<String> run(String[] arguments) throws IOException, InterruptedException {
         if (arguments.length != 3 || !arguments[1].equals("--pid") || !arguments[2].matches("[1-9][0-9]{0,8}")) {
             return Optional.of("usage: burlarch " + name + " --pid PID");
         }
         long pid = Long.parseLong(arguments[2]);
         Path process = Path.of("/proc", arguments[2]);
-        List<String> words;
+        List<String> commandLine;
         List<String> status;
         try {
-            words = List.of(Files.readString(process.resolve("cmdline")).split("\0"));
+            commandLine = List.of(Files.readString(process.resolve("cmdline")).split("\0"));
             status = Files.readAllLines(process.resolve("status"));
         } catch (IOException e) {
             return Optional.of("no process " + pid);
         }
-        if (!serves(words)) {
+        if (!isProxy(commandLine)) {
             return Optional.of("process " + pid + " is not a proxy of this kind");
         }
-        if (!catches(status)) {
+        if (!handlesSignal(status)) {
             return Optional.of("process " + pid + " has no " + feature + " in service, or is not ready yet");
         }
         Process kill = new ProcessBuilder("/bin/sh", "-c", "kill -s " + signal + " " + pid)
                 .redirectErrorStream(true)
                 .start();
-        String said = new String(kill.getInputStream().readAllBytes(), StandardCharsets.UTF_8).strip();
-        return kill.waitFor() == 0 ? Optional.empty() : Optional.of("cannot signal process " + pid + ": " + said);
+        String killOutput = new String(kill.getInputStream().readAllBytes(), StandardCharsets.UTF_8).strip();
+        return kill.waitFor() == 0 ? Optional.empty() : Optional.of("cannot signal process " + pid + ": " + killOutput);
     }
 
-    private static boolean serves(List<String> words) {
-        int jar = words.indexOf("-jar") + 1;
-        return jar > 0
-                && jar + 1 < words.size()
-                && Path.of(words.get(jar)).endsWith("burlarch.jar")
-                && words.get(jar + 1).equals("serve");
+    private static boolean isProxy(List<String> commandLine) {
+        int jarIndex = commandLine.indexOf("-jar") + 1;
+        return jarIndex > 0
+                && jarIndex + 1 < commandLine.size()
+                && Path.of(commandLine.get(jarIndex)).endsWith("burlarch.jar")
+                && commandLine.get(jarIndex + 1).equals("serve");
     }
 
-    private boolean catches(List<String> status) {
+    private boolean handlesSignal(List<String> status) {
         return status.stream()
                 .filter(line -> line.startsWith("SigCgt:"))
                 .mapToLong(line -> Long.parseUnsignedLong(
                         line.substring("SigCgt:".length()).strip(), 16))
-                .anyMatch(caught -> (caught >>> number - 1 & 1) == 1);
+                .anyMatch(caughtSignals -> (caughtSignals >>> signalNumber - 1 & 1) == 1);
     }
 }
--- a/proxy/src/main/java/burlarch/proxy/hotlist/HotKey.java
+++ b/proxy/src/main/java/burlarch/proxy/hotlist/HotKey.java
@@ -1,21 +1,28 @@
 package burlarch.proxy.hotlist;
 
 /**
- * What is counted: a key with the tenant that asked for it. Bounded, as both are a client's to choose; where
- * one was cut, the digest of the whole keeps apart what looks alike.
+ * Counted unit of the hot list: a request key and the tenant that requested it. Clients choose both texts, so both are
+ * truncated to a maximum length; if one was truncated, the digest of the whole text distinguishes equal prefixes.
  */
 record HotKey(String tenant, String key, boolean truncated, long digest) {
-    private static final int LONGEST = 128;
+    private static final int MAX_TEXT_LENGTH = 128;
 
-    /** @param keyDigest of the whole key */
+    /**
+     * Returns the hot-list key, with texts truncated as needed.
+     *
+     * @param keyDigest digest of the whole key
+     */
     static HotKey of(String tenant, String key, long keyDigest) {
-        if (tenant.length() <= LONGEST && key.length() <= LONGEST) {
+        if (tenant.length() <= MAX_TEXT_LENGTH && key.length() <= MAX_TEXT_LENGTH) {
             return new HotKey(tenant, key, false, 0);
         }
-        return new HotKey(cut(tenant), cut(key), true, keyDigest * 31 + tenant.hashCode());
+        return new HotKey(truncate(tenant), truncate(key), true, keyDigest * 31 + tenant.hashCode());
     }
 
-    /** Written out, as those of a record are linked at run time: the first requests would wait for it. */
+    /**
+     * Written by hand, because the generated methods of a record are linked at run time, which would delay the first
+     * requests.
+     */
     @Override
     public boolean equals(Object other) {
         return other instanceof HotKey that
@@ -30,8 +37,8 @@
         return 31 * (31 * tenant.hashCode() + key.hashCode()) + Long.hashCode(digest);
     }
 
-    /** In characters, each of which was one byte of the request's head. */
-    private static String cut(String text) {
-        return text.length() <= LONGEST ? text : text.substring(0, LONGEST);
+    /** Truncates by characters; each of them was one byte of the request head. */
+    private static String truncate(String text) {
+        return text.length() <= MAX_TEXT_LENGTH ? text : text.substring(0, MAX_TEXT_LENGTH);
     }
 }
--- a/proxy/src/main/java/burlarch/proxy/hotlist/HotList.java
+++ b/proxy/src/main/java/burlarch/proxy/hotlist/HotList.java
@@ -10,67 +10,69 @@
 import java.util.function.LongSupplier;
 
 /**
- * The keys that are asked for most, by class. Counts on the loop and copies there; what takes longer, the
- * sorting, formatting and writing, is the log's thread's to do.
+ * Tracks the most frequently requested keys of each request class. Requests are counted, and the counters copied, on
+ * the event loop; sorting, formatting and writing take longer and run on the log thread.
  */
 public final class HotList implements RequestTable.Observer {
     private final HotListSettings settings;
-    private final LongSupplier nowNanos;
-    private final Executor loop;
+    private final LongSupplier clockNanos;
+    private final Executor eventLoop;
     private final List<String> classes;
-    /** By the numbers of the classes. */
+    /** Indexed by request class number. */
     private final List<SpaceSaving> summaries = new ArrayList<>();
 
     private final AtomicBoolean writing = new AtomicBoolean();
 
-    public HotList(HotListSettings settings, List<String> classes, LongSupplier nowNanos, Executor loop) {
+    public HotList(HotListSettings settings, List<String> classes, LongSupplier clockNanos, Executor eventLoop) {
         this.settings = settings;
         this.classes = classes;
-        this.nowNanos = nowNanos;
-        this.loop = loop;
+        this.clockNanos = clockNanos;
+        this.eventLoop = eventLoop;
         for (int i = 0; i < classes.size(); i++) {
             summaries.add(new SpaceSaving(settings.capacity(), settings.halfLifeNanos()));
         }
     }
 
-    /** Counts a request that was taken; one without a key asks for nothing in particular. */
+    /** Counts an accepted request; requests without a key are not counted. */
     @Override
     public void taken(RequestTable.Arrival arrival) {
         if (arrival.keyed()) {
             summaries
                     .get(arrival.requestClass())
-                    .add(HotKey.of(arrival.tenantName(), arrival.keyText(), arrival.key()), nowNanos.getAsLong());
+                    .add(HotKey.of(arrival.tenantName(), arrival.keyText(), arrival.key()), clockNanos.getAsLong());
         }
     }
 
-    private List<HotListReport.Row> rows() {
+    private List<HotListReport.Row> currentRows() {
         List<HotListReport.Row> rows = new ArrayList<>();
         for (int i = 0; i < summaries.size(); i++) {
-            for (SpaceSaving.Entry entry : summaries.get(i).entries(nowNanos.getAsLong())) {
+            for (SpaceSaving.Entry entry : summaries.get(i).entries(clockNanos.getAsLong())) {
                 rows.add(new HotListReport.Row(classes.get(i), entry));
             }
         }
         return rows;
     }
 
-    /** Writes the list to the log, from any thread. One that is still being written is not written twice. */
+    /**
+     * Writes the hot list to the log. Callable from any thread; does nothing while an earlier list is being written.
+     */
     public void write() {
         if (!writing.compareAndSet(false, true)) {
             return;
         }
         try {
-            loop.execute(() -> {
-                List<HotListReport.Row> rows = rows();
-                boolean taken = Log.block(() -> {
+            eventLoop.execute(() -> {
+                List<HotListReport.Row> rows = currentRows();
+                boolean accepted = Log.block(() -> {
                     writing.set(false);
-                    return HotListReport.text(rows, settings.show());
+                    return HotListReport.format(rows, settings.maxRows());
                 });
-                if (!taken) {
+                if (!accepted) {
                     writing.set(false);
                 }
             });
         } catch (RejectedExecutionException e) {
-            Log.line("no hot list at the end of a drain");
+            Log.line("hot list not written: the proxy has shut down its event loop");
         }
     }
 }
--- a/proxy/src/main/java/burlarch/proxy/hotlist/HotListReport.java
+++ b/proxy/src/main/java/burlarch/proxy/hotlist/HotListReport.java
@@ -9,7 +9,7 @@
 import java.util.Comparator;
 import java.util.List;
 
-/** The hot list as its reader gets it: a JSON object a line, the highest count first. */
+/** Formats the hot list as JSON lines, one object per key, highest count first. */
 final class HotListReport {
     private static final JsonFactory JSON =
             JsonFactory.builder().enable(JsonWriteFeature.ESCAPE_NON_ASCII).build();
@@ -18,9 +18,14 @@
 
     private HotListReport() {}
 
-    static String text(List<Row> rows, int show) {
-        StringWriter text = new StringWriter();
-        try (JsonGenerator json = JSON.createGenerator(text)) {
+    /**
+     * Returns the rows with the highest counts; a single object with {@code entries: 0} if there are no rows.
+     *
+     * @param maxRows maximum number of rows
+     */
+    static String format(List<Row> rows, int maxRows) {
+        StringWriter output = new StringWriter();
+        try (JsonGenerator json = JSON.createGenerator(output)) {
             json.setRootValueSeparator(null);
             if (rows.isEmpty()) {
                 json.writeStartObject();
@@ -28,21 +33,21 @@
                 json.writeEndObject();
                 json.writeRaw('\n');
             }
-            List<Row> top = rows.stream()
+            List<Row> topRows = rows.stream()
                     .sorted(Comparator.comparingLong((Row row) -> row.entry().count())
                             .reversed())
-                    .limit(show)
+                    .limit(maxRows)
                     .toList();
-            for (Row row : top) {
-                write(json, row);
+            for (Row row : topRows) {
+                writeRow(json, row);
             }
         } catch (IOException e) {
             throw new UncheckedIOException(e);
         }
-        return text.toString();
+        return output.toString();
     }
 
-    private static void write(JsonGenerator json, Row row) throws IOException {
+    private static void writeRow(JsonGenerator json, Row row) throws IOException {
         SpaceSaving.Entry entry = row.entry();
         json.writeStartObject();
         json.writeStringField("class", row.className());
@@ -50,7 +55,7 @@
         json.writeStringField("key", entry.key().key());
         json.writeNumberField("count", entry.count());
         json.writeNumberField("error", entry.error());
-        json.writeNumberField("rate_per_s", Math.round(entry.perSecond() * 1000) / 1000.0);
+        json.writeNumberField("rate_per_s", Math.round(entry.requestsPerSecond() * 1000) / 1000.0);
         if (entry.key().truncated()) {
             json.writeBooleanField("truncated", true);
         }
--- a/proxy/src/main/java/burlarch/proxy/hotlist/HotListSettings.java
+++ b/proxy/src/main/java/burlarch/proxy/hotlist/HotListSettings.java
@@ -3,18 +3,29 @@
 import burlarch.settings.SettingsException;
 import burlarch.settings.SettingsSection;
 
-/** The hot list's figures: counters a class, the half-life of its rates, and the entries that are shown. */
-public record HotListSettings(int capacity, long halfLifeNanos, int show) {
-    /** Some 500 bytes each at the longest: 2 MB a class, of a heap that has room for a few of these. */
-    private static final int CAPACITY_MOST = 4096;
+/**
+ * Settings of the hot list.
+ *
+ * @param capacity number of counters per request class
+ * @param halfLifeNanos half-life of the request rates
+ * @param maxRows maximum number of rows in a written list
+ */
+public record HotListSettings(int capacity, long halfLifeNanos, int maxRows) {
+    /** A counter takes up to about 500 bytes, so this is 2 MB per class; the heap has room for a few such classes. */
+    private static final int MAX_CAPACITY = 4096;
 
-    private static final double SECOND_NANOS = 1e9;
-    private static final int DAY_S = 86_400;
+    private static final double NANOS_PER_SECOND = 1e9;
+    private static final int SECONDS_PER_DAY = 86_400;
 
+    /**
+     * Reads the {@code hotlist} section.
+     *
+     * @throws SettingsException if a value is invalid
+     */
     public static HotListSettings read(SettingsSection section) throws SettingsException {
         return new HotListSettings(
-                section.integer("capacity", 256, 1, CAPACITY_MOST),
-                (long) (section.number("half_life_s", 60, 0.1, DAY_S) * SECOND_NANOS),
-                section.integer("show", 20, 1, CAPACITY_MOST));
+                section.integer("capacity", 256, 1, MAX_CAPACITY),
+                (long) (section.number("half_life_s", 60, 0.1, SECONDS_PER_DAY) * NANOS_PER_SECOND),
+                section.integer("show", 20, 1, MAX_CAPACITY));
     }
 }
--- a/proxy/src/main/java/burlarch/proxy/hotlist/SpaceSaving.java
+++ b/proxy/src/main/java/burlarch/proxy/hotlist/SpaceSaving.java
@@ -6,28 +6,29 @@
 import java.util.Map;
 
 /**
- * A Space-Saving summary (Metwally, Agrawal, El Abbadi 2005): a fixed number of counters, the least of which
- * passes to a key that has none. The new key inherits its count, as the key's own may have been as high, and
- * states that as the error: the true count is at most the count, and at least the count less the error.
+ * Space-Saving summary (Metwally, Agrawal, El Abbadi 2005) of the most frequent keys, with a fixed number of counters.
+ * A key without a counter takes over the counter with the lowest count. It inherits that count, because its own earlier
+ * count may have been as high, and reports it as its error: the true count is at most {@code count} and at least
+ * {@code count - error}. Not thread-safe.
  */
 final class SpaceSaving {
-    /** One counted key as it stood; {@code perSecond} is 0 for a key that has not come for long. */
-    record Entry(HotKey key, long count, long error, double perSecond) {}
+    /** Copy of one counter; {@code requestsPerSecond} decays towards 0 while the key is not requested. */
+    record Entry(HotKey key, long count, long error, double requestsPerSecond) {}
 
     private static final class Counter {
         HotKey key;
         long count;
         long error;
-        /** Arrivals, each halved with every half-life since; as of {@code decayedNanos}. */
-        double recent;
+        /** Exponentially decayed number of requests as of {@code decayedNanos}. */
+        double decayedCount;
 
         long decayedNanos;
-        int at;
+        int heapIndex;
     }
 
     private final double halfLifeNanos;
     private final Map<HotKey, Counter> counters = new HashMap<>();
-    /** A heap with the least count at its top. */
+    /** Binary min-heap by count. */
     private final Counter[] heap;
 
     private int size;
@@ -37,73 +38,75 @@
         this.halfLifeNanos = halfLifeNanos;
     }
 
+    /** Counts one request for the key. */
     void add(HotKey key, long nowNanos) {
         Counter counter = counters.get(key);
         if (counter == null) {
-            counter = size < heap.length ? fresh() : evictLeast();
+            counter = size < heap.length ? addCounter() : evictLowest();
             counter.key = key;
             counter.decayedNanos = nowNanos;
             counters.put(key, counter);
         }
         counter.count++;
-        // Only here and when it is shown: a count that nobody looks at needs no timer to decay.
-        counter.recent = decayed(counter, nowNanos) + 1;
+        // Decayed on update and on read only, so that no timer is needed.
+        counter.decayedCount = decayedCountAt(counter, nowNanos) + 1;
         counter.decayedNanos = nowNanos;
-        sink(counter);
+        siftDown(counter);
     }
 
-    /** At the end of the heap is not its place: it is the least of all. */
-    private Counter fresh() {
+    /** Adds a counter at the root of the heap, as its count of 0 is the lowest. */
+    private Counter addCounter() {
         Counter counter = new Counter();
-        int at = size++;
-        for (; at > 0; at = (at - 1) / 2) {
-            place(heap[(at - 1) / 2], at);
+        int index = size++;
+        for (; index > 0; index = (index - 1) / 2) {
+            place(heap[(index - 1) / 2], index);
         }
         place(counter, 0);
         return counter;
     }
 
-    private Counter evictLeast() {
-        Counter least = heap[0];
-        counters.remove(least.key);
-        least.error = least.count;
-        // The rate has no stated error: it is of this key's own arrivals alone.
-        least.recent = 0;
-        return least;
+    private Counter evictLowest() {
+        Counter lowest = heap[0];
+        counters.remove(lowest.key);
+        lowest.error = lowest.count;
+        // The rate is reported without an error, so it counts only the new key's own requests.
+        lowest.decayedCount = 0;
+        return lowest;
     }
 
-    private void sink(Counter counter) {
-        int at = counter.at;
-        for (int child = 2 * at + 1; child < size; child = 2 * at + 1) {
+    private void siftDown(Counter counter) {
+        int index = counter.heapIndex;
+        for (int child = 2 * index + 1; child < size; child = 2 * index + 1) {
             if (child + 1 < size && heap[child + 1].count < heap[child].count) {
                 child++;
             }
             if (heap[child].count >= counter.count) {
                 break;
             }
-            place(heap[child], at);
-            at = child;
+            place(heap[child], index);
+            index = child;
         }
-        place(counter, at);
+        place(counter, index);
     }
 
-    private void place(Counter counter, int at) {
-        heap[at] = counter;
-        counter.at = at;
+    private void place(Counter counter, int index) {
+        heap[index] = counter;
+        counter.heapIndex = index;
     }
 
-    private double decayed(Counter counter, long nowNanos) {
-        return counter.recent * Math.exp(-Math.log(2) * (nowNanos - counter.decayedNanos) / halfLifeNanos);
+    private double decayedCountAt(Counter counter, long nowNanos) {
+        return counter.decayedCount * Math.exp(-Math.log(2) * (nowNanos - counter.decayedNanos) / halfLifeNanos);
     }
 
-    /** All counters, in no order. */
+    /** Returns copies of all counters, in no particular order. */
     List<Entry> entries(long nowNanos) {
-        // A steady rate fills the decaying count up to rate * half-life / ln 2.
-        double perSecond = Math.log(2) / halfLifeNanos * 1e9;
+        // At a steady rate the decayed count converges to rate * half-life / ln 2.
+        double countToRate = Math.log(2) / halfLifeNanos * 1e9;
         List<Entry> entries = new ArrayList<>(size);
         for (int i = 0; i < size; i++) {
             Counter counter = heap[i];
-            entries.add(new Entry(counter.key, counter.count, counter.error, decayed(counter, nowNanos) * perSecond));
+            entries.add(new Entry(
+                    counter.key, counter.count, counter.error, decayedCountAt(counter, nowNanos) * countToRate));
         }
         return entries;
     }
