--- a/proxy/src/main/java/burlarch/proxy/multiget/Batch.java
+++ b/proxy/src/main/java/burlarch/proxy/multiget/Batch.java
@@ -10,114 +10,119 @@
 import java.util.function.Consumer;
 import java.util.function.Predicate;
 
-/** The lines of one multi-get: sent at once, answered together when the last of them is final. */
+/**
+ * The requests of one multi-get. All are sent at once; the responses are returned together when the last request has
+ * its final status. Used on the event loop only.
+ */
 final class Batch {
     private static final byte[] NO_BODY = {};
 
-    private final class Part implements RequestTable.Exchange {
+    private final class BatchRequest implements RequestTable.Exchange {
         final RequestTable.Arrival arrival;
-        long number;
+        long requestNumber;
         int status;
         byte[] body = NO_BODY;
 
-        Part(RequestTable.Arrival arrival) {
+        BatchRequest(RequestTable.Arrival arrival) {
             this.arrival = arrival;
         }
 
         @Override
-        public void served(byte[] value, String contentType) {
-            if (bytes.take(value.length)) {
-                body = value;
-                heldBytes += value.length;
-                end(HttpResponseStatus.OK.code());
+        public void served(byte[] responseBody, String contentType) {
+            if (byteBudget.tryReserve(responseBody.length)) {
+                body = responseBody;
+                reservedBytes += responseBody.length;
+                finish(HttpResponseStatus.OK.code());
             } else {
-                end(HttpResponseStatus.INSUFFICIENT_STORAGE.code());
+                finish(HttpResponseStatus.INSUFFICIENT_STORAGE.code());
             }
         }
 
         @Override
-        public void refused(long nanos, boolean unanswered) {
-            retryAfterNanos = Math.max(retryAfterNanos, nanos);
-            // A refusal is also the module's word for a read that has run out of time; here it is told apart.
-            boolean late = unanswered || timeIsUp.test(arrival);
-            end((late ? HttpResponseStatus.GATEWAY_TIMEOUT : HttpResponseStatus.TOO_MANY_REQUESTS).code());
+        public void refused(long delayNanos, boolean unanswered) {
+            retryAfterNanos = Math.max(retryAfterNanos, delayNanos);
+            // The decision module also refuses a read whose time has run out; report that as a timeout.
+            boolean timedOut = unanswered || isTimeUp.test(arrival);
+            finish((timedOut ? HttpResponseStatus.GATEWAY_TIMEOUT : HttpResponseStatus.TOO_MANY_REQUESTS).code());
         }
 
         @Override
-        public void failed(int code) {
-            end(timeIsUp.test(arrival) ? HttpResponseStatus.GATEWAY_TIMEOUT.code() : code);
+        public void failed(int finalStatus) {
+            finish(isTimeUp.test(arrival) ? HttpResponseStatus.GATEWAY_TIMEOUT.code() : finalStatus);
         }
 
-        private void end(int code) {
-            status = code;
-            partial |= code != HttpResponseStatus.OK.code();
-            if (--open == 0) {
-                whenFinal.accept(Batch.this);
+        private void finish(int finalStatus) {
+            status = finalStatus;
+            partial |= finalStatus != HttpResponseStatus.OK.code();
+            if (--pendingCount == 0) {
+                onComplete.accept(Batch.this);
             }
         }
     }
 
-    private final AnswerBytes bytes;
-    private final Predicate<RequestTable.Arrival> timeIsUp;
-    private final Consumer<Batch> whenFinal;
-    private final List<Part> parts = new ArrayList<>();
-    /** Lines that are not final. */
-    private int open;
+    private final ResponseByteBudget byteBudget;
+    private final Predicate<RequestTable.Arrival> isTimeUp;
+    private final Consumer<Batch> onComplete;
+    private final List<BatchRequest> requests = new ArrayList<>();
+    /** Number of requests without a final status. */
+    private int pendingCount;
 
     private boolean partial;
     private long retryAfterNanos;
-    private int heldBytes;
+    private int reservedBytes;
 
     Batch(
             List<RequestTable.Arrival> arrivals,
-            AnswerBytes bytes,
-            Predicate<RequestTable.Arrival> timeIsUp,
-            Consumer<Batch> whenFinal) {
-        this.bytes = bytes;
-        this.timeIsUp = timeIsUp;
-        this.whenFinal = whenFinal;
-        arrivals.forEach(arrival -> parts.add(new Part(arrival)));
-        // Before any goes out: the first may be final before the second is sent.
-        open = parts.size();
+            ResponseByteBudget byteBudget,
+            Predicate<RequestTable.Arrival> isTimeUp,
+            Consumer<Batch> onComplete) {
+        this.byteBudget = byteBudget;
+        this.isTimeUp = isTimeUp;
+        this.onComplete = onComplete;
+        arrivals.forEach(arrival -> requests.add(new BatchRequest(arrival)));
+        // Set before any request is sent: the first may be final before the second is sent.
+        pendingCount = requests.size();
     }
 
+    /** Passes every request to the table, in order. */
     void send(RequestTable table) {
-        for (Part part : parts) {
-            part.number = table.take(part.arrival, part);
+        for (BatchRequest request : requests) {
+            request.requestNumber = table.take(request.arrival, request);
         }
     }
 
-    /** The client has left: nothing is owed for any line. */
-    void leave(RequestTable table) {
-        parts.forEach(part -> table.gone(part.number));
+    /** Abandons all requests, after the client has disconnected. */
+    void abandon(RequestTable table) {
+        requests.forEach(request -> table.gone(request.requestNumber));
         release();
     }
 
-    /** Whether a line was not served. */
+    /** Returns whether any request ended with a status other than 200. */
     boolean partial() {
         return partial;
     }
 
-    /** The longest advice that a refused line came with, or 0. */
+    /** Returns the longest retry delay of the refused requests; 0 if none had one. */
     long retryAfterNanos() {
         return retryAfterNanos;
     }
 
-    ByteBuf answer() {
-        ByteBuf[] pieces = new ByteBuf[parts.size() * 3];
-        int at = 0;
-        for (Part part : parts) {
-            String head = part.arrival.upstream().requestId() + " " + part.status + " " + part.body.length;
-            pieces[at++] = Unpooled.copiedBuffer(head + "\n", StandardCharsets.US_ASCII);
-            pieces[at++] = Unpooled.wrappedBuffer(part.body);
-            pieces[at++] = Unpooled.copiedBuffer("\n", StandardCharsets.US_ASCII);
+    /** Returns the response body: for each request its id, status and body length on one line, then the body. */
+    ByteBuf responseBody() {
+        ByteBuf[] buffers = new ByteBuf[requests.size() * 3];
+        int index = 0;
+        for (BatchRequest request : requests) {
+            String header = request.arrival.upstream().requestId() + " " + request.status + " " + request.body.length;
+            buffers[index++] = Unpooled.copiedBuffer(header + "\n", StandardCharsets.US_ASCII);
+            buffers[index++] = Unpooled.wrappedBuffer(request.body);
+            buffers[index++] = Unpooled.copiedBuffer("\n", StandardCharsets.US_ASCII);
         }
-        return Unpooled.wrappedBuffer(pieces.length, pieces);
+        return Unpooled.wrappedBuffer(buffers.length, buffers);
     }
 
-    /** The bodies are held no more. */
+    /** Returns the bytes of all bodies to the budget. */
     void release() {
-        bytes.release(heldBytes);
-        heldBytes = 0;
+        byteBudget.release(reservedBytes);
+        reservedBytes = 0;
     }
 }
--- a/proxy/src/main/java/burlarch/proxy/multiget/MultiGet.java
+++ b/proxy/src/main/java/burlarch/proxy/multiget/MultiGet.java
@@ -20,30 +20,30 @@
 import java.util.List;
 
 /**
- * The multi-get port: several reads in one round trip. Each line is an ordinary request of the table, under
- * its own id and within the time that the client gave for all of them.
+ * Handles requests on the multi-get port, which reads several keys in one round trip. Each line of the body becomes an
+ * ordinary request of the {@link RequestTable}, with its own id and the timeout that the client gave for all of them.
  */
 public final class MultiGet implements RequestHandler {
-    /** The class of all lines follows: one of the settings' that may be repeated freely. */
-    private static final String PATH = "/multi/";
+    /** Followed by the request class of all lines; it must be a configured class whose requests are free to repeat. */
+    private static final String PATH_PREFIX = "/multi/";
 
     private static final AsciiString PARTIAL = AsciiString.cached("X-Partial");
-    private static final int HELD_MOST_BYTES = 4 << 20;
+    private static final int MAX_BUFFERED_BYTES = 4 << 20;
 
     private final RequestReader reader;
     private final RequestTable table;
     private final int maxKeys;
-    private final AnswerBytes bytes;
+    private final ResponseByteBudget byteBudget;
 
     public MultiGet(RequestReader reader, RequestTable table, int maxKeys) {
-        this(reader, table, maxKeys, new AnswerBytes(HELD_MOST_BYTES));
+        this(reader, table, maxKeys, new ResponseByteBudget(MAX_BUFFERED_BYTES));
     }
 
-    MultiGet(RequestReader reader, RequestTable table, int maxKeys, AnswerBytes bytes) {
+    MultiGet(RequestReader reader, RequestTable table, int maxKeys, ResponseByteBudget byteBudget) {
         this.reader = reader;
         this.table = table;
         this.maxKeys = maxKeys;
-        this.bytes = bytes;
+        this.byteBudget = byteBudget;
     }
 
     @Override
@@ -51,10 +51,11 @@
         return "POST";
     }
 
-    /** Reads every line before the first goes out: a body that is wrong somewhere has had no effect. */
+    /** Parses every line before sending the first request, so that an invalid body has no effect. */
     @Override
     public Runnable handle(FullHttpRequest request, long readNanos, Reply reply) throws Rejection {
-        String requestClass = request.uri().startsWith(PATH) ? request.uri().substring(PATH.length()) : "";
+        String requestClass =
+                request.uri().startsWith(PATH_PREFIX) ? request.uri().substring(PATH_PREFIX.length()) : "";
         if (!reader.isPure(requestClass)) {
             throw new Rejection(HttpResponseStatus.NOT_FOUND);
         }
@@ -62,29 +63,30 @@
             throw new Rejection(HttpResponseStatus.METHOD_NOT_ALLOWED);
         }
         List<RequestTable.Arrival> arrivals = new ArrayList<>();
-        for (Line line : Line.parse(request.content().toString(StandardCharsets.ISO_8859_1), maxKeys)) {
-            if (table.isOpen(line.id())) {
+        for (KeyRequest keyRequest :
+                KeyRequest.parse(request.content().toString(StandardCharsets.ISO_8859_1), maxKeys)) {
+            if (table.isOpen(keyRequest.id())) {
                 throw new Rejection(HttpResponseStatus.BAD_REQUEST);
             }
-            arrivals.add(reader.arrival(single(request, requestClass, line), readNanos));
+            arrivals.add(reader.arrival(singleRequest(request, requestClass, keyRequest), readNanos));
         }
-        Batch batch = new Batch(arrivals, bytes, reader::timeIsUp, whole -> answer(whole, reply));
+        Batch batch = new Batch(arrivals, byteBudget, reader::timeIsUp, complete -> answer(complete, reply));
         batch.send(table);
-        return () -> batch.leave(table);
+        return () -> batch.abandon(table);
     }
 
-    /** The line as its client would have sent it alone. */
-    private static FullHttpRequest single(FullHttpRequest request, String requestClass, Line line) {
-        FullHttpRequest single =
-                new DefaultFullHttpRequest(HttpVersion.HTTP_1_1, HttpMethod.GET, "/" + requestClass + "/" + line.key());
-        single.headers().set(Headers.REQUEST_ID, line.id());
+    /** Returns the request that the client would have sent for this key alone. */
+    private static FullHttpRequest singleRequest(FullHttpRequest request, String requestClass, KeyRequest keyRequest) {
+        FullHttpRequest singleRequest = new DefaultFullHttpRequest(
+                HttpVersion.HTTP_1_1, HttpMethod.GET, "/" + requestClass + "/" + keyRequest.key());
+        singleRequest.headers().set(Headers.REQUEST_ID, keyRequest.id());
         for (AsciiString name : List.of(Headers.TENANT, Headers.TIMEOUT_MS)) {
             String value = request.headers().get(name);
             if (value != null) {
-                single.headers().set(name, value);
+                singleRequest.headers().set(name, value);
             }
         }
-        return single;
+        return singleRequest;
     }
 
     private void answer(Batch batch, Reply reply) {
@@ -96,7 +98,7 @@
         if (batch.retryAfterNanos() > 0) {
             headers.set(HttpHeaderNames.RETRY_AFTER, Headers.seconds(batch.retryAfterNanos()));
         }
-        // A client that does not read is cut off by its connection, and so held no longer than that.
-        reply.answer(headers, batch.answer()).addListener(f -> batch.release());
+        // If the client does not read, its connection is closed, which also completes this write.
+        reply.answer(headers, batch.responseBody()).addListener(written -> batch.release());
     }
 }
--- a/proxy/src/main/java/burlarch/proxy/ownload/LoadGate.java
+++ b/proxy/src/main/java/burlarch/proxy/ownload/LoadGate.java
@@ -8,49 +8,55 @@
 import java.util.concurrent.TimeUnit;
 import java.util.function.LongSupplier;
 
-/** Asks {@link OwnLoad} before a request is taken: what is not admitted is refused by the port, at once. */
+/**
+ * Admission control against the proxy's own CPU overload. It asks {@link OwnLoad} before a request is accepted; the
+ * port refuses a request that is not admitted at once. Used on the event loop only.
+ */
 public final class LoadGate {
-    private static final long LOG_NANOS = TimeUnit.SECONDS.toNanos(10);
+    private static final long LOG_INTERVAL_NANOS = TimeUnit.SECONDS.toNanos(10);
 
     private final OwnLoad load;
     private final Settings settings;
-    private final LongSupplier lag;
-    private long loggedNanos;
+    private final LongSupplier lagNanos;
+    private long lastLogNanos;
     private long loggedRefused;
 
     /**
+     * Creates the admission control.
+     *
      * @param beatNanos the period of {@link #beat}
-     * @param lag       how long what is read now may have lain in its socket, in nanoseconds
+     * @param lagNanos how long data that is read now may have waited in its socket, in nanoseconds
      */
-    public LoadGate(long nowNanos, long beatNanos, Settings settings, LongSupplier lag) {
+    public LoadGate(long nowNanos, long beatNanos, Settings settings, LongSupplier lagNanos) {
         this.load = new OwnLoad(
                 nowNanos,
                 beatNanos,
                 settings.classes().stream().mapToDouble(RequestClass::worth).toArray());
         this.settings = settings;
-        this.lag = lag;
-        this.loggedNanos = nowNanos - LOG_NANOS;
+        this.lagNanos = lagNanos;
+        this.lastLogNanos = nowNanos - LOG_INTERVAL_NANOS;
     }
 
-    /** The loop's beat. */
+    /** Updates the load estimate; called by the event loop periodically. Logs refusals at most every 10 s. */
     public void beat(long nowNanos) {
         load.beat(nowNanos);
-        if (load.refused() > loggedRefused && nowNanos - loggedNanos >= LOG_NANOS) {
-            Log.line("short of CPU: the loop is " + TimeUnit.NANOSECONDS.toMillis(load.standingLagNanos())
-                    + " ms behind, " + (load.refused() - loggedRefused) + " requests turned away for it");
-            loggedNanos = nowNanos;
+        if (load.refused() > loggedRefused && nowNanos - lastLogNanos >= LOG_INTERVAL_NANOS) {
+            Log.line("CPU overload: the event loop is " + TimeUnit.NANOSECONDS.toMillis(load.standingLagNanos())
+                    + " ms behind, " + (load.refused() - loggedRefused) + " requests refused");
+            lastLogNanos = nowNanos;
             loggedRefused = load.refused();
         }
     }
 
+    /** Returns whether the request is admitted; if not, the caller refuses it at once. */
     public boolean admits(RequestTable.Arrival arrival) {
         return load.admits(
                 settings.classes().get(arrival.requestClass()).worth(),
-                lag.getAsLong(),
+                lagNanos.getAsLong(),
                 TimeUnit.MILLISECONDS.toNanos(arrival.timeoutMs()));
     }
 
-    /** @return for a request that has just been turned away; 0 where the settings allow none */
+    /** Returns the retry delay for a request that was just refused; 0 if the settings disable retry advice. */
     public long retryAfterNanos() {
         return settings.limits().retryAfter()
                 ? Math.min(settings.limits().maxRetryAfterNanos(), load.retryAfterNanos())
