--- a/proxy/src/main/java/burlarch/proxy/status/Pages.java
+++ b/proxy/src/main/java/burlarch/proxy/status/RenderedStatus.java
@@ -8,22 +8,27 @@
 import java.nio.charset.StandardCharsets;
 import java.util.Locale;
 
-/** A snapshot in both its forms, ready to be sent. */
-record Pages(byte[] html, byte[] json) {
+/**
+ * A status snapshot rendered as HTML and as JSON.
+ *
+ * @param html the HTML page in UTF-8
+ * @param json the JSON document in UTF-8
+ */
+record RenderedStatus(byte[] html, byte[] json) {
     private static final JsonFactory JSON = new JsonFactory();
 
-    static Pages of(Snapshot snapshot) {
-        return new Pages(
+    static RenderedStatus of(Snapshot snapshot) {
+        return new RenderedStatus(
                 html(snapshot).getBytes(StandardCharsets.UTF_8), json(snapshot).getBytes(StandardCharsets.UTF_8));
     }
 
-    private static double rounded(double rate) {
+    private static double roundToTenth(double rate) {
         return Math.round(rate * 10) / 10.0;
     }
 
     private static String json(Snapshot snapshot) {
-        StringWriter text = new StringWriter();
-        try (JsonGenerator json = JSON.createGenerator(text)) {
+        StringWriter output = new StringWriter();
+        try (JsonGenerator json = JSON.createGenerator(output)) {
             json.writeStartObject();
             json.writeStringField("version", snapshot.version());
             json.writeNumberField("uptime_s", snapshot.uptimeSeconds());
@@ -43,11 +48,11 @@
             }
             json.writeEndArray();
             json.writeArrayFieldStart("load");
-            for (Snapshot.Load load : snapshot.load()) {
+            for (Snapshot.ClassLoad classLoad : snapshot.load()) {
                 json.writeStartObject();
-                json.writeStringField("class", load.className());
-                json.writeNumberField("requests_per_s", rounded(load.requestsPerSecond()));
-                json.writeNumberField("in_flight", load.inFlight());
+                json.writeStringField("class", classLoad.className());
+                json.writeNumberField("requests_per_s", roundToTenth(classLoad.requestsPerSecond()));
+                json.writeNumberField("in_flight", classLoad.inFlight());
                 json.writeEndObject();
             }
             json.writeEndArray();
@@ -55,24 +60,24 @@
         } catch (IOException e) {
             throw new UncheckedIOException(e);
         }
-        return text + "\n";
+        return output + "\n";
     }
 
     private static String html(Snapshot snapshot) {
         StringBuilder text = new StringBuilder("<!DOCTYPE html>\n<html lang=\"en\">\n<head>"
                         + "<meta charset=\"utf-8\"><title>burlarch status</title></head>\n<body>\n<h1>burlarch</h1>\n"
                         + "<p>Version ")
-                .append(escaped(snapshot.version()))
+                .append(escapeHtml(snapshot.version()))
                 .append(", up for ")
                 .append(snapshot.uptimeSeconds())
                 .append(" s</p>\n<h2>Load</h2>\n<table border=\"1\">\n"
                         + "<tr><th>class</th><th>requests per second</th><th>in flight</th></tr>\n");
-        for (Snapshot.Load load : snapshot.load()) {
-            row(
+        for (Snapshot.ClassLoad classLoad : snapshot.load()) {
+            appendRow(
                     text,
-                    load.className(),
-                    String.format(Locale.ROOT, "%.1f", load.requestsPerSecond()),
-                    Integer.toString(load.inFlight()));
+                    classLoad.className(),
+                    String.format(Locale.ROOT, "%.1f", classLoad.requestsPerSecond()),
+                    Integer.toString(classLoad.inFlight()));
         }
         text.append("</table>\n<h2>Servers</h2>\n");
         if (snapshot.stale()) {
@@ -81,21 +86,26 @@
         text.append("<table border=\"1\">\n<tr><th>instanceId</th><th>hostPort</th><th>lifecycle</th>"
                 + "<th>last errors (UTC)</th></tr>\n");
         for (Snapshot.Server server : snapshot.servers()) {
-            row(text, server.instanceId(), server.hostPort(), server.lifecycle(), String.join(", ", server.errors()));
+            appendRow(
+                    text,
+                    server.instanceId(),
+                    server.hostPort(),
+                    server.lifecycle(),
+                    String.join(", ", server.errors()));
         }
         return text.append("</table>\n</body>\n</html>\n").toString();
     }
 
-    private static void row(StringBuilder text, String... cells) {
+    private static void appendRow(StringBuilder text, String... cells) {
         text.append("<tr>");
         for (String cell : cells) {
-            text.append("<td>").append(escaped(cell)).append("</td>");
+            text.append("<td>").append(escapeHtml(cell)).append("</td>");
         }
         text.append("</tr>\n");
     }
 
-    /** Names come from discovery and the settings: none of them is markup. */
-    private static String escaped(String text) {
+    /** Escapes text for HTML; names come from discovery and the settings and may contain any character. */
+    private static String escapeHtml(String text) {
         return text.replace("&", "&amp;")
                 .replace("<", "&lt;")
                 .replace(">", "&gt;")
--- a/proxy/src/main/java/burlarch/proxy/status/Snapshot.java
+++ b/proxy/src/main/java/burlarch/proxy/status/Snapshot.java
@@ -2,10 +2,19 @@
 
 import java.util.List;
 
-/** What the page shows, as it was at one moment; {@code stale} while discovery has told of no servers. */
-record Snapshot(String version, long uptimeSeconds, boolean stale, List<Server> servers, List<Load> load) {
-    /** @param errors the last ones, the latest first */
+/**
+ * The contents of the status page at one moment.
+ *
+ * @param stale whether discovery has not answered yet; the list of servers is empty then
+ */
+record Snapshot(String version, long uptimeSeconds, boolean stale, List<Server> servers, List<ClassLoad> load) {
+    /**
+     * One server as discovery lists it.
+     *
+     * @param errors the last errors, most recent first
+     */
     record Server(String instanceId, String hostPort, String lifecycle, List<String> errors) {}
 
-    record Load(String className, double requestsPerSecond, int inFlight) {}
+    /** Load of one request class. */
+    record ClassLoad(String className, double requestsPerSecond, int inFlight) {}
 }
--- a/proxy/src/main/java/burlarch/proxy/status/StatusBoard.java
+++ b/proxy/src/main/java/burlarch/proxy/status/StatusBoard.java
@@ -15,75 +15,75 @@
 import java.util.concurrent.TimeUnit;
 import java.util.function.LongSupplier;
 
-/** Collects on the loop what the page shows: the list of servers, their errors, and the load by class. */
+/** Collects the data of the status page on the event loop: servers, their last errors, and load by request class. */
 public final class StatusBoard implements RequestTable.Observer, MembershipWatch.Observer {
-    private static final int ERRORS_KEPT = 3;
-    private static final DateTimeFormatter TIME =
+    private static final int MAX_ERRORS_PER_SERVER = 3;
+    private static final DateTimeFormatter TIME_FORMAT =
             DateTimeFormatter.ofPattern("HH:mm:ss").withZone(ZoneOffset.UTC);
 
-    private static final class Row {
+    private static final class ServerRow {
         Member member;
-        /** The latest first. */
-        final ArrayDeque<String> errors = new ArrayDeque<>(ERRORS_KEPT);
+        /** Most recent first. */
+        final ArrayDeque<String> errors = new ArrayDeque<>(MAX_ERRORS_PER_SERVER);
     }
 
-    private static final class Counts {
+    private static final class ClassCounts {
         final String className;
         int inFlight;
-        long sinceSnapshot;
+        long requestsSinceSnapshot;
 
-        Counts(String className) {
+        ClassCounts(String className) {
             this.className = className;
         }
     }
 
     private final String version;
-    private final LongSupplier nowNanos;
-    private final LongSupplier wallMs;
+    private final LongSupplier clockNanos;
+    private final LongSupplier wallClockMs;
     private final long startNanos;
-    private final Map<Long, Row> servers = new LinkedHashMap<>();
+    private final Map<Long, ServerRow> servers = new LinkedHashMap<>();
     private boolean discoveryAnswered;
-    /** By the numbers of the classes. */
-    private final List<Counts> counts;
+    /** Indexed by request class number. */
+    private final List<ClassCounts> classCounts;
 
     private long snapshotNanos;
 
-    public StatusBoard(String version, List<String> classes, LongSupplier nowNanos, LongSupplier wallMs) {
+    public StatusBoard(String version, List<String> classes, LongSupplier clockNanos, LongSupplier wallClockMs) {
         this.version = version;
-        this.nowNanos = nowNanos;
-        this.wallMs = wallMs;
-        this.startNanos = nowNanos.getAsLong();
+        this.clockNanos = clockNanos;
+        this.wallClockMs = wallClockMs;
+        this.startNanos = clockNanos.getAsLong();
         this.snapshotNanos = startNanos;
-        this.counts = classes.stream().map(Counts::new).toList();
+        this.classCounts = classes.stream().map(ClassCounts::new).toList();
     }
 
     @Override
     public void taken(RequestTable.Arrival arrival) {
-        Counts of = counts.get(arrival.requestClass());
-        of.inFlight++;
-        of.sinceSnapshot++;
+        ClassCounts counts = classCounts.get(arrival.requestClass());
+        counts.inFlight++;
+        counts.requestsSinceSnapshot++;
     }
 
     @Override
     public void answered(int requestClass) {
-        counts.get(requestClass).inFlight--;
+        classCounts.get(requestClass).inFlight--;
     }
 
     @Override
     public void attemptEnded(long server, Outcome outcome) {
-        Row row = servers.get(server);
-        String kind = kind(outcome);
-        // A server that is gone may still end attempts: it must not come back by them.
-        if (row == null || kind == null) {
+        ServerRow row = servers.get(server);
+        String errorName = errorName(outcome);
+        // Attempts may still end on a server that has been removed; they must not add it again.
+        if (row == null || errorName == null) {
             return;
         }
-        if (row.errors.size() == ERRORS_KEPT) {
+        if (row.errors.size() == MAX_ERRORS_PER_SERVER) {
             row.errors.removeLast();
         }
-        row.errors.addFirst(kind + " " + TIME.format(Instant.ofEpochMilli(wallMs.getAsLong())));
+        row.errors.addFirst(errorName + " " + TIME_FORMAT.format(Instant.ofEpochMilli(wallClockMs.getAsLong())));
     }
 
-    private static String kind(Outcome outcome) {
+    private static String errorName(Outcome outcome) {
         return switch (outcome) {
             case BAD -> "error";
             case FULL -> "full";
@@ -104,7 +104,7 @@
             if (member.gone()) {
                 servers.remove(member.id());
             } else {
-                servers.computeIfAbsent(member.id(), id -> new Row()).member = member;
+                servers.computeIfAbsent(member.id(), id -> new ServerRow()).member = member;
             }
         }
     }
@@ -114,18 +114,18 @@
         discoveryAnswered = true;
     }
 
-    /** The rates are of the time since the snapshot before. */
+    /** Returns the present state. Request rates cover the time since the previous snapshot. */
     Snapshot snapshot() {
-        long now = nowNanos.getAsLong();
-        double seconds = Math.max(1e-3, (now - snapshotNanos) * 1e-9);
-        snapshotNanos = now;
-        List<Snapshot.Load> load = new ArrayList<>();
-        for (Counts of : counts) {
-            load.add(new Snapshot.Load(of.className, of.sinceSnapshot / seconds, of.inFlight));
-            of.sinceSnapshot = 0;
+        long nowNanos = clockNanos.getAsLong();
+        double seconds = Math.max(1e-3, (nowNanos - snapshotNanos) * 1e-9);
+        snapshotNanos = nowNanos;
+        List<Snapshot.ClassLoad> load = new ArrayList<>();
+        for (ClassCounts counts : classCounts) {
+            load.add(new Snapshot.ClassLoad(counts.className, counts.requestsSinceSnapshot / seconds, counts.inFlight));
+            counts.requestsSinceSnapshot = 0;
         }
-        // What the configuration knew is not discovery's word: it may be old.
-        List<Snapshot.Server> rows = !discoveryAnswered
+        // Until discovery answers, only the servers of the configuration are known, and they may be outdated.
+        List<Snapshot.Server> serverRows = !discoveryAnswered
                 ? List.of()
                 : servers.values().stream()
                         .map(row -> new Snapshot.Server(
@@ -135,6 +135,10 @@
                                 List.copyOf(row.errors)))
                         .toList();
         return new Snapshot(
-                version, TimeUnit.NANOSECONDS.toSeconds(now - startNanos), !discoveryAnswered, rows, List.copyOf(load));
+                version,
+                TimeUnit.NANOSECONDS.toSeconds(nowNanos - startNanos),
+                !discoveryAnswered,
+                serverRows,
+                List.copyOf(load));
     }
 }
--- a/proxy/src/main/java/burlarch/proxy/status/StatusConnection.java
+++ b/proxy/src/main/java/burlarch/proxy/status/StatusHttpHandler.java
@@ -16,26 +16,28 @@
 import java.util.concurrent.TimeUnit;
 import java.util.function.Supplier;
 
-/** One reader of the status page: one request, one answer, each within its time. */
-final class StatusConnection extends SimpleChannelInboundHandler<FullHttpRequest> {
-    private static final long ASK_MOST_MS = 2000;
-    private static final long READ_MOST_MS = 5000;
-    private static final byte[] NOTHING = {};
+/**
+ * Netty handler of one HTTP connection to the status page. It serves a single request, with time limits, and closes.
+ */
+final class StatusHttpHandler extends SimpleChannelInboundHandler<FullHttpRequest> {
+    private static final long REQUEST_TIMEOUT_MS = 2000;
+    private static final long RESPONSE_TIMEOUT_MS = 5000;
+    private static final byte[] EMPTY_BODY = {};
 
-    private final Supplier<Pages> pages;
-    private Future<?> limit;
+    private final Supplier<RenderedStatus> renderedStatus;
+    private Future<?> timeoutTask;
     private boolean answered;
 
-    StatusConnection(Supplier<Pages> pages) {
-        this.pages = pages;
+    StatusHttpHandler(Supplier<RenderedStatus> renderedStatus) {
+        this.renderedStatus = renderedStatus;
     }
 
     @Override
     public void channelActive(ChannelHandlerContext context) {
-        limit = context.executor()
+        timeoutTask = context.executor()
                 .schedule(
-                        () -> answer(context, HttpResponseStatus.REQUEST_TIMEOUT, null, NOTHING),
-                        ASK_MOST_MS,
+                        () -> answer(context, HttpResponseStatus.REQUEST_TIMEOUT, null, EMPTY_BODY),
+                        REQUEST_TIMEOUT_MS,
                         TimeUnit.MILLISECONDS);
     }
 
@@ -43,42 +45,42 @@
     protected void channelRead0(ChannelHandlerContext context, FullHttpRequest request) {
         String path = request.uri().split("[?#]", 2)[0];
         if (request.decoderResult().isFailure()) {
-            answer(context, HttpResponseStatus.BAD_REQUEST, null, NOTHING);
+            answer(context, HttpResponseStatus.BAD_REQUEST, null, EMPTY_BODY);
         } else if (!path.equals("/status") && !path.equals("/status.json")) {
-            answer(context, HttpResponseStatus.NOT_FOUND, null, NOTHING);
+            answer(context, HttpResponseStatus.NOT_FOUND, null, EMPTY_BODY);
         } else if (!request.method().equals(HttpMethod.GET)) {
-            answer(context, HttpResponseStatus.METHOD_NOT_ALLOWED, null, NOTHING);
+            answer(context, HttpResponseStatus.METHOD_NOT_ALLOWED, null, EMPTY_BODY);
         } else if (path.equals("/status")) {
             answer(
                     context,
                     HttpResponseStatus.OK,
                     "text/html; charset=utf-8",
-                    pages.get().html());
+                    renderedStatus.get().html());
         } else {
             answer(
                     context,
                     HttpResponseStatus.OK,
                     "application/json",
-                    pages.get().json());
+                    renderedStatus.get().json());
         }
     }
 
-    private void answer(ChannelHandlerContext context, HttpResponseStatus status, String type, byte[] body) {
+    private void answer(ChannelHandlerContext context, HttpResponseStatus status, String contentType, byte[] body) {
         if (answered) {
             return;
         }
         answered = true;
-        limit.cancel(false);
-        limit = context.executor().schedule(() -> context.close(), READ_MOST_MS, TimeUnit.MILLISECONDS);
+        timeoutTask.cancel(false);
+        timeoutTask = context.executor().schedule(() -> context.close(), RESPONSE_TIMEOUT_MS, TimeUnit.MILLISECONDS);
         FullHttpResponse response =
                 new DefaultFullHttpResponse(HttpVersion.HTTP_1_1, status, Unpooled.wrappedBuffer(body));
         response.headers()
                 .set(HttpHeaderNames.CONTENT_LENGTH, body.length)
                 .set(HttpHeaderNames.CONNECTION, HttpHeaderValues.CLOSE);
-        if (type != null) {
-            // A page of a moment ago is of no use.
+        if (contentType != null) {
+            // The contents are outdated at once, so they must not be cached.
             response.headers()
-                    .set(HttpHeaderNames.CONTENT_TYPE, type)
+                    .set(HttpHeaderNames.CONTENT_TYPE, contentType)
                     .set(HttpHeaderNames.CACHE_CONTROL, HttpHeaderValues.NO_STORE);
         }
         if (status.equals(HttpResponseStatus.METHOD_NOT_ALLOWED)) {
@@ -89,7 +91,7 @@
 
     @Override
     public void channelInactive(ChannelHandlerContext context) {
-        limit.cancel(false);
+        timeoutTask.cancel(false);
     }
 
     @Override
--- a/proxy/src/main/java/burlarch/proxy/status/StatusPage.java
+++ b/proxy/src/main/java/burlarch/proxy/status/StatusPage.java
@@ -24,47 +24,51 @@
 import java.util.concurrent.atomic.AtomicBoolean;
 
 /**
- * Serves the status page on a thread of its own. The loop of the requests only gathers a snapshot now and
- * then; rendering it, and readers however slow, are this thread's.
+ * HTTP server of the status page, on its own thread. The event loop of the proxied requests only takes a snapshot
+ * periodically; rendering it and serving clients, however slow, happen on this thread.
  */
 public final class StatusPage {
-    /** Readers at once: technicians, not clients. */
-    private static final int CONNECTIONS_MOST = 8;
+    /** Few, because only operators read the page. */
+    private static final int MAX_CONNECTIONS = 8;
 
-    private static final int LARGEST_REQUEST = 1024;
+    private static final int MAX_REQUEST_BYTES = 1024;
 
     private final EventLoopGroup group =
             new MultiThreadIoEventLoopGroup(1, new DefaultThreadFactory("status", true), NioIoHandler.newFactory());
-    private final EventLoop own = group.next();
-    private final Executor requests;
+    private final EventLoop eventLoop = group.next();
+    private final Executor requestLoop;
     private final StatusBoard board;
-    private final AtomicBoolean gathering = new AtomicBoolean();
-    /** As one, so that a reader has a whole page of one moment. */
-    private volatile Pages pages;
+    private final AtomicBoolean snapshotPending = new AtomicBoolean();
+    /** Replaced as a whole, so that a response shows the state of one moment. */
+    private volatile RenderedStatus renderedStatus;
 
     private Channel server;
     private int connections;
 
-    /** @param requests the loop that the board belongs to, and the caller's */
-    public StatusPage(StatusBoard board, Executor requests) {
+    /**
+     * Creates the server; call on the event loop.
+     *
+     * @param requestLoop the event loop of the proxied requests, which owns the board
+     */
+    public StatusPage(StatusBoard board, Executor requestLoop) {
         this.board = board;
-        this.requests = requests;
-        // The one that is rendered on the loop: it has no request yet, and a first reader should see a page.
-        this.pages = Pages.of(board.snapshot());
+        this.requestLoop = requestLoop;
+        // Only this first snapshot is rendered on the event loop, which is idle then. Shown until the first refresh.
+        this.renderedStatus = RenderedStatus.of(board.snapshot());
     }
 
-    /** The version that the build gave the program. */
+    /** Returns the program version that the build wrote into {@code version.properties}. */
     public static String version() {
         Properties properties = new Properties();
-        try (InputStream file = StatusPage.class.getResourceAsStream("version.properties")) {
-            properties.load(file);
+        try (InputStream input = StatusPage.class.getResourceAsStream("version.properties")) {
+            properties.load(input);
         } catch (IOException e) {
             throw new UncheckedIOException(e);
         }
         return properties.getProperty("version");
     }
 
-    /** Returns once it is bound or has failed to be. */
+    /** Binds the port and starts refreshing the page. Blocks until the bind has succeeded or failed. */
     public ChannelFuture bind(SocketAddress address, int refreshMs) {
         ChannelFuture bound = new ServerBootstrap()
                 .group(group)
@@ -78,45 +82,46 @@
                 .bind(address)
                 .awaitUninterruptibly();
         server = bound.channel();
-        own.scheduleWithFixedDelay(this::refresh, refreshMs, refreshMs, TimeUnit.MILLISECONDS);
+        eventLoop.scheduleWithFixedDelay(this::refresh, refreshMs, refreshMs, TimeUnit.MILLISECONDS);
         return bound;
     }
 
     private void accept(Channel channel) {
-        if (connections >= CONNECTIONS_MOST) {
+        if (connections >= MAX_CONNECTIONS) {
             channel.close();
             return;
         }
         connections++;
-        channel.closeFuture().addListener(f -> connections--);
+        channel.closeFuture().addListener(closed -> connections--);
         channel.pipeline()
                 .addLast(
                         new HttpServerCodec(),
-                        new HttpObjectAggregator(LARGEST_REQUEST, true),
-                        new StatusConnection(() -> pages));
+                        new HttpObjectAggregator(MAX_REQUEST_BYTES, true),
+                        new StatusHttpHandler(() -> renderedStatus));
     }
 
     private void refresh() {
-        // A loop that is behind has one of these waiting, not one for each time that it missed.
-        if (!gathering.compareAndSet(false, true)) {
+        // At most one snapshot task is queued, so that they do not accumulate on an event loop that is behind.
+        if (!snapshotPending.compareAndSet(false, true)) {
             return;
         }
         try {
-            requests.execute(() -> {
+            requestLoop.execute(() -> {
                 Snapshot snapshot = board.snapshot();
-                gathering.set(false);
-                own.execute(() -> pages = Pages.of(snapshot));
+                snapshotPending.set(false);
+                eventLoop.execute(() -> renderedStatus = RenderedStatus.of(snapshot));
             });
         } catch (RejectedExecutionException e) {
-            Log.line("no further status at the end of a drain");
+            Log.line("status page not refreshed: the proxy has shut down its event loop");
         }
     }
 
-    /** Takes no more readers. */
+    /** Stops accepting connections. */
     public void closeServer() {
         server.close();
     }
 
+    /** Shuts the server's thread down and closes open connections. */
     public void close() {
         group.shutdownGracefully(0, 0, TimeUnit.MILLISECONDS);
     }
