--- a/proxy/src/main/java/burlarch/proxy/tls/Certificates.java
+++ b/proxy/src/main/java/burlarch/proxy/tls/CertificateFiles.java
@@ -18,32 +18,40 @@
 import java.security.cert.X509Certificate;
 import java.util.Arrays;
 
-/** The certificate, its key and the clients' authority, as their files held them at one moment. */
-final class Certificates {
-    private static final byte[] NONE = {};
-    private static final byte[] SAMPLE = "do they match?".getBytes(StandardCharsets.US_ASCII);
+/**
+ * Contents of the certificate file, the private key file and the client CA file, as read at one moment. Immutable;
+ * nothing is parsed or checked before {@link #context}.
+ */
+final class CertificateFiles {
+    private static final byte[] NO_BYTES = {};
+    private static final byte[] SIGNATURE_SAMPLE = "do they match?".getBytes(StandardCharsets.US_ASCII);
 
     private final TlsSettings settings;
-    private final byte[] cert;
-    private final byte[] key;
-    private final byte[] clientCa;
+    private final byte[] certificatePem;
+    private final byte[] keyPem;
+    private final byte[] clientCaPem;
 
-    private Certificates(TlsSettings settings, byte[] cert, byte[] key, byte[] clientCa) {
+    private CertificateFiles(TlsSettings settings, byte[] certificatePem, byte[] keyPem, byte[] clientCaPem) {
         this.settings = settings;
-        this.cert = cert;
-        this.key = key;
-        this.clientCa = clientCa;
+        this.certificatePem = certificatePem;
+        this.keyPem = keyPem;
+        this.clientCaPem = clientCaPem;
     }
 
-    static Certificates read(TlsSettings settings) throws IOException {
-        return new Certificates(
+    /**
+     * Reads the files.
+     *
+     * @throws IOException with the file's name if one cannot be read
+     */
+    static CertificateFiles read(TlsSettings settings) throws IOException {
+        return new CertificateFiles(
                 settings,
-                bytes(settings.certFile()),
-                bytes(settings.keyFile()),
-                settings.clientCa() == null ? NONE : bytes(settings.clientCa()));
+                readFile(settings.certFile()),
+                readFile(settings.keyFile()),
+                settings.clientCa() == null ? NO_BYTES : readFile(settings.clientCa()));
     }
 
-    private static byte[] bytes(Path file) throws IOException {
+    private static byte[] readFile(Path file) throws IOException {
         try {
             return Files.readAllBytes(file);
         } catch (NoSuchFileException e) {
@@ -53,24 +61,28 @@
         }
     }
 
-    /** By content, as a file's time may stay or change without it. */
-    boolean sameAs(Certificates other) {
+    /** Compares contents, because a file's modification time is no reliable sign of a change. */
+    boolean sameAs(CertificateFiles other) {
         return other != null
-                && Arrays.equals(cert, other.cert)
-                && Arrays.equals(key, other.key)
-                && Arrays.equals(clientCa, other.clientCa);
+                && Arrays.equals(certificatePem, other.certificatePem)
+                && Arrays.equals(keyPem, other.keyPem)
+                && Arrays.equals(clientCaPem, other.clientCaPem);
     }
 
-    /** @throws IOException with the file that is wrong, where any is */
+    /**
+     * Returns the server's TLS context for these files.
+     *
+     * @throws IOException with the file's name if a file is invalid or the key does not belong to the certificate
+     */
     SslContext context() throws IOException {
-        X509Certificate[] chain = chain(cert, settings.certFile());
+        X509Certificate[] chain = parseCertificates(certificatePem, settings.certFile());
         PrivateKey privateKey;
         try {
-            privateKey = PemKey.read(key, chain[0].getPublicKey());
+            privateKey = PemKeyReader.read(keyPem, chain[0].getPublicKey());
         } catch (GeneralSecurityException e) {
             throw new IOException(settings.keyFile() + ": " + e.getMessage(), e);
         }
-        if (!match(privateKey, chain[0].getPublicKey())) {
+        if (!isKeyPair(privateKey, chain[0].getPublicKey())) {
             throw new IOException(settings.keyFile() + ": not the key of " + settings.certFile());
         }
         SslContextBuilder builder =
@@ -78,13 +90,14 @@
         builder.protocols(
                 settings.minVersion().equals("1.3") ? new String[] {"TLSv1.3"} : new String[] {"TLSv1.3", "TLSv1.2"});
         if (settings.clientCa() != null) {
-            // Asked for, not required; one that is shown and not good ends the handshake.
-            builder.trustManager(chain(clientCa, settings.clientCa())).clientAuth(ClientAuth.OPTIONAL);
+            // Requested, not required; an invalid client certificate fails the handshake.
+            builder.trustManager(parseCertificates(clientCaPem, settings.clientCa()))
+                    .clientAuth(ClientAuth.OPTIONAL);
         }
         return builder.build();
     }
 
-    private static X509Certificate[] chain(byte[] pem, Path file) throws IOException {
+    private static X509Certificate[] parseCertificates(byte[] pem, Path file) throws IOException {
         try {
             X509Certificate[] chain = CertificateFactory.getInstance("X.509")
                     .generateCertificates(new ByteArrayInputStream(pem))
@@ -93,12 +106,12 @@
                 return chain;
             }
         } catch (GeneralSecurityException e) {
-            // Said below, as for a file that holds none.
+            // Reported below, as for a file without any certificate.
         }
         throw new IOException(file + ": no certificates in PEM");
     }
 
-    private static boolean match(PrivateKey privateKey, PublicKey publicKey) {
+    private static boolean isKeyPair(PrivateKey privateKey, PublicKey publicKey) {
         String algorithm =
                 switch (publicKey.getAlgorithm()) {
                     case "RSA" -> "SHA256withRSA";
@@ -108,11 +121,11 @@
         try {
             Signature signature = Signature.getInstance(algorithm);
             signature.initSign(privateKey);
-            signature.update(SAMPLE);
-            byte[] signed = signature.sign();
+            signature.update(SIGNATURE_SAMPLE);
+            byte[] signatureBytes = signature.sign();
             signature.initVerify(publicKey);
-            signature.update(SAMPLE);
-            return signature.verify(signed);
+            signature.update(SIGNATURE_SAMPLE);
+            return signature.verify(signatureBytes);
         } catch (GeneralSecurityException e) {
             return false;
         }
--- a/proxy/src/main/java/burlarch/proxy/tls/TlsPort.java
+++ b/proxy/src/main/java/burlarch/proxy/tls/TlsPort.java
@@ -13,14 +13,14 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * The TLS port: what is behind the handshake is the plain port's. Certificates are read and checked on a
- * thread of its own; the loop takes whichever are good at the moment for each new connection.
+ * Client port with TLS. After the handshake, requests are handled as on the plain port. Certificates are read and
+ * checked on a separate thread; the event loop uses the last valid ones for each new connection.
  */
 public final class TlsPort implements RequestHandler.Port {
-    /** Under the 3 s within which a peer is owed an error or a close. */
-    private static final long HANDSHAKE_MOST_MS = 2000;
+    /** Below the 3 s within which a peer must get an error or a close. */
+    private static final long HANDSHAKE_TIMEOUT_MS = 2000;
 
-    private static final long CLOSE_MOST_MS = 500;
+    private static final long CLOSE_NOTIFY_TIMEOUT_MS = 500;
 
     private final TlsSettings settings;
     private final ScheduledExecutorService loader = Executors.newSingleThreadScheduledExecutor(task -> {
@@ -28,75 +28,94 @@
         thread.setDaemon(true);
         return thread;
     });
-    private RequestHandler plain;
-    /** Certificate and key as one; those of open connections go on with the context that they began with. */
+    private RequestHandler requestHandler;
+    /** Certificate and key are replaced together; open connections keep the context that they started with. */
     private volatile SslContext context;
-    /** What was last tried, good or not, and what was wrong with it. */
-    private Certificates tried;
+    /** The files as last read, valid or not. Used only on the loader thread after construction. */
+    private CertificateFiles lastRead;
 
-    private String wrong = "";
+    /** Why the last reload failed; empty if it succeeded. */
+    private String lastError = "";
 
-    private TlsPort(TlsSettings settings, Certificates certificates) throws IOException {
+    private TlsPort(TlsSettings settings, CertificateFiles files) throws IOException {
         this.settings = settings;
-        this.tried = certificates;
-        this.context = certificates.context();
+        this.lastRead = files;
+        this.context = files.context();
     }
 
-    /** Reads the certificates, on the caller's thread. */
+    /**
+     * Reads the certificates on the caller's thread and creates the port.
+     *
+     * @throws SettingsException if a file is unreadable or invalid
+     */
     public static TlsPort load(TlsSettings settings) throws SettingsException {
         try {
-            return new TlsPort(settings, Certificates.read(settings));
+            return new TlsPort(settings, CertificateFiles.read(settings));
         } catch (IOException e) {
             throw new SettingsException("tls: " + e.getMessage());
         }
     }
 
-    /** From now on looks for changed certificates. */
-    public void start(RequestHandler requests) {
-        plain = requests;
+    /**
+     * Starts checking the files for changes periodically. To be called before the port is bound.
+     *
+     * @param handler receiver of the decrypted requests
+     */
+    public void start(RequestHandler handler) {
+        requestHandler = handler;
         loader.scheduleWithFixedDelay(
-                () -> reload(false), settings.checkSeconds(), settings.checkSeconds(), TimeUnit.SECONDS);
+                () -> reload(false),
+                settings.checkIntervalSeconds(),
+                settings.checkIntervalSeconds(),
+                TimeUnit.SECONDS);
     }
 
     @Override
     public RequestHandler open(Channel channel) {
         SslHandler handler = context.newHandler(channel.alloc());
-        handler.setHandshakeTimeoutMillis(HANDSHAKE_MOST_MS);
-        handler.setCloseNotifyFlushTimeoutMillis(CLOSE_MOST_MS);
+        handler.setHandshakeTimeoutMillis(HANDSHAKE_TIMEOUT_MS);
+        handler.setCloseNotifyFlushTimeoutMillis(CLOSE_NOTIFY_TIMEOUT_MS);
         channel.pipeline().addLast(handler);
-        return settings.clientCa() == null ? plain : new NamedRequests(plain, handler.engine());
+        return settings.clientCa() == null
+                ? requestHandler
+                : new ClientCertificateLogger(requestHandler, handler.engine());
     }
 
-    /** Reads the certificates again because somebody asks, and says what came of it. */
+    /** Reloads the certificates at an operator's request, in the background, and logs the result. */
     public void reloadNow() {
         try {
             loader.execute(() -> reload(true));
         } catch (RejectedExecutionException e) {
-            Log.line("no reload of the certificates at the end of a drain");
+            Log.line("certificates not reloaded: the proxy is shutting down");
         }
     }
 
-    /** @param asked whether to say what came of it, though nothing has changed */
-    private void reload(boolean asked) {
+    /**
+     * Reads the files and replaces the context if they are valid.
+     *
+     * @param requested whether an operator requested it: the result is logged even if nothing has changed
+     */
+    private void reload(boolean requested) {
         try {
-            Certificates now = Certificates.read(settings);
-            if (now.sameAs(tried) && !asked) {
+            CertificateFiles current = CertificateFiles.read(settings);
+            if (current.sameAs(lastRead) && !requested) {
                 return;
             }
-            tried = now;
-            context = now.context();
-            wrong = "";
+            lastRead = current;
+            context = current.context();
+            lastError = "";
             Log.line("certificates read again");
         } catch (IOException | RuntimeException e) {
-            // Each check of a file that stays away would say the same.
+            // Periodic checks would repeat the same message while the fault lasts.
             String message = String.valueOf(e.getMessage()).lines().findFirst().orElse("");
-            if (asked || !message.equals(wrong)) {
+            if (requested || !message.equals(lastError)) {
                 Log.line("the certificates stay as they were: " + message);
             }
-            wrong = message;
+            lastError = message;
         }
     }
 
+    /** Stops checking for changes. Open connections are not affected. */
     public void close() {
         loader.shutdownNow();
     }
