--- a/proxy/src/main/java/burlarch/proxy/trace/TraceRecorder.java
+++ b/proxy/src/main/java/burlarch/proxy/trace/TraceRecorder.java
@@ -19,56 +19,62 @@
 import java.util.function.LongSupplier;
 
 /**
- * Records the requests that are taken, as a trace. The loop hands each over without ever waiting: a thread of
- * its own writes, what finds the queue full is left out and counted, and at its size the file ends, whole.
+ * Records accepted requests to a trace file. The event loop only enqueues records and never blocks; a separate thread
+ * writes them. Records that find the queue full are dropped and counted. Recording ends, with a complete file, once the
+ * file has reached its maximum size.
  */
 public final class TraceRecorder implements RequestTable.Observer {
-    private static final int WAITING_MOST = 4096;
-    /** Longer keys and tenants are cut: a client chooses them. */
-    private static final int TEXT_MOST = 256;
+    private static final int QUEUE_CAPACITY = 4096;
+    /** Longer keys and tenants are truncated, because clients choose them. */
+    private static final int MAX_TEXT_LENGTH = 256;
 
-    private static final long LAST_WRITES_MS = 2000;
-    /** A block of the trace is begun again this often, so that a kill loses little. */
-    private static final long FLUSH_NANOS = TimeUnit.SECONDS.toNanos(1);
+    private static final long CLOSE_TIMEOUT_MS = 2000;
+    /** Interval at which a block of the trace is completed, so that little is lost if the process is killed. */
+    private static final long FLUSH_INTERVAL_NANOS = TimeUnit.SECONDS.toNanos(1);
 
-    private static final TraceRecord END = new TraceRecord(0, "", "", "", false, 0, 0, 0);
+    /** Tells the writer thread to finish. */
+    private static final TraceRecord END_MARKER = new TraceRecord(0, "", "", "", false, 0, 0, 0);
 
-    private final BlockingQueue<TraceRecord> waiting = new ArrayBlockingQueue<>(WAITING_MOST);
-    private final AtomicLong leftOut = new AtomicLong();
+    private final BlockingQueue<TraceRecord> queue = new ArrayBlockingQueue<>(QUEUE_CAPACITY);
+    private final AtomicLong droppedRecords = new AtomicLong();
     private final List<String> classes;
-    private final LongSupplier clock;
+    private final LongSupplier clockNanos;
     private final long startNanos;
-    private final long mostBytes;
+    private final long maxBytes;
     private final Path file;
-    private final CountedBytes bytes;
+    private final CountingOutputStream countedOutput;
     private final TraceWriter writer;
     private final Thread thread;
-    private volatile boolean over;
+    private volatile boolean ended;
 
-    /** Counts what goes to the file. */
-    private static final class CountedBytes extends FilterOutputStream {
-        private long count;
+    /** Counts the bytes written to the file. */
+    private static final class CountingOutputStream extends FilterOutputStream {
+        private long byteCount;
 
-        CountedBytes(OutputStream out) {
+        CountingOutputStream(OutputStream out) {
             super(out);
         }
 
         @Override
-        public void write(byte[] bytes, int from, int length) throws IOException {
-            out.write(bytes, from, length);
-            count += length;
+        public void write(byte[] bytes, int offset, int length) throws IOException {
+            out.write(bytes, offset, length);
+            byteCount += length;
         }
 
         @Override
-        public void write(int b) throws IOException {
-            out.write(b);
-            count++;
+        public void write(int value) throws IOException {
+            out.write(value);
+            byteCount++;
         }
     }
 
-    /** Its file with its head; to be had before any port is bound. */
+    /** Newly created trace file; created before any port is bound, so that an error ends the start early. */
     public record Sink(Path file, OutputStream stream) {
-        /** @throws SettingsException where the file is there already or can't be made */
+        /**
+         * Creates the file.
+         *
+         * @throws SettingsException if the file exists already or cannot be created
+         */
         public static Sink create(TraceSettings settings) throws SettingsException {
             try {
                 return new Sink(
@@ -76,86 +82,94 @@
                         Files.newOutputStream(
                                 settings.file(), StandardOpenOption.CREATE_NEW, StandardOpenOption.WRITE));
             } catch (java.nio.file.FileAlreadyExistsException e) {
-                throw new SettingsException("trace.file " + settings.file() + ": is there already: move it away");
+                throw new SettingsException("trace.file " + settings.file() + ": file already exists: move it away");
             } catch (IOException e) {
-                throw new SettingsException("trace.file " + settings.file() + ": cannot be made: " + e);
+                throw new SettingsException("trace.file " + settings.file() + ": cannot be created: " + e);
             }
         }
     }
 
-    public TraceRecorder(TraceSettings settings, Sink sink, List<String> classes, LongSupplier clock)
+    /**
+     * Starts the writer thread.
+     *
+     * @param sink destination of the trace; closed when the recording ends
+     * @param classes names of the request classes, by their numbers
+     * @param clockNanos monotonic time in nanoseconds
+     * @throws IOException if the file header cannot be written
+     */
+    public TraceRecorder(TraceSettings settings, Sink sink, List<String> classes, LongSupplier clockNanos)
             throws IOException {
         this.classes = classes;
-        this.clock = clock;
-        this.startNanos = clock.getAsLong();
-        this.mostBytes = settings.mostBytes();
+        this.clockNanos = clockNanos;
+        this.startNanos = clockNanos.getAsLong();
+        this.maxBytes = settings.maxBytes();
         this.file = sink.file();
-        this.bytes = new CountedBytes(sink.stream());
-        this.writer = new TraceWriter(bytes, System.currentTimeMillis());
-        this.thread = new Thread(this::write, "burlarch-trace");
+        this.countedOutput = new CountingOutputStream(sink.stream());
+        this.writer = new TraceWriter(countedOutput, System.currentTimeMillis());
+        this.thread = new Thread(this::writeQueuedRecords, "burlarch-trace");
         thread.setDaemon(true);
         thread.start();
     }
 
     @Override
     public void taken(RequestTable.Arrival arrival) {
-        if (over) {
+        if (ended) {
             return;
         }
         TraceRecord record = new TraceRecord(
-                clock.getAsLong() - startNanos,
+                clockNanos.getAsLong() - startNanos,
                 classes.get(arrival.requestClass()),
-                cut(arrival.tenantName()),
-                cut(arrival.keyText()),
+                truncate(arrival.tenantName()),
+                truncate(arrival.keyText()),
                 !arrival.upstream().method().name().equals("GET"),
                 arrival.timeoutMs(),
                 TimeUnit.NANOSECONDS.toMicros(arrival.workNanos()),
                 arrival.upstream().body().length);
-        if (!waiting.offer(record)) {
-            leftOut.incrementAndGet();
+        if (!queue.offer(record)) {
+            droppedRecords.incrementAndGet();
         }
     }
 
-    private static String cut(String text) {
-        return text.length() <= TEXT_MOST ? text : text.substring(0, TEXT_MOST);
+    private static String truncate(String text) {
+        return text.length() <= MAX_TEXT_LENGTH ? text : text.substring(0, MAX_TEXT_LENGTH);
     }
 
-    private void write() {
-        String end = "at the end of the program";
-        long flushedNanos = System.nanoTime();
+    private void writeQueuedRecords() {
+        String endReason = "as the proxy shut down";
+        long lastFlushNanos = System.nanoTime();
         try (writer) {
             while (true) {
-                TraceRecord next = waiting.poll(FLUSH_NANOS, TimeUnit.NANOSECONDS);
-                if (next == END) {
+                TraceRecord next = queue.poll(FLUSH_INTERVAL_NANOS, TimeUnit.NANOSECONDS);
+                if (next == END_MARKER) {
                     break;
                 }
                 if (next != null) {
                     writer.write(next);
                 }
-                if (System.nanoTime() - flushedNanos >= FLUSH_NANOS) {
+                if (System.nanoTime() - lastFlushNanos >= FLUSH_INTERVAL_NANOS) {
                     writer.flush();
-                    flushedNanos = System.nanoTime();
+                    lastFlushNanos = System.nanoTime();
                 }
-                if (bytes.count >= mostBytes) {
-                    end = "at its size";
+                if (countedOutput.byteCount >= maxBytes) {
+                    endReason = "at its maximum size";
                     break;
                 }
             }
         } catch (IOException e) {
-            end = "as it can't be written: " + e.getMessage();
+            endReason = "as it cannot be written: " + e.getMessage();
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
-        over = true;
-        waiting.clear();
-        Log.line("trace " + file + " ended " + end + ": " + writer.written() + " requests, " + leftOut.get()
-                + " left out");
+        ended = true;
+        queue.clear();
+        Log.line("trace " + file + " ended " + endReason + ": " + writer.written() + " requests, "
+                + droppedRecords.get() + " dropped");
     }
 
-    /** Writes what waits and ends the file; returns then, or after 2 s. */
+    /** Writes the queued records and completes the file. Waits up to 2 s for queue space, and 2 s for the writer. */
     public void close() throws InterruptedException {
-        if (over || waiting.offer(END, LAST_WRITES_MS, TimeUnit.MILLISECONDS)) {
-            thread.join(LAST_WRITES_MS);
+        if (ended || queue.offer(END_MARKER, CLOSE_TIMEOUT_MS, TimeUnit.MILLISECONDS)) {
+            thread.join(CLOSE_TIMEOUT_MS);
         }
     }
 }
