--- a/proxy/src/main/java/burlarch/proxy/ClientConnection.java
+++ b/proxy/src/main/java/burlarch/proxy/ClientConnection.java
@@ -20,51 +20,62 @@
 import java.util.ArrayDeque;
 import java.util.concurrent.TimeUnit;
 
-/** One client connection, with at most one request in the table, answered in the order of its requests. */
+/**
+ * One client's HTTP/1.1 connection. Handles one request at a time and answers pipelined requests in the order
+ * in which they were received. Confined to the event loop's thread.
+ */
 final class ClientConnection extends SimpleChannelInboundHandler<Object> implements RequestHandler.Reply {
-    /** Requests that may have been sent ahead of their answers before no more is read. */
-    private static final int AHEAD_MOST = 64;
-    /** While no more is read a client's end is not seen: what has waited so long is not begun any more. */
-    private static final long UNSEEN_MOST_NANOS = TimeUnit.MILLISECONDS.toNanos(200);
-    /** How long a client may take to read its answer. */
-    private static final long WRITE_MOST_NANOS = TimeUnit.SECONDS.toNanos(5);
-    /** How long a connection's first request, or one that was begun, may take to come. */
-    static final long SLOW_NANOS = TimeUnit.SECONDS.toNanos(2);
+    /** Requests that may wait in the pipeline before reading is paused. */
+    private static final int MAX_PIPELINED_REQUESTS = 64;
+    /**
+     * How long a request may wait while reading is paused. Meanwhile a client's disconnect is not noticed, so a
+     * request that has waited longer is answered 429 instead of being started.
+     */
+    private static final long MAX_WAIT_WHILE_PAUSED_NANOS = TimeUnit.MILLISECONDS.toNanos(200);
+    /** How long a client may take to read its response. */
+    private static final long RESPONSE_WRITE_TIMEOUT_NANOS = TimeUnit.SECONDS.toNanos(5);
+    /** How long the first request of a connection, or the rest of a partially received one, may take to arrive. */
+    static final long REQUEST_READ_TIMEOUT_NANOS = TimeUnit.SECONDS.toNanos(2);
 
-    /** What a connection is doing, in the order in which one may be given up for a new one. */
-    enum Use {
-        SILENT,
+    /** State of a connection; the first ones are closed first when a new connection needs room. */
+    enum Activity {
+        /** No request has been received yet. */
+        NO_REQUEST_YET,
+        /** All requests have been answered. */
         IDLE,
-        PART,
+        /** Part of a request has been received. */
+        RECEIVING,
+        /** A request or its response is in progress, or the connection is being closed. */
         BUSY
     }
 
-    /** A request, or a rejection in its place, and when it was read. */
-    private record Read(Object message, long nanos) {}
+    /** A request, or the {@link Rejection} that replaces it, and when it was read. */
+    private record ReceivedMessage(Object message, long readNanos) {}
 
     private final ClientListener listener;
     private final RequestHandler handler;
     private final ProxyClock clock;
     private final Channel channel;
     private final RequestDecoder decoder;
-    private final RequestCollector collector;
-    private final BodyBudget budget;
-    /** Requests, or rejections in their place, that came before the answer to the one before them. */
-    private final ArrayDeque<Read> ahead = new ArrayDeque<>(0);
-    /** When it was opened or last answered. */
-    private long freeSinceNanos;
-    /** When it was last decided to read no more for a while. */
-    private long pausedNanos = Long.MIN_VALUE;
+    private final RequestCollector bodyCollector;
+    private final BodyBudget requestBudget;
+    /** Messages received while an earlier request was not yet answered. */
+    private final ArrayDeque<ReceivedMessage> pipelined = new ArrayDeque<>(0);
+    /** When the connection was opened or last sent a response. */
+    private long idleSinceNanos;
+    /** When reading was last paused. */
+    private long readPausedNanos = Long.MIN_VALUE;
 
-    private boolean asked;
+    private boolean hasReceivedRequest;
+    /** Whether a request is being handled and its response has not been written yet. */
     private boolean busy;
-    /** Whether an answer is on its way to the client: the next request has its turn once that is out. */
+    /** Whether a response is being written; the next request starts when the write is complete. */
     private boolean writing;
 
     private boolean keepAlive;
     private boolean closing;
-    /** Gives up the request in hand; null while there is none. */
-    private Runnable leave;
+    /** Abandons the current request; null while there is none. */
+    private Runnable abandonRequest;
 
     ClientConnection(
             ClientListener listener,
@@ -72,52 +83,57 @@
             ProxyClock clock,
             Channel channel,
             RequestDecoder decoder,
-            RequestCollector collector,
-            BodyBudget budget) {
+            RequestCollector bodyCollector,
+            BodyBudget requestBudget) {
         super(false);
         this.listener = listener;
         this.handler = handler;
         this.clock = clock;
         this.channel = channel;
         this.decoder = decoder;
-        this.collector = collector;
-        this.budget = budget;
-        this.freeSinceNanos = clock.nowNanos();
+        this.bodyCollector = bodyCollector;
+        this.requestBudget = requestBudget;
+        this.idleSinceNanos = clock.nowNanos();
     }
 
-    Use use() {
-        if (busy || writing || closing || !ahead.isEmpty()) {
-            return Use.BUSY;
+    Activity activity() {
+        if (busy || writing || closing || !pipelined.isEmpty()) {
+            return Activity.BUSY;
         }
-        if (collector.inBody() || decoder.partSinceNanos(0) != 0) {
-            return Use.PART;
+        if (bodyCollector.inBody() || decoder.partialSinceNanos(0) != 0) {
+            return Activity.RECEIVING;
         }
-        return asked ? Use.IDLE : Use.SILENT;
+        return hasReceivedRequest ? Activity.IDLE : Activity.NO_REQUEST_YET;
     }
 
-    long freeSinceNanos() {
-        return freeSinceNanos;
+    long idleSinceNanos() {
+        return idleSinceNanos;
     }
 
-    /** Ends a connection that carries no request. */
-    void giveUp() {
+    /** Closes a connection that has no open request. */
+    void closeUnused() {
         closing = true;
         channel.close();
     }
 
-    /** Answers 408 where a first request has not come or one that was begun is not whole. */
-    void endIfSlow(long nowNanos) {
-        if (writing && nowNanos - freeSinceNanos >= WRITE_MOST_NANOS) {
+    /**
+     * Answers 408 and closes if the first request, or the rest of a partially received one, is overdue; closes
+     * if the client has not read its response in time.
+     */
+    void closeIfOverdue(long nowNanos) {
+        if (writing && nowNanos - idleSinceNanos >= RESPONSE_WRITE_TIMEOUT_NANOS) {
             channel.close();
             return;
         }
-        Use use = use();
-        if (use == Use.BUSY || use == Use.IDLE) {
+        Activity activity = activity();
+        if (activity == Activity.BUSY || activity == Activity.IDLE) {
             return;
         }
-        // From the answer before it, as a part that came during that had no turn yet.
-        long sinceNanos = asked ? Math.max(freeSinceNanos, decoder.partSinceNanos(freeSinceNanos)) : freeSinceNanos;
-        if (nowNanos - sinceNanos >= SLOW_NANOS) {
+        // Counts from the previous response at the earliest: a part that arrived before had to wait for it.
+        long sinceNanos = hasReceivedRequest
+                ? Math.max(idleSinceNanos, decoder.partialSinceNanos(idleSinceNanos))
+                : idleSinceNanos;
+        if (nowNanos - sinceNanos >= REQUEST_READ_TIMEOUT_NANOS) {
             busy = true;
             reject(HttpResponseStatus.REQUEST_TIMEOUT);
         }
@@ -126,47 +142,48 @@
     @Override
     protected void channelRead0(ChannelHandlerContext context, Object message) {
         if (closing) {
-            drop(message);
+            releaseMessage(message);
             return;
         }
-        asked = true;
-        ahead.add(new Read(message, clock.nowNanos()));
-        if (ahead.size() >= AHEAD_MOST) {
-            pausedNanos = clock.nowNanos();
+        hasReceivedRequest = true;
+        pipelined.add(new ReceivedMessage(message, clock.nowNanos()));
+        if (pipelined.size() >= MAX_PIPELINED_REQUESTS) {
+            readPausedNanos = clock.nowNanos();
             channel.config().setAutoRead(false);
         }
-        next();
+        handleNext();
     }
 
-    private void drop(Object message) {
+    private void releaseMessage(Object message) {
         if (message instanceof FullHttpRequest request) {
-            budget.release(request.content().readableBytes());
+            requestBudget.release(request.content().readableBytes());
             request.release();
         }
     }
 
-    private void next() {
-        while (!busy && !writing && !closing && !ahead.isEmpty()) {
-            Read read = ahead.poll();
-            Object message = read.message;
+    private void handleNext() {
+        while (!busy && !writing && !closing && !pipelined.isEmpty()) {
+            ReceivedMessage received = pipelined.poll();
+            Object message = received.message;
             busy = true;
             try {
                 if (message instanceof Rejection rejection) {
                     reject(rejection.status);
-                } else if (read.nanos <= pausedNanos && clock.nowNanos() - read.nanos > UNSEEN_MOST_NANOS) {
+                } else if (received.readNanos <= readPausedNanos
+                        && clock.nowNanos() - received.readNanos > MAX_WAIT_WHILE_PAUSED_NANOS) {
                     keepAlive = HttpUtil.isKeepAlive((FullHttpRequest) message);
                     refused(0, false);
                 } else {
-                    handle((FullHttpRequest) message, read.nanos);
+                    handle((FullHttpRequest) message, received.readNanos);
                 }
             } catch (RuntimeException e) {
-                Log.line("a request failed: " + e);
+                Log.line("handling of a request failed: " + e);
                 failed(HttpResponseStatus.INTERNAL_SERVER_ERROR.code());
             } finally {
-                drop(message);
+                releaseMessage(message);
             }
         }
-        if (!closing && ahead.size() < AHEAD_MOST) {
+        if (!closing && pipelined.size() < MAX_PIPELINED_REQUESTS) {
             channel.config().setAutoRead(true);
         }
     }
@@ -176,18 +193,18 @@
         try {
             RequestReader.checkFraming(request);
             if (request.uri().equals("/_health")) {
-                boolean get = request.method().equals(HttpMethod.GET);
-                failed(!get ? HttpResponseStatus.METHOD_NOT_ALLOWED.code() : listener.takesMore() ? 200 : 503);
+                boolean isGet = request.method().equals(HttpMethod.GET);
+                failed(!isGet ? HttpResponseStatus.METHOD_NOT_ALLOWED.code() : listener.acceptsRequests() ? 200 : 503);
                 return;
             }
-            Runnable givesUp = handler.handle(request, readNanos, this);
-            leave = busy ? givesUp : null;
+            Runnable abandon = handler.handle(request, readNanos, this);
+            abandonRequest = busy ? abandon : null;
         } catch (Rejection e) {
             reject(e.status);
         }
     }
 
-    /** Ends the connection too: who sends what can't be used would go on as fast as it is answered. */
+    /** Answers and closes the connection: a client that sends invalid requests could repeat them without pause. */
     private void reject(HttpResponseStatus status) {
         keepAlive = false;
         failed(status.code());
@@ -195,96 +212,99 @@
 
     @Override
     public void served(byte[] body, String contentType) {
-        FullHttpResponse response = response(HttpResponseStatus.OK, Unpooled.wrappedBuffer(body));
+        FullHttpResponse response = newResponse(HttpResponseStatus.OK, Unpooled.wrappedBuffer(body));
         if (contentType != null) {
             response.headers().set(HttpHeaderNames.CONTENT_TYPE, contentType);
         }
-        write(response);
+        writeResponse(response);
     }
 
     @Override
     public void refused(long retryAfterNanos, boolean unanswered) {
-        FullHttpResponse response = response(HttpResponseStatus.TOO_MANY_REQUESTS, Unpooled.EMPTY_BUFFER);
+        FullHttpResponse response = newResponse(HttpResponseStatus.TOO_MANY_REQUESTS, Unpooled.EMPTY_BUFFER);
         if (retryAfterNanos > 0) {
             response.headers().set(HttpHeaderNames.RETRY_AFTER, Headers.seconds(retryAfterNanos));
         }
-        write(response);
+        writeResponse(response);
     }
 
     @Override
     public void failed(int status) {
-        FullHttpResponse response = response(HttpResponseStatus.valueOf(status), Unpooled.EMPTY_BUFFER);
+        FullHttpResponse response = newResponse(HttpResponseStatus.valueOf(status), Unpooled.EMPTY_BUFFER);
         if (status == HttpResponseStatus.METHOD_NOT_ALLOWED.code()) {
             response.headers().set(HttpHeaderNames.ALLOW, handler.allow());
         }
-        write(response);
+        writeResponse(response);
     }
 
-    private FullHttpResponse response(HttpResponseStatus status, ByteBuf body) {
+    private FullHttpResponse newResponse(HttpResponseStatus status, ByteBuf body) {
         FullHttpResponse response = new DefaultFullHttpResponse(HttpVersion.HTTP_1_1, status, body);
         response.headers().set(HttpHeaderNames.CONTENT_LENGTH, body.readableBytes());
-        if (last()) {
+        if (closesAfterResponse()) {
             response.headers().set(HttpHeaderNames.CONNECTION, HttpHeaderValues.CLOSE);
         }
         return response;
     }
 
-    /** What was read is owed an answer: at the end of a drain only the last one's ends the connection. */
-    private boolean last() {
-        return !keepAlive || listener.ending() && ahead.isEmpty();
+    /**
+     * Whether the connection is closed after the current response. At the end of a drain, requests that were
+     * received are still answered, so only the response to the last of them closes it.
+     */
+    private boolean closesAfterResponse() {
+        return !keepAlive || listener.closingConnections() && pipelined.isEmpty();
     }
 
     @Override
     public ChannelFuture answer(HttpHeaders headers, ByteBuf body) {
-        FullHttpResponse response = response(HttpResponseStatus.OK, body);
+        FullHttpResponse response = newResponse(HttpResponseStatus.OK, body);
         response.headers().add(headers);
-        return write(response);
+        return writeResponse(response);
     }
 
-    private ChannelFuture write(FullHttpResponse response) {
-        closing |= last();
+    private ChannelFuture writeResponse(FullHttpResponse response) {
+        closing |= closesAfterResponse();
         busy = false;
         writing = true;
-        leave = null;
-        freeSinceNanos = clock.nowNanos();
+        abandonRequest = null;
+        idleSinceNanos = clock.nowNanos();
         if (closing) {
             channel.config().setAutoRead(false);
         }
         int bytes = response.content().readableBytes();
-        listener.answers().take(bytes);
-        return channel.writeAndFlush(response).addListener(f -> {
-            listener.answers().release(bytes);
-            written(f.isSuccess());
+        listener.responseBudget().take(bytes);
+        return channel.writeAndFlush(response).addListener(future -> {
+            listener.responseBudget().release(bytes);
+            onWritten(future.isSuccess());
         });
     }
 
-    private void written(boolean whole) {
+    private void onWritten(boolean success) {
         writing = false;
-        freeSinceNanos = clock.nowNanos();
-        if (closing || !whole) {
+        idleSinceNanos = clock.nowNanos();
+        if (closing || !success) {
             channel.close();
-        } else if (!ahead.isEmpty()) {
-            channel.eventLoop().execute(this::next);
+        } else if (!pipelined.isEmpty()) {
+            channel.eventLoop().execute(this::handleNext);
         }
     }
 
     @Override
     public void channelInactive(ChannelHandlerContext context) {
-        listener.ended(this);
+        listener.onClosed(this);
         closing = true;
-        ahead.forEach(read -> drop(read.message));
-        ahead.clear();
-        if (leave != null) {
-            leave.run();
-            leave = null;
+        pipelined.forEach(received -> releaseMessage(received.message));
+        pipelined.clear();
+        if (abandonRequest != null) {
+            abandonRequest.run();
+            abandonRequest = null;
         }
     }
 
     @Override
     public void exceptionCaught(ChannelHandlerContext context, Throwable cause) {
-        // A client that breaks or ends its connection is none of our faults; all else may lose a request.
+        // A connection closed or reset by its client is not a fault of the proxy. Other errors may lose a request.
         if (!(cause instanceof IOException) && channel.isActive()) {
-            Log.line("a client's connection failed: " + cause);
+            Log.line("client connection failed: " + cause);
         }
         channel.close();
     }
--- a/proxy/src/main/java/burlarch/proxy/ClientListener.java
+++ b/proxy/src/main/java/burlarch/proxy/ClientListener.java
@@ -1,6 +1,6 @@
 package burlarch.proxy;
 
-import burlarch.proxy.ClientConnection.Use;
+import burlarch.proxy.ClientConnection.Activity;
 import io.netty.bootstrap.ServerBootstrap;
 import io.netty.channel.Channel;
 import io.netty.channel.ChannelFuture;
@@ -18,68 +18,76 @@
 import java.util.function.BooleanSupplier;
 import java.util.function.LongSupplier;
 
-/** The clients' side: takes connections while there is room, and ends those that are slow or make room. */
+/**
+ * Accepts client connections on all client ports, within one connection limit, and closes those that time out,
+ * make room for new ones, or remain at the end of a drain. Confined to the event loop's thread.
+ */
 final class ClientListener {
-    private static final int BACKLOG = 512;
-    private static final long SWEEP_NANOS = TimeUnit.MILLISECONDS.toNanos(200);
-    /** Between requests a connection stays open for so long at least. */
-    private static final long IDLE_LEAST_NANOS = TimeUnit.SECONDS.toNanos(2);
-    /** A turn of the loop, which accepts and reads what has come. */
-    private static final long TURN_MS = 2;
-    /** For a listener that more come to in every turn. */
-    private static final int CLOSE_TURNS_MOST = 20;
+    private static final int ACCEPT_BACKLOG = 512;
+    private static final long TIMEOUT_CHECK_INTERVAL_NANOS = TimeUnit.MILLISECONDS.toNanos(200);
+    /** An idle connection is not closed to make room before this time has passed since its last response. */
+    private static final long MIN_IDLE_NANOS = TimeUnit.SECONDS.toNanos(2);
+    /** Long enough for one iteration of the event loop, which accepts and reads whatever has arrived. */
+    private static final long LOOP_ITERATION_MS = 2;
+    /** Limits the wait for an iteration without accepts: under load, every iteration may accept some. */
+    private static final int MAX_CLOSE_ATTEMPTS = 20;
 
     private final EventLoop loop;
     private final ProxyClock clock;
     private final RequestReader reader;
     private final BooleanSupplier ready;
-    private final int connectionsMost;
-    private final BodyBudget budget = new BodyBudget(RequestCollector.HELD_MOST, BodyBudget.BEYOND_MOST);
-    private final BodyBudget answers;
-    /** In the order of their opening. */
+    private final int maxConnections;
+    private final BodyBudget requestBudget = new BodyBudget(RequestCollector.MAX_HELD_BYTES, BodyBudget.BEYOND_MOST);
+    private final BodyBudget responseBudget;
+    /** Open connections, in the order in which they were opened. */
     private final Set<ClientConnection> connections = new LinkedHashSet<>();
 
-    private final List<Channel> servers = new ArrayList<>();
-    private boolean sweeping;
+    private final List<Channel> serverChannels = new ArrayList<>();
+    private boolean timeoutChecksScheduled;
     private boolean draining;
-    private boolean ending;
-    /** How many connections have been accepted. */
+    private boolean closingConnections;
+    /** Number of connections accepted so far. */
     private long accepted;
 
-    private Runnable whenEnded;
+    /** Runs once when all connections are closed; null before {@link #closeConnections} and after the run. */
+    private Runnable onAllClosed;
 
     ClientListener(
             EventLoop loop,
             ProxyClock clock,
             RequestTable table,
             BooleanSupplier ready,
-            LongSupplier lag,
-            int connectionsMost) {
+            LongSupplier readDelayNanos,
+            int maxConnections) {
         this.loop = loop;
         this.clock = clock;
-        this.reader = new RequestReader(clock, table.instance(), lag);
+        this.reader = new RequestReader(clock, table.instance(), readDelayNanos);
         this.ready = ready;
-        this.answers = table.answers();
-        this.connectionsMost = connectionsMost;
+        this.responseBudget = table.answers();
+        this.maxConnections = maxConnections;
     }
 
-    /** All ports together hold the clients' share of the descriptors, and end alike. */
+    /** Binds one more port. All ports share the connection limit and are drained together. */
     ChannelFuture bind(SocketAddress address, RequestHandler.Port port) {
-        if (!sweeping) {
-            sweeping = true;
-            loop.scheduleWithFixedDelay(this::endSlow, SWEEP_NANOS, SWEEP_NANOS, TimeUnit.NANOSECONDS);
+        if (!timeoutChecksScheduled) {
+            timeoutChecksScheduled = true;
+            loop.scheduleWithFixedDelay(
+                    this::closeOverdue,
+                    TIMEOUT_CHECK_INTERVAL_NANOS,
+                    TIMEOUT_CHECK_INTERVAL_NANOS,
+                    TimeUnit.NANOSECONDS);
         }
-        ChannelFuture bound = new ServerBootstrap()
+        ChannelFuture binding = new ServerBootstrap()
                 .group(loop, loop)
                 .channel(NioServerSocketChannel.class)
-                .option(ChannelOption.SO_BACKLOG, BACKLOG)
+                .option(ChannelOption.SO_BACKLOG, ACCEPT_BACKLOG)
                 .option(ChannelOption.SO_REUSEADDR, true)
                 .childOption(ChannelOption.TCP_NODELAY, true)
                 .childHandler(new ChannelInitializer<Channel>() {
                     @Override
                     protected void initChannel(Channel channel) {
                         accepted++;
-                        if (connections.size() < connectionsMost || makeRoom()) {
+                        if (connections.size() < maxConnections || closeOneToMakeRoom()) {
                             install(channel, port);
                         } else {
                             channel.close();
@@ -87,146 +95,153 @@
                     }
                 })
                 .bind(address);
-        servers.add(bound.channel());
-        bound.channel().closeFuture().addListener(f -> endFreeInATurn());
-        return bound;
+        serverChannels.add(binding.channel());
+        binding.channel().closeFuture().addListener(future -> scheduleCloseIdle());
+        return binding;
     }
 
+    /** Sets up the pipeline of an accepted connection. */
     void install(Channel channel, RequestHandler.Port port) {
         RequestHandler handler = port.open(channel);
         RequestDecoder decoder = new RequestDecoder(clock);
-        RequestCollector collector = new RequestCollector(budget);
-        ClientConnection connection = new ClientConnection(this, handler, clock, channel, decoder, collector, budget);
+        RequestCollector collector = new RequestCollector(requestBudget);
+        ClientConnection connection =
+                new ClientConnection(this, handler, clock, channel, decoder, collector, requestBudget);
         channel.pipeline().addLast(decoder, new HttpResponseEncoder(), collector, connection);
         connections.add(connection);
     }
 
     /**
-     * Ends the connection that is missed least. Guards against clients that connect by hundreds and say
-     * nothing: with no descriptor left, the next accept, connect or opened file would fail.
+     * Closes the connection whose loss matters least, if any may be closed. Guards against hundreds of clients
+     * that connect and send nothing: without a free descriptor, the next accept, connect or file open fails.
+     *
+     * @return whether a connection was closed
      */
-    private boolean makeRoom() {
-        ClientConnection least = null;
+    private boolean closeOneToMakeRoom() {
+        ClientConnection candidate = null;
         long nowNanos = clock.nowNanos();
         for (ClientConnection connection : connections) {
-            Use use = connection.use();
-            if (use != Use.BUSY
-                    && (use != Use.IDLE || nowNanos - connection.freeSinceNanos() >= IDLE_LEAST_NANOS)
-                    && (least == null
-                            || use.compareTo(least.use()) < 0
-                            || use == least.use() && connection.freeSinceNanos() < least.freeSinceNanos())) {
-                least = connection;
+            Activity activity = connection.activity();
+            if (activity != Activity.BUSY
+                    && (activity != Activity.IDLE || nowNanos - connection.idleSinceNanos() >= MIN_IDLE_NANOS)
+                    && (candidate == null
+                            || activity.compareTo(candidate.activity()) < 0
+                            || activity == candidate.activity()
+                                    && connection.idleSinceNanos() < candidate.idleSinceNanos())) {
+                candidate = connection;
             }
         }
-        if (least != null) {
-            connections.remove(least);
-            least.giveUp();
+        if (candidate != null) {
+            connections.remove(candidate);
+            candidate.closeUnused();
         }
-        return least != null;
+        return candidate != null;
     }
 
-    private void endSlow() {
+    private void closeOverdue() {
         long nowNanos = clock.nowNanos();
         for (ClientConnection connection : List.copyOf(connections)) {
-            connection.endIfSlow(nowNanos);
+            connection.closeIfOverdue(nowNanos);
         }
-        if (ending) {
-            endFree();
+        if (closingConnections) {
+            closeIdle();
         }
     }
 
-    void ended(ClientConnection connection) {
+    void onClosed(ClientConnection connection) {
         connections.remove(connection);
-        checkEnded();
+        notifyIfAllClosed();
     }
 
-    private void checkEnded() {
-        if (ending && connections.isEmpty() && !takesConnections() && whenEnded != null) {
-            whenEnded.run();
-            whenEnded = null;
+    private void notifyIfAllClosed() {
+        if (closingConnections && connections.isEmpty() && !isListening() && onAllClosed != null) {
+            onAllClosed.run();
+            onAllClosed = null;
         }
     }
 
-    /** What answers hold: theirs too until they are written. */
-    BodyBudget answers() {
-        return answers;
+    /** Budget for response bodies; a response counts until it has been written to the client. */
+    BodyBudget responseBudget() {
+        return responseBudget;
     }
 
     RequestReader reader() {
         return reader;
     }
 
-    boolean ending() {
-        return ending;
+    boolean closingConnections() {
+        return closingConnections;
     }
 
-    boolean takesMore() {
+    /** Whether health checks should report this proxy as available. */
+    boolean acceptsRequests() {
         return ready.getAsBoolean() && !draining;
     }
 
     /**
-     * Begins the end: a health check fails, and what is asked from now on is answered by then. Kept
-     * connections stay: their clients have nobody else to ask before the next start.
+     * Starts a drain: health checks fail, and requests that arrive from now on are answered before the given
+     * time. Open connections stay open: their clients have no other proxy to use before the next start.
      */
-    void drain(long endNanos) {
+    void startDrain(long answerDeadlineNanos) {
         draining = true;
-        reader.endAt(endNanos);
+        reader.limitDeadlines(answerDeadlineNanos);
     }
 
     /**
-     * Takes no more connections, once a turn of the loop has found none that was accepted for it: their
-     * requests may be written, and closing would reset them.
+     * Closes the listening sockets as soon as an iteration of the event loop accepts no connection. Connections
+     * in the backlog may already have sent requests, and closing the socket would reset them.
      */
-    void closeServer() {
-        closeServer(accepted, CLOSE_TURNS_MOST);
+    void closeListeners() {
+        closeListeners(accepted, MAX_CLOSE_ATTEMPTS);
     }
 
-    private void closeServer(long before, int turnsLeft) {
+    private void closeListeners(long acceptedBefore, int attemptsLeft) {
         loop.schedule(
                 () -> {
-                    if (accepted == before || turnsLeft == 0) {
-                        servers.forEach(Channel::close);
+                    if (accepted == acceptedBefore || attemptsLeft == 0) {
+                        serverChannels.forEach(Channel::close);
                     } else {
-                        closeServer(accepted, turnsLeft - 1);
+                        closeListeners(accepted, attemptsLeft - 1);
                     }
                 },
-                TURN_MS,
+                LOOP_ITERATION_MS,
                 TimeUnit.MILLISECONDS);
     }
 
     /**
-     * From now on each last answer ends its connection, and those that carry no request end after a turn of
-     * the loop, which reads what they hold, once the listeners are closed: one that is open may bring more.
-     * The end of the connections is the end of all that is owed: what waits behind another request, what is
-     * half read, and answers that are not out keep theirs.
+     * Closes all connections at the end of a drain. A connection with open requests is closed by its last
+     * response. One without is closed after an iteration of the event loop, which reads what it has sent, and
+     * after the listeners are closed, because an open listener may accept more. Once all connections are
+     * closed, nothing remains to be answered: pipelined or partially received requests and unwritten responses
+     * keep their connections open.
      *
-     * @param action runs once when there is none left
+     * @param action runs once when no connection and no listener is open
      */
-    void endConnections(Runnable action) {
-        ending = true;
-        whenEnded = action;
-        endFreeInATurn();
+    void closeConnections(Runnable action) {
+        closingConnections = true;
+        onAllClosed = action;
+        scheduleCloseIdle();
     }
 
-    private void endFreeInATurn() {
-        if (ending) {
-            loop.schedule(this::endFree, TURN_MS, TimeUnit.MILLISECONDS);
+    private void scheduleCloseIdle() {
+        if (closingConnections) {
+            loop.schedule(this::closeIdle, LOOP_ITERATION_MS, TimeUnit.MILLISECONDS);
         }
     }
 
-    private boolean takesConnections() {
-        return servers.stream().anyMatch(Channel::isOpen);
+    private boolean isListening() {
+        return serverChannels.stream().anyMatch(Channel::isOpen);
     }
 
-    private void endFree() {
-        if (takesConnections()) {
+    private void closeIdle() {
+        if (isListening()) {
             return;
         }
         for (ClientConnection connection : List.copyOf(connections)) {
-            if (connection.use() == Use.IDLE || connection.use() == Use.SILENT) {
-                connection.giveUp();
+            if (connection.activity() == Activity.IDLE || connection.activity() == Activity.NO_REQUEST_YET) {
+                connection.closeUnused();
             }
         }
-        checkEnded();
+        notifyIfAllClosed();
     }
 }
--- a/proxy/src/main/java/burlarch/proxy/DrainTimes.java
+++ b/proxy/src/main/java/burlarch/proxy/DrainTimes.java
@@ -1,30 +1,34 @@
 package burlarch.proxy;
 
 /**
- * What a drain does when, in milliseconds after SIGTERM. The last answers have to be out before the platform
- * kills, and a loop that is behind gives them late: more is kept for that than it was ever seen to be.
+ * Schedule of a drain, in milliseconds after SIGTERM. The last responses must be sent before the platform kills
+ * the process, and a delayed event loop sends them late; the margin before the kill exceeds the largest delay
+ * seen.
  *
- * @param closeListenersMs from when no more connections are taken
- * @param endConnectionsMs from when each last answer ends its connection
- * @param answeredMs by when each request has its answer
- * @param killMs the soonest that the platform may kill
+ * @param closeListenersMs when the listening sockets are closed
+ * @param endConnectionsMs from when on a connection is closed after its last response
+ * @param answeredMs deadline for answering all requests
+ * @param killMs earliest time at which the platform may kill the process
  */
 record DrainTimes(long closeListenersMs, long endConnectionsMs, long answeredMs, long killMs) {
-    /** After SIGTERM, connections come for 0.4 s more. */
-    private static final long ACCEPT_ON_MS = 450;
-    /** The platform kills no sooner than the longest deadline, of 3 s at most, and 0.7 s after SIGTERM. */
-    private static final long KILL_AFTER_MS = 700;
+    /** New connections keep arriving for 0.4 s after SIGTERM. */
+    private static final long ACCEPT_MS = 450;
+    /** The platform kills the process 0.7 s plus the longest request timeout (at most 3 s) after SIGTERM, or later. */
+    private static final long KILL_DELAY_MS = 700;
 
-    private static final long LONGEST_DEADLINE_MS = 3000;
-    /** Loops at half a core of a busy machine were up to 214 ms behind, at the end of a release. */
-    private static final long ANSWERED_BEFORE_MS = 250;
-    /** Before the last answers are due, the last requests are in. */
-    private static final long ASKED_BEFORE_MS = 150;
+    private static final long MAX_TIMEOUT_MS = 3000;
+    /**
+     * Time between the answer deadline and the kill. Event loops with half a core on a busy machine were delayed
+     * by up to 214 ms at the end of a rolling release.
+     */
+    private static final long ANSWER_TO_KILL_MARGIN_MS = 250;
+    /** Time between the arrival of the last requests and the answer deadline. */
+    private static final long LAST_REQUEST_MARGIN_MS = 150;
 
-    /** @param longestMs the longest time that a client gives a request */
-    static DrainTimes of(long longestMs) {
-        long killMs = KILL_AFTER_MS + Math.min(LONGEST_DEADLINE_MS, longestMs);
-        long answeredMs = killMs - ANSWERED_BEFORE_MS;
-        return new DrainTimes(ACCEPT_ON_MS, Math.max(ACCEPT_ON_MS, answeredMs - ASKED_BEFORE_MS), answeredMs, killMs);
+    /** @param longestTimeoutMs the longest timeout that a client has given a request */
+    static DrainTimes of(long longestTimeoutMs) {
+        long killMs = KILL_DELAY_MS + Math.min(MAX_TIMEOUT_MS, longestTimeoutMs);
+        long answeredMs = killMs - ANSWER_TO_KILL_MARGIN_MS;
+        return new DrainTimes(ACCEPT_MS, Math.max(ACCEPT_MS, answeredMs - LAST_REQUEST_MARGIN_MS), answeredMs, killMs);
     }
 }
--- a/proxy/src/main/java/burlarch/proxy/EntryFramer.java
+++ b/proxy/src/main/java/burlarch/proxy/EntryFramer.java
@@ -4,56 +4,62 @@
 import java.util.Arrays;
 
 /**
- * Cuts discovery's stream into its objects. Each stands on a line of its own or, indented, on several; braces
- * outside of strings tell where it ends, so that it counts with its last byte. An object that was broken off
- * is given up at the next list that stands whole on its line.
+ * Splits discovery's byte stream into JSON objects. An object occupies one line or, if it is indented, several;
+ * its end is found by counting the braces and brackets outside strings, so that it is delivered with its last
+ * byte. A truncated object is discarded when the next complete list on a single line arrives.
  */
 final class EntryFramer {
-    /** What the stream holds, in its order. */
+    /** Receives the contents of the stream, in order. */
     interface Sink {
+        /** A complete JSON object. */
         void object(String text);
 
-        /** An empty line: nothing has changed. */
+        /** An empty line, which discovery sends as a heartbeat: nothing has changed. */
         void beat();
 
-        /** What is no object, or one that was broken off. */
+        /** Text that is not an object, or a truncated object. */
         void malformed();
     }
 
-    private static final int USUAL_BYTES = 4096;
+    private static final int INITIAL_BUFFER_BYTES = 4096;
 
     private final Sink sink;
-    private final int longest;
-    private byte[] text = new byte[USUAL_BYTES];
+    private final int maxBytes;
+    private byte[] text = new byte[INITIAL_BUFFER_BYTES];
     private int length;
-    /** How many braces and brackets are open: from the object's start, and from the current line's. */
+    /** Open braces and brackets since the start of the object. */
     private int depth;
-
+    /** Open braces and brackets since the start of the current line. */
     private int lineDepth;
-    /** Where in the text the current line begins, and whether anything but blanks stands on it. */
+    /** Index in the text at which the current line starts. */
     private int lineStart;
+    /** Whether the current line contains anything but blanks. */
+    private boolean lineHasText;
 
-    private boolean lineBegun;
     private boolean inString;
     private boolean escaped;
 
-    EntryFramer(int longest, Sink sink) {
-        this.longest = longest;
+    EntryFramer(int maxBytes, Sink sink) {
+        this.maxBytes = maxBytes;
         this.sink = sink;
     }
 
-    /** @return false where an object is too long to be kept: nothing is known of it any more */
+    /**
+     * Processes the next byte of the stream.
+     *
+     * @return false if the current object exceeds the size limit, so that the stream must be abandoned
+     */
     boolean take(byte b) {
         if (b == '\n') {
             endLine();
-            return length <= longest;
+            return length <= maxBytes;
         }
         boolean blank = b == ' ' || b == '\t' || b == '\r';
         if (blank && length == 0) {
             return true;
         }
-        keep(b);
-        lineBegun |= !blank;
+        append(b);
+        lineHasText |= !blank;
         if (inString) {
             inString = escaped || b != '"';
             escaped = !escaped && b == '\\';
@@ -66,16 +72,16 @@
             depth--;
             lineDepth--;
             if (depth == 0 && text[0] == '{') {
-                object(0);
+                deliver(0);
             } else if (lineDepth == 0 && lineStart > 0 && isWholeList(lineStart)) {
                 sink.malformed();
-                object(lineStart);
+                deliver(lineStart);
             }
         }
-        return length <= longest;
+        return length <= maxBytes;
     }
 
-    private void keep(byte b) {
+    private void append(byte b) {
         if (length == text.length) {
             text = Arrays.copyOf(text, 2 * length);
         }
@@ -83,34 +89,34 @@
     }
 
     private void endLine() {
-        // No string goes on over a line's end, so that one that was broken off hides nothing behind it.
+        // A string cannot span lines, so an unterminated string of a truncated object ends here.
         inString = false;
         escaped = false;
-        if (length == 0 && !lineBegun) {
+        if (length == 0 && !lineHasText) {
             sink.beat();
         } else if (length > 0 && depth <= 0) {
             sink.malformed();
             clear();
         } else if (length > 0) {
-            keep((byte) '\n');
+            append((byte) '\n');
         }
-        lineBegun = false;
+        lineHasText = false;
         lineDepth = 0;
         lineStart = length;
     }
 
-    /** Guards against taking an entry of an indented list, which may stand on one line, for a list. */
+    /** Distinguishes a list from an entry of an indented list, which may also be complete on one line. */
     private boolean isWholeList(int from) {
-        return text[from] == '{' && cut(from, length).contains("\"instances\"");
+        return text[from] == '{' && decode(from, length).contains("\"instances\"");
     }
 
-    private void object(int from) {
-        String object = cut(from, length);
+    private void deliver(int from) {
+        String object = decode(from, length);
         clear();
         sink.object(object);
     }
 
-    private String cut(int from, int to) {
+    private String decode(int from, int to) {
         return new String(text, from, to - from, StandardCharsets.UTF_8);
     }
 
@@ -119,8 +125,8 @@
         depth = 0;
         lineDepth = 0;
         lineStart = 0;
-        if (text.length > 64 * USUAL_BYTES) {
-            text = new byte[USUAL_BYTES];
+        if (text.length > 64 * INITIAL_BUFFER_BYTES) {
+            text = new byte[INITIAL_BUFFER_BYTES];
         }
     }
 }
--- a/proxy/src/main/java/burlarch/proxy/Features.java
+++ b/proxy/src/main/java/burlarch/proxy/Features.java
@@ -10,7 +10,11 @@
 import burlarch.settings.SettingsFile;
 import java.nio.file.Path;
 
-/** What the command line and the operator's file switch on; {@code hotList} is null without its flag. */
+/**
+ * Settings of the optional features, from the command line and the operator's file.
+ *
+ * @param hotList null unless the flag {@code --hot-list} was given
+ */
 public record Features(
         MultiGetSettings multiGet,
         HotListSettings hotList,
@@ -18,9 +22,18 @@
         TlsSettings tls,
         TraceSettings trace,
         OwnLoadSettings ownLoad) {
-    /** All that the arguments behind {@code serve} may say. */
+    /**
+     * Command-line arguments after the subcommand.
+     *
+     * @param config the operator's file, or null
+     */
     record Arguments(boolean hotList, Path config) {
-        /** @return null where they are none of these */
+        /**
+         * Parses the arguments that follow the subcommand.
+         *
+         * @param words the command line, with the subcommand at index 0
+         * @return null if an argument is unknown, repeated or incomplete
+         */
         static Arguments parse(String[] words) {
             boolean hotList = false;
             Path config = null;
@@ -37,6 +50,7 @@
         }
     }
 
+    /** Settings with every optional feature disabled. */
     public static Features none() {
         return new Features(
                 new MultiGetSettings(null, 0),
@@ -71,10 +85,15 @@
         return new Features(multiGet, hotList, status, tls, trace, other);
     }
 
+    /**
+     * Reads the operator's file, if any, and checks that it has no unknown keys.
+     *
+     * @throws SettingsException if the file cannot be read or a setting is invalid
+     */
     static Features load(Arguments arguments) throws SettingsException {
         SettingsFile file = arguments.config() == null ? SettingsFile.empty() : SettingsFile.load(arguments.config());
         MultiGetSettings multiGet = MultiGetSettings.read(file.section("multiget"));
-        // Read without its flag too: a mistake there should not wait for the day that it is wanted.
+        // Read even without the flag, so that a mistake is reported now and not when the feature is enabled.
         HotListSettings hotList = HotListSettings.read(file.section("hotlist"));
         StatusSettings status = StatusSettings.read(file.section("status"));
         TlsSettings tls = TlsSettings.read(file.section("tls"));
--- a/proxy/src/main/java/burlarch/proxy/Headers.java
+++ b/proxy/src/main/java/burlarch/proxy/Headers.java
@@ -2,7 +2,7 @@
 
 import io.netty.util.AsciiString;
 
-/** Names of the protocol's own headers. */
+/** HTTP header names of the cache protocol. */
 public final class Headers {
     public static final AsciiString REQUEST_ID = AsciiString.cached("X-Request-ID");
     public static final AsciiString CLASS = AsciiString.cached("X-Priority-Class");
@@ -15,12 +15,12 @@
     private Headers() {}
 
     /**
-     * A span as Retry-After has it: in seconds, to the millisecond. Not by a formatter, which loads locales,
-     * and would do so in the first moment in which much is refused.
+     * Formats a time as a Retry-After value: decimal seconds, rounded to the millisecond. Does not use a
+     * formatter, which would load locale data when the first overload begins.
      */
     public static String seconds(long nanos) {
         long millis = (nanos + 500_000) / 1_000_000;
-        String rest = Long.toString(1000 + millis % 1000);
-        return millis / 1000 + "." + rest.substring(1);
+        String fraction = Long.toString(1000 + millis % 1000);
+        return millis / 1000 + "." + fraction.substring(1);
     }
 }
--- a/proxy/src/main/java/burlarch/proxy/Log.java
+++ b/proxy/src/main/java/burlarch/proxy/Log.java
@@ -2,42 +2,51 @@
 
 import java.util.function.Supplier;
 
-/** The program's log on standard error: a line for what an operator should know, never one a request. */
+/**
+ * The program's log on standard error, for events that an operator should know of; never one line per request.
+ * Limits the number of lines per second. Safe for use by any thread.
+ */
 public final class Log {
     private static final int LINES_PER_SECOND = 5;
-    /** Texts that may wait for a reader; what comes beyond is left out and counted. */
-    private static final int WAITING_MOST = 256;
+    /** Texts that may wait to be written; further ones are dropped and counted. */
+    private static final int MAX_QUEUED_TEXTS = 256;
 
     private static long secondStartNanos = System.nanoTime();
-    private static int lines;
+    private static int linesThisSecond;
     private static int dropped;
-    /** Null while each line is written by its caller. */
+    /** Null while each line is written on its caller's thread. */
     private static LogWriter writer;
 
     private Log() {}
 
-    /** From now on a thread writes: for features with texts so long or many that the loop might stall. */
+    /**
+     * Starts a thread that does all writing from now on. For features that log so much that writing on the event
+     * loop could block it.
+     */
     static synchronized void inBackground() {
         if (writer == null) {
-            writer = new LogWriter(System.err, WAITING_MOST);
+            writer = new LogWriter(System.err, MAX_QUEUED_TEXTS);
             Thread thread = new Thread(writer, "burlarch-log");
             thread.setDaemon(true);
             thread.start();
         }
     }
 
-    /** Writes one line; a flood is cut, so that a fault in every request can't stall the loop. */
+    /**
+     * Writes one line. Lines beyond the rate limit are dropped and counted, so that a fault in every request
+     * cannot block the event loop.
+     */
     public static synchronized void line(String text) {
         long nowNanos = System.nanoTime();
         if (nowNanos - secondStartNanos >= 1_000_000_000L) {
             secondStartNanos = nowNanos;
             if (dropped > 0) {
-                write("burlarch: " + dropped + " lines left out");
+                write("burlarch: " + dropped + " log lines dropped");
             }
-            lines = 0;
+            linesThisSecond = 0;
             dropped = 0;
         }
-        if (lines++ >= LINES_PER_SECOND || !write("burlarch: " + text)) {
+        if (linesThisSecond++ >= LINES_PER_SECOND || !write("burlarch: " + text)) {
             dropped++;
         }
     }
@@ -51,24 +60,25 @@
     }
 
     /**
-     * Writes lines that were asked for, as they are, on the log's thread and whatever else is written.
+     * Queues text for the log's thread, which generates and writes it unchanged. Not subject to the rate limit.
+     * Only valid after {@link #inBackground}.
      *
-     * @return false where they are left out, as too much waits for a reader
+     * @return false if the text was dropped because the queue is full
      */
     public static synchronized boolean block(Supplier<String> text) {
-        boolean taken = writer.offer(text);
-        dropped += taken ? 0 : 1;
-        return taken;
+        boolean queued = writer.offer(text);
+        dropped += queued ? 0 : 1;
+        return queued;
     }
 
-    /** Before the program ends: gives the log's thread so long to write what waits. */
-    static void flush(long mostMs) throws InterruptedException {
+    /** Waits until the log's thread has written everything queued, at most the given time. */
+    static void flush(long timeoutMs) throws InterruptedException {
         LogWriter background;
         synchronized (Log.class) {
             background = writer;
         }
         if (background != null) {
-            background.flush(mostMs);
+            background.flush(timeoutMs);
         }
     }
 }
--- a/proxy/src/main/java/burlarch/proxy/LogWriter.java
+++ b/proxy/src/main/java/burlarch/proxy/LogWriter.java
@@ -7,36 +7,36 @@
 import java.util.function.Supplier;
 
 /**
- * Writes to the log on a thread of its own, each text whole. Guards against a reader of standard error that
- * has stopped reading: whoever writes there then waits, and must not be the loop.
+ * Writes texts to the log on a thread of its own, each in one piece. If the reader of standard error stops
+ * reading, writes to it block; this keeps them from blocking the event loop.
  */
 final class LogWriter implements Runnable {
     private final PrintStream out;
-    private final BlockingQueue<Supplier<String>> waiting;
+    private final BlockingQueue<Supplier<String>> queue;
     private volatile boolean busy;
 
-    LogWriter(PrintStream out, int waitingMost) {
+    LogWriter(PrintStream out, int maxQueued) {
         this.out = out;
-        this.waiting = new LinkedBlockingQueue<>(waitingMost);
+        this.queue = new LinkedBlockingQueue<>(maxQueued);
     }
 
-    /** Leaves a text to be made and written; false where too many wait. */
+    /** Queues a text to be generated and written; returns false if the queue is full. */
     boolean offer(Supplier<String> text) {
-        return waiting.offer(text);
+        return queue.offer(text);
     }
 
     @Override
     public void run() {
         try {
             while (true) {
-                busy = !waiting.isEmpty();
-                Supplier<String> text = waiting.take();
+                busy = !queue.isEmpty();
+                Supplier<String> text = queue.take();
                 busy = true;
                 try {
                     out.print(text.get());
                     out.flush();
                 } catch (RuntimeException e) {
-                    out.println("burlarch: a text for the log failed: " + e);
+                    out.println("burlarch: generating a log text failed: " + e);
                 }
             }
         } catch (InterruptedException e) {
@@ -44,10 +44,11 @@
         }
     }
 
-    /** Returns when all is written, or after that time. */
-    void flush(long mostMs) throws InterruptedException {
+    /** Returns when everything queued has been written, or after the given time. */
+    void flush(long timeoutMs) throws InterruptedException {
         long startNanos = System.nanoTime();
-        while ((busy || !waiting.isEmpty()) && System.nanoTime() - startNanos < TimeUnit.MILLISECONDS.toNanos(mostMs)) {
+        while ((busy || !queue.isEmpty())
+                && System.nanoTime() - startNanos < TimeUnit.MILLISECONDS.toNanos(timeoutMs)) {
             Thread.sleep(1);
         }
     }
--- a/proxy/src/main/java/burlarch/proxy/ProxyConfig.java
+++ b/proxy/src/main/java/burlarch/proxy/ProxyConfig.java
@@ -10,7 +10,16 @@
 import java.nio.file.Path;
 import java.util.Map;
 
-/** What the deployment tells this proxy. */
+/**
+ * Deployment configuration of one proxy, read from the JSON file that EDGE_CONFIG names.
+ *
+ * @param listen address of the plain port
+ * @param discovery address of the discovery service
+ * @param seed seed of the policy's random numbers
+ * @param sockets file descriptors granted by the platform
+ * @param known the servers known at startup, as a list in discovery's format
+ * @param settings settings of the decision policy
+ */
 public record ProxyConfig(
         String name,
         InetSocketAddress listen,
@@ -19,10 +28,10 @@
         int sockets,
         Json known,
         Json settings) {
-    /** Descriptors that the platform grants at least. */
+    /** Minimum number of file descriptors granted by the platform; the default for {@code sockets}. */
     static final int SOCKETS_LEAST = 256;
 
-    /** The configuration is missing or broken; the message is for the operator. */
+    /** The configuration is missing or invalid; the message is meant for the operator. */
     static final class ConfigException extends Exception {
         private static final long serialVersionUID = 1L;
 
@@ -31,6 +40,12 @@
         }
     }
 
+    /**
+     * Reads the file named by EDGE_CONFIG. EDGE_NAME, EDGE_LISTEN and EDGE_DISCOVERY supply fields that the file
+     * lacks.
+     *
+     * @throws ConfigException if the file cannot be read, or a field is missing or invalid
+     */
     static ProxyConfig load(Map<String, String> environment) throws ConfigException {
         String file = environment.get("EDGE_CONFIG");
         if (file == null || file.isEmpty()) {
@@ -46,7 +61,7 @@
         }
         Json settings = json.get("settings");
         if (!settings.isObject() || settings.get("request_classes").items().isEmpty()) {
-            throw new ConfigException(file + ": settings with request_classes are missing");
+            throw new ConfigException(file + ": settings with a non-empty list request_classes are missing");
         }
         return new ProxyConfig(
                 json.get("name").text(environment.getOrDefault("EDGE_NAME", "proxy")),
@@ -58,16 +73,16 @@
                 settings);
     }
 
-    private static InetSocketAddress address(String file, Json json, String field, String otherwise)
+    private static InetSocketAddress address(String file, Json json, String field, String defaultText)
             throws ConfigException {
-        String text = json.get(field).text(otherwise);
+        String text = json.get(field).text(defaultText);
         if (text == null) {
             throw new ConfigException(file + ": " + field + " is missing");
         }
         try {
             return LiteralAddresses.parse(text);
         } catch (IllegalArgumentException e) {
-            throw new ConfigException(file + ": " + field + " is not an address and a port: " + text);
+            throw new ConfigException(file + ": " + field + " must be a literal IP address and a port, not " + text);
         }
     }
 
--- a/proxy/src/main/java/burlarch/proxy/ProxyMain.java
+++ b/proxy/src/main/java/burlarch/proxy/ProxyMain.java
@@ -38,28 +38,36 @@
 import java.util.logging.Logger;
 import sun.misc.Signal;
 
-/** The program: {@code serve} is one real proxy, {@code drill} the decisions on the simulator's wire. */
+/**
+ * Main program of the caching proxy: assembles its components, binds its ports, and handles its signals.
+ *
+ * <p>The subcommand {@code serve} runs one proxy; {@code drill} runs the decision policy alone, driven by the
+ * simulator's protocol on standard input and output. All proxy state is confined to the thread of one event
+ * loop; methods that other threads may call say so.
+ */
 public final class ProxyMain {
-    /** How long a start waits for the agent's list: one that says nothing has nothing to tell. */
-    private static final long FIRST_LIST_MS = 2000;
-    /** What the log's thread may take for its last lines. */
-    private static final long FLUSH_MS = 100;
-    /** As Linux counts them. */
+    /** How long startup waits for discovery's first list before it binds the plain port without one. */
+    private static final long FIRST_LIST_TIMEOUT_MS = 2000;
+    /** Time for the log's thread to write the last lines before the program exits. */
+    private static final long LOG_FLUSH_TIMEOUT_MS = 100;
+    /** Linux signal number. */
     private static final int SIGUSR1 = 10;
 
+    /** Linux signal number. */
     private static final int SIGURG = 23;
 
     /**
-     * Kept, or it would be collected with its level. What Netty warns of is a client's or a node's doing, and
-     * a log line of its kind loads classes and opens files when these may be short.
+     * Netty's logger, limited to severe messages. Netty's warnings are caused by clients or nodes, and writing
+     * one loads classes and opens files at a time when file descriptors may be short. The field keeps a strong
+     * reference, because a logger that is garbage-collected loses its level.
      */
-    private static final Logger NETTY_LOG = Logger.getLogger("io.netty");
+    private static final Logger NETTY_LOGGER = Logger.getLogger("io.netty");
 
     static {
-        // Each allocation would look whether an event of it is wanted, and each hundredth make a stack trace.
+        // Otherwise each allocation checks for a JFR event, and leak detection samples stack traces.
         setDefault("io.netty.jfr.enabled", "false");
         setDefault("io.netty.leakDetection.level", "disabled");
-        // Else Netty looks for loggers that are not there.
+        // Otherwise Netty searches for logging frameworks that are not on the class path.
         InternalLoggerFactory.setDefaultFactory(JdkLoggerFactory.INSTANCE);
     }
 
@@ -68,38 +76,43 @@
     private final EventLoop loop = group.next();
     private final ProxyClock clock = new ProxyClock();
     private final Features features;
-    /** Null where that port is off. */
-    private final TlsPort tls;
-    /** Where requests are recorded; null where they are not. */
+    /** Null if the TLS port is disabled. */
+    private final TlsPort tlsPort;
+    /** File that requests are recorded to; null if recording is disabled. */
     private final TraceRecorder.Sink traceSink;
 
-    private volatile TraceRecorder trace;
+    private volatile TraceRecorder traceRecorder;
     private RequestTable table;
-    private ClientListener clients;
-    /** Null where there is none. */
+    private ClientListener clientListener;
+    /** Null if the hot list is disabled or startup has not created it yet. */
     private volatile HotList hotList;
 
     private volatile StatusPage statusPage;
-    /** Where the ports beside the plain one are bound, by the names of their settings. */
-    private final Map<String, SocketAddress> sidePorts = new ConcurrentHashMap<>();
+    /** Bound address of each port other than the plain one, by the name of its setting. */
+    private final Map<String, SocketAddress> sidePortAddresses = new ConcurrentHashMap<>();
 
-    private MembershipWatch watch;
+    private MembershipWatch membershipWatch;
     private boolean ready;
-    private final AtomicInteger reloads = new AtomicInteger();
-    /** The number of the last that was carried out. */
-    private int lastReload;
-    /** Where that one found discovery, also for a watch that is yet to be made; null before it. */
-    private InetSocketAddress reloadedDiscovery;
+    /** Number of reloads requested so far; numbers them. */
+    private final AtomicInteger reloadCount = new AtomicInteger();
+    /** Number of the latest reload that was applied. */
+    private int lastAppliedReload;
+    /** Discovery address of the latest reload, kept for a watch created later; null before the first reload. */
+    private InetSocketAddress reloadedDiscoveryAddress;
 
-    /** Loads what the features need from files, on the caller's thread. */
+    /**
+     * Loads the files that the features need, such as certificates, on the caller's thread.
+     *
+     * @throws SettingsException if a file is missing or invalid
+     */
     ProxyMain(Features features) throws SettingsException {
         this.features = features;
-        this.tls = features.tls().listen() == null ? null : TlsPort.load(features.tls());
+        this.tlsPort = features.tls().listen() == null ? null : TlsPort.load(features.tls());
         this.traceSink = features.trace().file() == null ? null : TraceRecorder.Sink.create(features.trace());
-        if (features.hotList() != null || tls != null) {
+        if (features.hotList() != null || tlsPort != null) {
             Log.inBackground();
         }
-        NETTY_LOG.setLevel(Level.SEVERE);
+        NETTY_LOGGER.setLevel(Level.SEVERE);
     }
 
     private static void setDefault(String property, String value) {
@@ -108,7 +121,7 @@
         }
     }
 
-    /** Runs the subcommand that the arguments name; exits with 2 where there is no such subcommand. */
+    /** Runs the subcommand named by the first argument; exits with status 2 if the arguments are invalid. */
     public static void main(String[] args) throws IOException, InterruptedException {
         if (args.length == 1 && args[0].equals("drill")) {
             WireHost.main(args);
@@ -117,29 +130,29 @@
         } else if (args.length > 0 && args[0].equals("rehearse") && Features.Arguments.parse(args) != null) {
             rehearse(Features.Arguments.parse(args));
         } else if (args.length > 0 && args[0].equals("hot-list")) {
-            signal(new SignalCommand("hot-list", "USR1", SIGUSR1, "hot list"), args);
+            sendSignal(new SignalCommand("hot-list", "USR1", SIGUSR1, "hot list"), args);
         } else if (args.length > 0 && args[0].equals("tls-reload")) {
-            signal(new SignalCommand("tls-reload", "URG", SIGURG, "TLS port"), args);
+            sendSignal(new SignalCommand("tls-reload", "URG", SIGURG, "TLS port"), args);
         } else {
             System.err.println("usage: burlarch serve [--hot-list] [--config FILE]\n"
-                    + "            (one proxy, set up by EDGE_CONFIG and the operator's FILE)\n"
+                    + "            (runs one proxy, configured by EDGE_CONFIG and the operator's FILE)\n"
                     + "       burlarch rehearse [--hot-list] [--config FILE]\n"
-                    + "            (starts one on loopback and ends: loads what serve needs)\n"
-                    + "       burlarch hot-list --pid PID     (has that proxy write its hot list)\n"
-                    + "       burlarch tls-reload --pid PID   (has it read its certificates again)\n"
+                    + "            (runs a proxy on loopback briefly, to load the classes that serve needs)\n"
+                    + "       burlarch hot-list --pid PID     (makes that proxy write its hot list)\n"
+                    + "       burlarch tls-reload --pid PID   (makes that proxy reload its certificates)\n"
                     + "       burlarch drill   (reads events on standard input, writes actions)");
             System.exit(2);
         }
     }
 
-    private static void signal(SignalCommand command, String[] args) throws IOException, InterruptedException {
-        Optional<String> wrong = command.run(args);
-        if (wrong.isPresent()) {
-            exit(wrong.get());
+    private static void sendSignal(SignalCommand command, String[] args) throws IOException, InterruptedException {
+        Optional<String> error = command.run(args);
+        if (error.isPresent()) {
+            exitWithError(error.get());
         }
     }
 
-    @SuppressWarnings("sunapi") // The only way to SIGHUP, which would end the JVM.
+    @SuppressWarnings("sunapi") // The only way to handle SIGHUP, which otherwise ends the JVM.
     private static void serve(Features.Arguments arguments) throws InterruptedException {
         try {
             ProxyMain main = new ProxyMain(Features.load(arguments));
@@ -148,24 +161,24 @@
             if (main.features.hotList() != null) {
                 Signal.handle(new Signal("USR1"), signal -> main.writeHotList());
             }
-            if (main.tls != null) {
-                // Not SIGUSR2, which is HotSpot's; where nobody takes it, SIGURG does nothing.
+            if (main.tlsPort != null) {
+                // HotSpot uses SIGUSR2 itself. SIGURG has no effect on a process without a handler.
                 Signal.handle(new Signal("URG"), signal -> main.reloadCertificates());
             }
-            // Before the port is bound: from then on requests come, and a SIGTERM would lose them.
+            // Before the port is bound: requests arrive from then on, and a SIGTERM without the hook would lose them.
             Runtime.getRuntime().addShutdownHook(new Thread(main::drain, "burlarch-drain"));
             main.start(config);
         } catch (ProxyConfig.ConfigException | SettingsException e) {
-            exit(e.getMessage());
+            exitWithError(e.getMessage());
         } catch (ExecutionException e) {
-            exit("cannot start: " + e.getCause().getMessage());
+            exitWithError("cannot start: " + e.getCause().getMessage());
         }
     }
 
     /**
-     * Starts a proxy on loopback before stand-ins of its own, has it serve, and ends. The build records the
-     * classes that this loads, and the JVM maps them at each start rather than reading and verifying them
-     * anew.
+     * Runs a proxy on loopback against stand-in servers, serves some requests, and ends. The build archives the
+     * classes that this loads (class data sharing), so that the JVM maps them at each start instead of reading
+     * and verifying them again.
      */
     private static void rehearse(Features.Arguments arguments) throws IOException, InterruptedException {
         try (Rehearsal rehearsal = Rehearsal.open()) {
@@ -175,89 +188,108 @@
             main.writeHotList();
             main.drain();
         } catch (SettingsException e) {
-            exit(e.getMessage());
+            exitWithError(e.getMessage());
         } catch (ExecutionException e) {
-            exit("cannot start: " + e.getCause().getMessage());
+            exitWithError("cannot start: " + e.getCause().getMessage());
         }
     }
 
-    private static void exit(String message) {
+    private static void exitWithError(String message) {
         System.err.println("burlarch: " + message);
         System.exit(1);
     }
 
-    /** Wires the parts on the loop's thread, as the module asks for its first timer while it is made. */
+    /**
+     * Warms up, assembles the components and binds all ports; blocks until the plain port is bound. The
+     * components are created on the event loop's thread, because the policy's constructor requests a timer.
+     *
+     * @return the address that the plain port is bound to
+     */
     SocketAddress start(ProxyConfig config) throws InterruptedException, ExecutionException {
         loop.submit(() -> WarmUp.run(loop, config.settings())).get().get();
-        return loop.submit(() -> wire(config)).get().get();
+        return loop.submit(() -> assemble(config)).get().get();
     }
 
-    private io.netty.util.concurrent.Future<SocketAddress> wire(ProxyConfig config) {
+    private io.netty.util.concurrent.Future<SocketAddress> assemble(ProxyConfig config) {
         SocketShares shares = SocketShares.of(config.sockets());
-        NodePool nodes =
+        NodePool nodePool =
                 new NodePool(loop, clock, Instance.settings(config.settings()).limits(), shares.nodes());
         if (features.multiGet().listen() != null) {
-            nodes.connectOn();
+            nodePool.connectOn();
         }
-        table = new RequestTable(loop, clock, nodes, config.settings(), config.seed());
+        table = new RequestTable(loop, clock, nodePool, config.settings(), config.seed());
         if (features.hotList() != null) {
             hotList = new HotList(features.hotList(), classNames(), clock::nowNanos, loop);
             table.observe(hotList);
         }
         if (traceSink != null) {
-            record();
+            startTraceRecording();
         }
-        watch = new MembershipWatch(
-                loop, clock, reloadedDiscovery == null ? config.discovery() : reloadedDiscovery, table, nodes);
+        membershipWatch = new MembershipWatch(
+                loop,
+                clock,
+                reloadedDiscoveryAddress == null ? config.discovery() : reloadedDiscoveryAddress,
+                table,
+                nodePool);
         if (features.status().port() != null) {
-            StatusBoard board =
+            StatusBoard statusBoard =
                     new StatusBoard(StatusPage.version(), classNames(), clock::nowNanos, System::currentTimeMillis);
-            table.observe(board);
-            watch.observe(board);
-            statusPage = new StatusPage(board, loop);
+            table.observe(statusBoard);
+            membershipWatch.observe(statusBoard);
+            statusPage = new StatusPage(statusBoard, loop);
         }
-        table.onWatchList(watch::start);
-        watch.restore(config.known());
+        table.onWatchList(membershipWatch::start);
+        membershipWatch.restore(config.known());
         if (!table.instance().settings.asksForList()) {
-            watch.start();
+            membershipWatch.start();
         }
-        // Answers that such a time holds up may be too late: the log has to tell why.
-        LoopLag lag = new LoopLag(
+        // Requests delayed by this may miss their deadlines; the log line gives the cause.
+        EventLoopLag eventLoopLag = new EventLoopLag(
                 loop,
                 clock::nowNanos,
-                behindNanos -> Log.line("the loop was " + TimeUnit.NANOSECONDS.toMillis(behindNanos) + " ms behind"));
-        LoadGate gate = null;
+                delayNanos -> Log.line(
+                        "the event loop was blocked for " + TimeUnit.NANOSECONDS.toMillis(delayNanos) + " ms"));
+        LoadGate loadGate = null;
         if (features.ownLoad().on()) {
-            gate = new LoadGate(clock.nowNanos(), LoopLag.BEAT_NANOS, table.instance().settings, lag::nanos);
-            lag.onBeat(gate::beat);
+            loadGate = new LoadGate(
+                    clock.nowNanos(),
+                    EventLoopLag.PROBE_INTERVAL_NANOS,
+                    table.instance().settings,
+                    eventLoopLag::readDelayNanos);
+            eventLoopLag.onProbe(loadGate::beat);
         }
-        clients = new ClientListener(loop, clock, table, () -> ready, lag::nanos, shares.clients());
+        clientListener =
+                new ClientListener(loop, clock, table, () -> ready, eventLoopLag::readDelayNanos, shares.clients());
         io.netty.util.concurrent.Promise<SocketAddress> bound = loop.newPromise();
-        SingleRequests plain = new SingleRequests(clients.reader(), table, gate);
+        SingleRequests plainHandler = new SingleRequests(clientListener.reader(), table, loadGate);
         if (table.instance().settings.asksForList()) {
-            bind(config, plain, bound);
+            bind(config, plainHandler, bound);
         } else {
-            bindWhenListed(config, plain, bound);
+            bindWhenListed(config, plainHandler, bound);
         }
         return bound;
     }
 
-    /** Where lists are pushed, what the agent has counts as told from a process's first moment. */
+    /**
+     * Binds once the first list has arrived or {@link #FIRST_LIST_TIMEOUT_MS} has passed. For modes in which
+     * discovery pushes lists: there, the list held by the agent counts as known from the process's start.
+     */
     private void bindWhenListed(
-            ProxyConfig config, RequestHandler plain, io.netty.util.concurrent.Promise<SocketAddress> bound) {
-        AtomicBoolean begun = new AtomicBoolean();
-        Runnable once = () -> {
-            if (begun.compareAndSet(false, true)) {
-                bind(config, plain, bound);
+            ProxyConfig config, RequestHandler plainHandler, io.netty.util.concurrent.Promise<SocketAddress> bound) {
+        AtomicBoolean bindStarted = new AtomicBoolean();
+        Runnable bindOnce = () -> {
+            if (bindStarted.compareAndSet(false, true)) {
+                bind(config, plainHandler, bound);
             }
         };
-        watch.whenListed(once);
-        loop.schedule(once, FIRST_LIST_MS, TimeUnit.MILLISECONDS);
+        membershipWatch.whenListed(bindOnce);
+        loop.schedule(bindOnce, FIRST_LIST_TIMEOUT_MS, TimeUnit.MILLISECONDS);
     }
 
-    private void bind(ProxyConfig config, RequestHandler plain, io.netty.util.concurrent.Promise<SocketAddress> bound) {
-        bindSidePorts(config.listen().getAddress(), plain, bound);
-        clients.bind(config.listen(), channel -> plain).addListener((ChannelFuture f) -> {
+    private void bind(
+            ProxyConfig config, RequestHandler plainHandler, io.netty.util.concurrent.Promise<SocketAddress> bound) {
+        bindSidePorts(config.listen().getAddress(), plainHandler, bound);
+        clientListener.bind(config.listen(), channel -> plainHandler).addListener((ChannelFuture f) -> {
             if (!f.isSuccess()) {
                 bound.tryFailure(f.cause());
             } else if (bound.trySuccess(f.channel().localAddress())) {
@@ -267,53 +299,63 @@
         });
     }
 
-    private void record() {
+    private void startTraceRecording() {
         try {
-            trace = new TraceRecorder(features.trace(), traceSink, classNames(), clock::nowNanos);
-            table.observe(trace);
+            traceRecorder = new TraceRecorder(features.trace(), traceSink, classNames(), clock::nowNanos);
+            table.observe(traceRecorder);
         } catch (IOException e) {
-            Log.line("no trace: " + e.getMessage());
+            Log.line("requests are not recorded: " + e.getMessage());
         }
     }
 
-    /** Before the plain port, as on the loop one bind ends before the next: it is ready with all or none. */
+    /**
+     * Binds the ports other than the plain one. Called before the plain port is bound: the event loop completes
+     * binds in order, so the proxy becomes ready only if all of them succeeded.
+     */
     private void bindSidePorts(
-            InetAddress host, RequestHandler plain, io.netty.util.concurrent.Promise<SocketAddress> bound) {
+            InetAddress host, RequestHandler plainHandler, io.netty.util.concurrent.Promise<SocketAddress> bound) {
         if (statusPage != null) {
-            InetSocketAddress statusAt =
+            InetSocketAddress statusAddress =
                     new InetSocketAddress(host, features.status().port());
-            sidePort(
+            recordSidePort(
                     "status.listen_port",
-                    statusAt,
-                    statusPage.bind(statusAt, features.status().refreshMs()),
+                    statusAddress,
+                    statusPage.bind(statusAddress, features.status().refreshMs()),
                     bound);
         }
-        InetSocketAddress multiGetAt = features.multiGet().listen();
-        if (tls != null) {
-            tls.start(plain);
-            sidePort(
+        InetSocketAddress multiGetAddress = features.multiGet().listen();
+        if (tlsPort != null) {
+            tlsPort.start(plainHandler);
+            recordSidePort(
                     "tls.listen",
                     features.tls().listen(),
-                    clients.bind(features.tls().listen(), tls),
+                    clientListener.bind(features.tls().listen(), tlsPort),
                     bound);
         }
-        if (multiGetAt != null) {
-            MultiGet multiGet =
-                    new MultiGet(clients.reader(), table, features.multiGet().maxKeys());
-            sidePort("multiget.listen", multiGetAt, clients.bind(multiGetAt, channel -> multiGet), bound);
+        if (multiGetAddress != null) {
+            MultiGet multiGet = new MultiGet(
+                    clientListener.reader(), table, features.multiGet().maxKeys());
+            recordSidePort(
+                    "multiget.listen",
+                    multiGetAddress,
+                    clientListener.bind(multiGetAddress, channel -> multiGet),
+                    bound);
         }
     }
 
-    /** Settles at once where the bind is over, as on the way to the next bind it must be known. */
-    private void sidePort(
+    /**
+     * Records the port's address, or fails the startup if the bind failed. A bind that is already complete is
+     * handled immediately, because its result must be known before the next port is bound.
+     */
+    private void recordSidePort(
             String name,
             SocketAddress address,
             ChannelFuture binding,
             io.netty.util.concurrent.Promise<SocketAddress> bound) {
         if (!binding.isDone()) {
-            binding.addListener(f -> sidePort(name, address, binding, bound));
+            binding.addListener(f -> recordSidePort(name, address, binding, bound));
         } else if (binding.isSuccess()) {
-            sidePorts.put(name, binding.channel().localAddress());
+            sidePortAddresses.put(name, binding.channel().localAddress());
         } else {
             bound.tryFailure(new IOException(
                     name + " " + address + ": " + binding.cause().getMessage()));
@@ -326,71 +368,72 @@
                 .toList();
     }
 
-    /** For tests that keep it busy. */
+    /** Event loop of this proxy, for tests that block it. */
     EventLoop loop() {
         return loop;
     }
 
-    /** Where a port beside the plain one is bound, by the name of its setting. */
+    /** Bound address of a port other than the plain one, or null; {@code name} is the name of its setting. */
     InetSocketAddress sidePort(String name) {
-        return (InetSocketAddress) sidePorts.get(name);
+        return (InetSocketAddress) sidePortAddresses.get(name);
     }
 
     /**
-     * SIGHUP: reads the configuration again, on the caller's thread, and watches the address of discovery
-     * that it names. The rest holds until the next start. Where two come at once, the one read last counts.
+     * Handles SIGHUP: reads the configuration on the caller's thread and watches discovery at the address it
+     * names. All other settings stay as they are until the next start. If reloads overlap, the one requested
+     * last takes effect.
      */
     void reload(Map<String, String> environment) {
-        int number = reloads.incrementAndGet();
+        int number = reloadCount.incrementAndGet();
         try {
             ProxyConfig config = ProxyConfig.load(environment);
             loop.execute(() -> {
-                if (number > lastReload) {
-                    lastReload = number;
-                    Log.line("configuration read again, discovery at " + config.discovery());
-                    reloadedDiscovery = config.discovery();
-                    if (watch != null) {
-                        watch.move(reloadedDiscovery);
+                if (number > lastAppliedReload) {
+                    lastAppliedReload = number;
+                    Log.line("configuration read again, discovery address: " + config.discovery());
+                    reloadedDiscoveryAddress = config.discovery();
+                    if (membershipWatch != null) {
+                        membershipWatch.move(reloadedDiscoveryAddress);
                     }
                 }
             });
         } catch (ProxyConfig.ConfigException e) {
-            Log.line("the configuration stays as it was: " + e.getMessage());
+            Log.line("configuration not reloaded, the previous one stays in force: " + e.getMessage());
         } catch (RejectedExecutionException e) {
-            Log.line("no reload at the end of a drain");
+            Log.line("configuration not reloaded: the proxy is shutting down");
         }
     }
 
-    /** SIGUSR1, which may come before the start is over. */
+    /** Handles SIGUSR1, which may arrive before startup is complete. */
     void writeHotList() {
         if (hotList != null) {
             hotList.write();
         } else {
-            Log.line("no hot list yet");
+            Log.line("hot list not written: the proxy is still starting");
         }
     }
 
-    /** SIGURG, taken only where there is a TLS port. */
+    /** Handles SIGURG; the handler is installed only if the TLS port is enabled. */
     void reloadCertificates() {
-        tls.reloadNow();
+        tlsPort.reloadNow();
     }
 
-    /** How many requests are owed an answer. */
+    /** Number of requests that have not been answered yet. Callable from any thread but the event loop's. */
     int owed() throws InterruptedException, ExecutionException {
         return loop.submit(() -> table.owed()).get();
     }
 
     private void closeServers() {
-        clients.closeServer();
+        clientListener.closeListeners();
         if (statusPage != null) {
             statusPage.closeServer();
         }
     }
 
-    /** Ends at once, with whatever is in hand. */
+    /** Stops immediately, without answering open requests. */
     void stop() {
-        if (tls != null) {
-            tls.close();
+        if (tlsPort != null) {
+            tlsPort.close();
         }
         if (statusPage != null) {
             statusPage.close();
@@ -399,9 +442,9 @@
     }
 
     /**
-     * SIGTERM: goes on serving while what is asked can be answered before the platform kills, then answers
-     * what it holds and ends. Ending sooner would not start the next proxy sooner. The shutdown hook waits
-     * for it, as the process is gone when the hook returns.
+     * Handles SIGTERM: keeps serving while new requests can be answered before the platform kills the process,
+     * then answers the open ones and stops. Stopping sooner would not start the next proxy sooner. Runs on the
+     * thread of the shutdown hook and blocks until done, because the process exits when the hook returns.
      */
     void drain() {
         CountDownLatch drained = new CountDownLatch(1);
@@ -410,32 +453,34 @@
             if (times == null) {
                 return;
             }
-            boolean empty = drained.await(times.killMs(), TimeUnit.MILLISECONDS);
-            Log.line(empty ? "drained" : "ends with connections in hand");
-            if (trace != null) {
-                trace.close();
+            boolean allClosed = drained.await(times.killMs(), TimeUnit.MILLISECONDS);
+            Log.line(allClosed ? "drained" : "exits with connections still open");
+            if (traceRecorder != null) {
+                traceRecorder.close();
             }
             group.shutdownGracefully(0, 100, TimeUnit.MILLISECONDS).await(200, TimeUnit.MILLISECONDS);
-            Log.flush(FLUSH_MS);
+            Log.flush(LOG_FLUSH_TIMEOUT_MS);
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         } catch (ExecutionException e) {
-            Log.line("cannot drain: " + e.getCause());
+            Log.line("drain failed: " + e.getCause());
         }
     }
 
-    /** @return null where no port is bound: nothing is owed */
+    /** @return null if the plain port is not bound, so that there is no request to answer */
     private DrainTimes beginDrain(CountDownLatch drained) {
         if (!ready) {
             return null;
         }
-        DrainTimes times =
-                DrainTimes.of(TimeUnit.NANOSECONDS.toMillis(clients.reader().longestTimeoutNanos()));
-        Log.line("draining, " + table.owed() + " requests in hand");
-        clients.drain(clock.nowNanos() + TimeUnit.MILLISECONDS.toNanos(times.answeredMs()));
+        DrainTimes times = DrainTimes.of(
+                TimeUnit.NANOSECONDS.toMillis(clientListener.reader().longestTimeoutNanos()));
+        Log.line("draining, " + table.owed() + " open requests");
+        clientListener.startDrain(clock.nowNanos() + TimeUnit.MILLISECONDS.toNanos(times.answeredMs()));
         loop.schedule(this::closeServers, times.closeListenersMs(), TimeUnit.MILLISECONDS);
         loop.schedule(
-                () -> clients.endConnections(drained::countDown), times.endConnectionsMs(), TimeUnit.MILLISECONDS);
+                () -> clientListener.closeConnections(drained::countDown),
+                times.endConnectionsMs(),
+                TimeUnit.MILLISECONDS);
         return times;
     }
 }
--- a/proxy/src/main/java/burlarch/proxy/RequestCollector.java
+++ b/proxy/src/main/java/burlarch/proxy/RequestCollector.java
@@ -6,12 +6,13 @@
 import io.netty.handler.codec.http.HttpResponseStatus;
 
 /**
- * Collects a request's body, which may be as long as a node's answers: what was written is read again. What
- * is too large goes on as a {@link Rejection}, answered in its turn.
+ * Aggregates a request and its body. The limit equals that of a node's responses, because a value that was
+ * written is read again. A request that is too large is passed on as a {@link Rejection}, which is answered in
+ * order.
  */
 final class RequestCollector extends BodyCollector {
-    /** The bytes of all bodies that are held, whole or in part: hundreds of half-sent ones fill memory. */
-    static final int HELD_MOST = 4 << 20;
+    /** Limit for all request bodies held, complete or partial; hundreds of partial ones would exhaust memory. */
+    static final int MAX_HELD_BYTES = 4 << 20;
 
     RequestCollector(BodyBudget budget) {
         super(budget);
@@ -24,7 +25,7 @@
 
     @Override
     protected Object newContinueResponse(HttpMessage start, int maxContentLength, ChannelPipeline pipeline) {
-        // Too large a body has its turn to be answered like any other.
+        // A body that is too large is answered in order, like any other request.
         return isContentLengthInvalid(start, maxContentLength)
                 ? null
                 : super.newContinueResponse(start, maxContentLength, pipeline);
--- a/proxy/src/main/java/burlarch/proxy/RequestDecoder.java
+++ b/proxy/src/main/java/burlarch/proxy/RequestDecoder.java
@@ -4,11 +4,11 @@
 import io.netty.handler.codec.http.HttpDecoderConfig;
 import io.netty.handler.codec.http.HttpRequestDecoder;
 
-/** Reads clients' requests strictly, and tells whether a part of one is waiting for its rest. */
+/** Decodes client requests with strict RFC 9112 framing, and tracks when a partial request began to arrive. */
 final class RequestDecoder extends HttpRequestDecoder {
     private final ProxyClock clock;
-    /** When the part that waits began to come; 0 while there is none. */
-    private long partSinceNanos;
+    /** When the current partial request head or chunk began to arrive; 0 if there is none. */
+    private long partialSinceNanos;
 
     RequestDecoder(ProxyClock clock) {
         super(new HttpDecoderConfig().setUseRfc9112TransferEncoding(true));
@@ -19,14 +19,14 @@
     public void channelRead(ChannelHandlerContext context, Object message) throws Exception {
         super.channelRead(context, message);
         if (actualReadableBytes() == 0) {
-            partSinceNanos = 0;
-        } else if (partSinceNanos == 0) {
-            partSinceNanos = clock.nowNanos();
+            partialSinceNanos = 0;
+        } else if (partialSinceNanos == 0) {
+            partialSinceNanos = clock.nowNanos();
         }
     }
 
-    /** @param otherwise where no part of a head or chunk waits */
-    long partSinceNanos(long otherwise) {
-        return partSinceNanos == 0 ? otherwise : partSinceNanos;
+    /** When the current partial request head or chunk began to arrive, or {@code defaultNanos} if there is none. */
+    long partialSinceNanos(long defaultNanos) {
+        return partialSinceNanos == 0 ? defaultNanos : partialSinceNanos;
     }
 }
--- a/proxy/src/main/java/burlarch/proxy/RequestHandler.java
+++ b/proxy/src/main/java/burlarch/proxy/RequestHandler.java
@@ -6,28 +6,30 @@
 import io.netty.handler.codec.http.FullHttpRequest;
 import io.netty.handler.codec.http.HttpHeaders;
 
-/** Takes what comes on one of the clients' ports, on the loop. */
+/** Handles the requests received on one of the client ports. Called on the event loop's thread. */
 public interface RequestHandler {
-    /** The client's side of one request: exactly one of its calls is made, and only once. */
+    /** Sends the response to one request. Exactly one of the methods is called, exactly once. */
     interface Reply extends RequestTable.Exchange {
-        /** Answers 200 with a body of the port's own; the future tells when it has been written. */
+        /** Answers 200 with headers and a body specific to the port; the future completes when it has been written. */
         ChannelFuture answer(HttpHeaders headers, ByteBuf body);
     }
 
-    /** One of the clients' ports. */
+    /** A client port; supplies the handler for each of its connections. */
     interface Port {
-        /** Puts what the port has there before a new connection's HTTP; returns who takes its requests. */
+        /** Adds the port's own channel handlers, such as TLS, to a new connection; returns its request handler. */
         RequestHandler open(Channel channel);
     }
 
-    /** The methods that the port takes, for the answer 405. */
+    /** The HTTP methods that the port supports, for the Allow header of a 405 response. */
     String allow();
 
     /**
-     * The request is the caller's and holds only for the call. The reply may be made within it.
+     * Handles one request. The caller owns the request and releases it after the call. The reply may be sent
+     * during the call or later.
      *
-     * @param readNanos when it was read: its time runs from there, not from its turn behind another
-     * @return gives the request up, for a client that leaves before the reply
+     * @param readNanos when the request was read; its timeout counts from then, even if it waited in a pipeline
+     * @return abandons the request; called if the client disconnects before the reply
+     * @throws Rejection if the request is invalid; no reply has been sent then
      */
     Runnable handle(FullHttpRequest request, long readNanos, Reply reply) throws Rejection;
 }
--- a/proxy/src/main/java/burlarch/proxy/RequestReader.java
+++ b/proxy/src/main/java/burlarch/proxy/RequestReader.java
@@ -15,37 +15,42 @@
 import java.util.concurrent.TimeUnit;
 import java.util.function.LongSupplier;
 
-/** Makes of a client's request what the module is told, or says what is wrong with it. */
+/** Validates client requests and converts them to the form that the request table takes. */
 public final class RequestReader {
     /**
-     * Kept between the module's deadline and the client's: the answer has to be back before the client's time
-     * is up, and that runs from its sending, before we read it.
+     * Margin between the policy's deadline and the client's. The response must reach the client before its
+     * timeout, which counts from when it sent the request, not from when the proxy read it.
      */
     static final long DEADLINE_MARGIN_NANOS = TimeUnit.MILLISECONDS.toNanos(15);
 
     private final ProxyClock clock;
     private final Instance instance;
-    private final LongSupplier lag;
-    /** The longest time that a client has given a request. */
+    private final LongSupplier readDelayNanos;
+    /** The longest timeout that a client has given a request so far. */
     private long longestTimeoutNanos;
-    /** When every request has to be answered, at the end of a drain. */
-    private long endNanos = Long.MAX_VALUE;
+    /** Deadline of all requests at the end of a drain; {@code Long.MAX_VALUE} while not draining. */
+    private long drainDeadlineNanos = Long.MAX_VALUE;
 
-    RequestReader(ProxyClock clock, Instance instance, LongSupplier lag) {
+    RequestReader(ProxyClock clock, Instance instance, LongSupplier readDelayNanos) {
         this.clock = clock;
         this.instance = instance;
-        this.lag = lag;
+        this.readDelayNanos = readDelayNanos;
     }
 
     long longestTimeoutNanos() {
         return longestTimeoutNanos;
     }
 
-    void endAt(long nanos) {
-        endNanos = nanos;
+    /** Limits the deadline of every request read from now on. */
+    void limitDeadlines(long deadlineNanos) {
+        drainDeadlineNanos = deadlineNanos;
     }
 
-    /** What can't be read as one request for certain. Its connection is of no further use. */
+    /**
+     * Checks that the message was decoded and has unambiguous framing.
+     *
+     * @throws Rejection otherwise; the connection must be closed then, as the start of the next request is unknown
+     */
     static void checkFraming(FullHttpRequest request) throws Rejection {
         DecoderResult result = request.decoderResult();
         if (result.isFailure()) {
@@ -54,7 +59,7 @@
                             ? HttpResponseStatus.REQUEST_HEADER_FIELDS_TOO_LARGE
                             : HttpResponseStatus.BAD_REQUEST);
         }
-        // A body that two readers delimit differently may hide another request.
+        // Request smuggling: a body that two implementations delimit differently may contain another request.
         List<String> encodings = request.headers().getAll(HttpHeaderNames.TRANSFER_ENCODING);
         if (encodings.size() > 1
                 || encodings.size() == 1 && !HttpHeaderValues.CHUNKED.contentEqualsIgnoreCase(encodings.get(0))) {
@@ -62,16 +67,21 @@
         }
     }
 
-    /** @param readNanos when it was read: its time runs from there */
+    /**
+     * Validates a request and computes its deadline.
+     *
+     * @param readNanos when the request was read; its timeout counts from then
+     * @throws Rejection if the path, the method or a header is invalid
+     */
     public RequestTable.Arrival arrival(FullHttpRequest request, long readNanos) throws Rejection {
-        String path = path(request.uri());
+        String path = pathOf(request.uri());
         int classEnd = path.indexOf('/', 1);
         String className = !path.startsWith("/") ? "" : path.substring(1, classEnd < 0 ? path.length() : classEnd);
         String key = classEnd < 0 ? "" : path.substring(path.lastIndexOf('/') + 1);
-        String stated = request.headers().get(Headers.CLASS);
+        String headerClassName = request.headers().get(Headers.CLASS);
         int requestClass = Instance.number(instance.classes, className);
-        // The class stands in the header and in the path: a path that is not the class's is none of ours.
-        if (requestClass < 0 || stated != null && !className.equals(stated)) {
+        // The class is given in the path and, optionally, in a header. If they differ, the path does not exist.
+        if (requestClass < 0 || headerClassName != null && !className.equals(headerClassName)) {
             throw new Rejection(HttpResponseStatus.NOT_FOUND);
         }
         HttpMethod method = request.method();
@@ -81,24 +91,26 @@
         String tenant = request.headers().get(Headers.TENANT);
         String requestId = request.headers().get(Headers.REQUEST_ID);
         String idempotencyKey = request.headers().get(Headers.IDEMPOTENCY_KEY);
-        boolean needsKey = method.equals(HttpMethod.PUT)
+        boolean needsIdempotencyKey = method.equals(HttpMethod.PUT)
                 && instance.settings.classes().get(requestClass).repeat() == Repeat.TOKEN;
-        if (requestId == null || requestId.isBlank() || needsKey && idempotencyKey == null) {
+        if (requestId == null || requestId.isBlank() || needsIdempotencyKey && idempotencyKey == null) {
             throw new Rejection(HttpResponseStatus.BAD_REQUEST);
         }
-        long timeoutMs = number(request, Headers.TIMEOUT_MS, -1);
-        long costMicros = number(request, Headers.COST, 0);
+        long timeoutMs = parseNumber(request, Headers.TIMEOUT_MS, -1);
+        long costMicros = parseNumber(request, Headers.COST, 0);
         if (timeoutMs <= 0) {
             throw new Rejection(HttpResponseStatus.BAD_REQUEST);
         }
-        // Nobody waits longer than the class's deadline, whatever a client says.
+        // A client cannot extend the timeout beyond its class's deadline.
         long timeoutNanos =
                 Math.min(TimeUnit.MILLISECONDS.toNanos(timeoutMs), instance.deadlinesNanos.get(requestClass));
         longestTimeoutNanos = Math.max(longestTimeoutNanos, timeoutNanos);
-        // A loop that is behind has read the request late, and will be late with the answer.
+        // An event loop that lags has read the request late and will send the response late.
         long deadlineNanos = Math.min(
-                endNanos,
-                readNanos + timeoutNanos - Math.min(DEADLINE_MARGIN_NANOS + 2 * lag.getAsLong(), timeoutNanos / 2));
+                drainDeadlineNanos,
+                readNanos
+                        + timeoutNanos
+                        - Math.min(DEADLINE_MARGIN_NANOS + 2 * readDelayNanos.getAsLong(), timeoutNanos / 2));
         return new RequestTable.Arrival(
                 requestClass,
                 Instance.number(instance.tenants, tenant),
@@ -113,22 +125,22 @@
                 (int) timeoutMs);
     }
 
-    /** Whether the settings have a class of that name whose requests may be repeated freely. */
+    /** Whether the settings have a class of that name whose requests have no side effects and may be repeated. */
     public boolean isPure(String className) {
         int requestClass = Instance.number(instance.classes, className);
         return requestClass >= 0
                 && instance.settings.classes().get(requestClass).repeat() == Repeat.PURE;
     }
 
-    /** Whether the request's time is over for the module, which ends it a quantum before its deadline. */
+    /** Whether the policy regards the request as expired, which it does one time quantum before the deadline. */
     public boolean timeIsUp(RequestTable.Arrival arrival) {
         return clock.nowNanos() >= arrival.deadlineNanos() - instance.settings.quantumNanos();
     }
 
-    private static long number(FullHttpRequest request, CharSequence header, long otherwise) throws Rejection {
+    private static long parseNumber(FullHttpRequest request, CharSequence header, long defaultNumber) throws Rejection {
         String text = request.headers().get(header);
         if (text == null) {
-            return otherwise;
+            return defaultNumber;
         }
         if (text.isEmpty() || text.length() > 9) {
             throw new Rejection(HttpResponseStatus.BAD_REQUEST);
@@ -144,8 +156,8 @@
         return number;
     }
 
-    /** What stands before a query or a fragment. */
-    private static String path(String uri) {
+    /** The part of the URI before a query or a fragment. */
+    private static String pathOf(String uri) {
         for (int i = 0; i < uri.length(); i++) {
             char c = uri.charAt(i);
             if (c == '?' || c == '#') {
--- a/proxy/src/main/java/burlarch/proxy/SingleRequests.java
+++ b/proxy/src/main/java/burlarch/proxy/SingleRequests.java
@@ -4,17 +4,17 @@
 import io.netty.handler.codec.http.FullHttpRequest;
 import io.netty.handler.codec.http.HttpResponseStatus;
 
-/** The plain port: each request is one of the table's. */
+/** Request handler of the plain port: passes each client request to the request table as one request. */
 final class SingleRequests implements RequestHandler {
     private final RequestReader reader;
     private final RequestTable table;
-    /** Null where that is off. */
-    private final LoadGate gate;
+    /** Sheds requests when the proxy itself is overloaded; null if that feature is disabled. */
+    private final LoadGate loadGate;
 
-    SingleRequests(RequestReader reader, RequestTable table, LoadGate gate) {
+    SingleRequests(RequestReader reader, RequestTable table, LoadGate loadGate) {
         this.reader = reader;
         this.table = table;
-        this.gate = gate;
+        this.loadGate = loadGate;
     }
 
     @Override
@@ -28,8 +28,8 @@
         if (table.isOpen(arrival.upstream().requestId())) {
             throw new Rejection(HttpResponseStatus.CONFLICT);
         }
-        if (gate != null && !gate.admits(arrival)) {
-            reply.refused(gate.retryAfterNanos(), false);
+        if (loadGate != null && !loadGate.admits(arrival)) {
+            reply.refused(loadGate.retryAfterNanos(), false);
             return () -> {};
         }
         if (!table.hasRoomFor(arrival)) {
--- a/proxy/src/main/java/burlarch/proxy/SocketShares.java
+++ b/proxy/src/main/java/burlarch/proxy/SocketShares.java
@@ -1,14 +1,22 @@
 package burlarch.proxy;
 
 /**
- * How the descriptors that the platform grants are shared out. Without a reserve, an accept, a connect or a
- * class that the JVM opens a file for fails where one fails first, and may end the program.
+ * Division of the file descriptors granted by the platform between client and node connections. Without a
+ * reserve, an accept, a connect or the opening of a class file by the JVM could fail and end the program.
+ *
+ * @param clients maximum number of client connections
+ * @param nodes maximum number of node connections
  */
 record SocketShares(int clients, int nodes) {
-    /** The JVM's files, the listener, discovery's old and new watch, and a burst of accepts to turn away. */
+    /** For the JVM's files, the listeners, discovery's old and new watch, and accepted connections to be rejected. */
     private static final int RESERVE = 56;
 
-    /** Nodes get less: a client's request holds one of each, and a kept client connection none. */
+    /**
+     * Nodes get fewer than clients: an open request needs a connection on each side, an idle client connection
+     * none to a node.
+     *
+     * @param sockets file descriptors granted by the platform
+     */
     static SocketShares of(int sockets) {
         int shared = Math.max(2, sockets - RESERVE);
         int clients = Math.max(1, shared * 11 / 20);
