--- a/proxy/src/main/java/burlarch/wire/Instance.java
+++ b/proxy/src/main/java/burlarch/wire/Instance.java
@@ -14,7 +14,10 @@
 import java.util.List;
 import java.util.Map;
 
-/** One instance of the module with the names that its settings give to numbers. */
+/**
+ * One instance of the decision policy, together with the numbers that its settings assign to names: a name's
+ * number is its index in the settings' list.
+ */
 public final class Instance {
     private static final long SECOND_NANOS = 1_000_000_000L;
 
@@ -23,11 +26,12 @@
     public final Map<String, Integer> zones;
     public final Map<String, Integer> models;
     public final Settings settings;
-    /** By class, how long a client may wait at most, with all its tries. */
+    /** By class, the longest time that a client may wait for a request, including all its retries. */
     public final List<Long> deadlinesNanos;
 
     public final Policy policy;
 
+    /** Creates the policy from settings in the simulator's format. */
     public Instance(Json config, long seed, Api.Actions actions) {
         classes = index(names(config.get("request_classes")));
         tenants = index(names(config.get("tenants")));
@@ -40,17 +44,17 @@
         policy = new Policy(settings, seed, actions);
     }
 
-    /** The number of a name, {@link Api#UNKNOWN} of one that the settings do not have. */
+    /** The number of a name, or {@link Api#UNKNOWN} if the settings do not contain it or it is null. */
     public static int number(Map<String, Integer> index, String name) {
         Integer number = name == null ? null : index.get(name);
         return number == null ? Api.UNKNOWN : number;
     }
 
-    /** The settings as the simulator's first message or a proxy's configuration has them. */
+    /** Reads settings in the format of the simulator's INIT event and of a proxy's configuration. */
     public static Settings settings(Json config) {
         Json limits = config.get("limits");
         Json charges = config.get("charges");
-        Json rules = config.get("obligations");
+        Json obligations = config.get("obligations");
         return new Settings(
                 (int) Math.max(1, config.get("replicas_of_me").integer(1)),
                 config.get("membership_mode").text("").equals("on_request"),
@@ -68,11 +72,11 @@
                         charges.get("handshake").number(0),
                         charges.get("connection").number(0)),
                 new Obligations(
-                        rules.get("cold_from").number(0.1),
-                        rules.get("cold_ns").integer(30 * SECOND_NANOS),
-                        rules.get("fall_multiple").number(2),
-                        Math.max(1, rules.get("fall_ns").integer(SECOND_NANOS)),
-                        Math.max(2, rules.get("must_ask_in_ns").integer(10 * SECOND_NANOS))),
+                        obligations.get("cold_from").number(0.1),
+                        obligations.get("cold_ns").integer(30 * SECOND_NANOS),
+                        obligations.get("fall_multiple").number(2),
+                        Math.max(1, obligations.get("fall_ns").integer(SECOND_NANOS)),
+                        Math.max(2, obligations.get("must_ask_in_ns").integer(10 * SECOND_NANOS))),
                 config.get("request_classes").items().stream()
                         .map(Instance::requestClass)
                         .toList(),
--- a/proxy/src/main/java/burlarch/wire/Json.java
+++ b/proxy/src/main/java/burlarch/wire/Json.java
@@ -9,7 +9,10 @@
 import java.util.List;
 import java.util.Map;
 
-/** A small tree for settings and list rows; every getter tolerates what is missing or odd. */
+/**
+ * Immutable JSON tree with lenient accessors: a value that is missing or of another type reads as the given
+ * default.
+ */
 public final class Json {
     private static final JsonFactory FACTORY = new JsonFactory();
 
@@ -19,16 +22,20 @@
         this.value = value;
     }
 
-    /** Reads the value that the parser stands on. */
+    /** Reads the value at the parser's current token. */
     static Json read(JsonParser parser) throws IOException {
-        return new Json(tree(parser));
+        return new Json(readTree(parser));
     }
 
-    /** Reads a text that holds one object and nothing else. */
+    /**
+     * Parses a UTF-8 text that consists of exactly one object.
+     *
+     * @throws IOException if the text is malformed or is anything else
+     */
     public static Json parse(byte[] text) throws IOException {
         try (JsonParser parser = FACTORY.createParser(text)) {
             if (parser.nextToken() != JsonToken.START_OBJECT) {
-                throw new IOException("not a JSON object");
+                throw new IOException("text is not a JSON object");
             }
             Json json = read(parser);
             if (parser.nextToken() != null) {
@@ -38,21 +45,21 @@
         }
     }
 
-    private static Object tree(JsonParser parser) throws IOException {
+    private static Object readTree(JsonParser parser) throws IOException {
         switch (parser.currentToken()) {
             case START_OBJECT -> {
                 Map<String, Object> map = new LinkedHashMap<>();
                 while (parser.nextToken() != JsonToken.END_OBJECT) {
                     String name = parser.currentName();
                     parser.nextToken();
-                    map.put(name, tree(parser));
+                    map.put(name, readTree(parser));
                 }
                 return map;
             }
             case START_ARRAY -> {
                 List<Object> list = new ArrayList<>();
                 while (parser.nextToken() != JsonToken.END_ARRAY) {
-                    list.add(tree(parser));
+                    list.add(readTree(parser));
                 }
                 return list;
             }
@@ -74,10 +81,12 @@
         }
     }
 
+    /** The field of an object; an empty value if this is not an object or lacks the field. */
     public Json get(String name) {
         return new Json(value instanceof Map<?, ?> map ? map.get(name) : null);
     }
 
+    /** The elements of an array; empty if this is not an array. */
     public List<Json> items() {
         return value instanceof List<?> list ? list.stream().map(Json::new).toList() : List.of();
     }
@@ -90,19 +99,19 @@
         return value instanceof Map<?, ?>;
     }
 
-    public double number(double otherwise) {
-        return value instanceof Number n ? n.doubleValue() : otherwise;
+    public double number(double defaultValue) {
+        return value instanceof Number n ? n.doubleValue() : defaultValue;
     }
 
-    public long integer(long otherwise) {
-        return value instanceof Number n ? n.longValue() : otherwise;
+    public long integer(long defaultValue) {
+        return value instanceof Number n ? n.longValue() : defaultValue;
     }
 
-    public boolean flag(boolean otherwise) {
-        return value instanceof Boolean b ? b : otherwise;
+    public boolean flag(boolean defaultValue) {
+        return value instanceof Boolean b ? b : defaultValue;
     }
 
-    public String text(String otherwise) {
-        return value instanceof String s ? s : otherwise;
+    public String text(String defaultValue) {
+        return value instanceof String s ? s : defaultValue;
     }
 }
--- a/proxy/src/main/java/burlarch/wire/ReplyWriter.java
+++ b/proxy/src/main/java/burlarch/wire/ReplyWriter.java
@@ -5,29 +5,29 @@
 import java.io.IOException;
 import java.io.UncheckedIOException;
 
-/** Writes the actions of one instance into the reply that is being written. */
+/** Writes the actions of one policy instance to the adapter's output, in the simulator's format. */
 final class ReplyWriter implements Api.Actions {
-    private final JsonGenerator out;
-    private final int who;
+    private final JsonGenerator generator;
+    private final int instanceNumber;
 
-    ReplyWriter(JsonGenerator out, int who) {
-        this.out = out;
-        this.who = who;
+    ReplyWriter(JsonGenerator generator, int instanceNumber) {
+        this.generator = generator;
+        this.instanceNumber = instanceNumber;
     }
 
     @FunctionalInterface
-    private interface Fields {
+    private interface FieldWriter {
         void write() throws IOException;
     }
 
-    private void action(String name, Fields fields) {
+    private void writeAction(String name, FieldWriter fieldWriter) {
         try {
-            out.writeStartObject();
-            out.writeObjectFieldStart(name);
-            out.writeNumberField("who", who);
-            fields.write();
-            out.writeEndObject();
-            out.writeEndObject();
+            generator.writeStartObject();
+            generator.writeObjectFieldStart(name);
+            generator.writeNumberField("who", instanceNumber);
+            fieldWriter.write();
+            generator.writeEndObject();
+            generator.writeEndObject();
         } catch (IOException e) {
             throw new UncheckedIOException(e);
         }
@@ -35,64 +35,65 @@
 
     @Override
     public void send(long request, long server, long abandonAtNanos) {
-        action("HAND_OFF", () -> {
-            out.writeNumberField("ref", request);
-            out.writeNumberField("node", server);
-            out.writeNumberField("abandon_at_ns", abandonAtNanos);
+        writeAction("HAND_OFF", () -> {
+            generator.writeNumberField("ref", request);
+            generator.writeNumberField("node", server);
+            generator.writeNumberField("abandon_at_ns", abandonAtNanos);
         });
     }
 
     @Override
     public void cancel(long request, int attempt) {
-        action("CALL_OFF", () -> {
-            out.writeNumberField("ref", request);
-            out.writeNumberField("hop", attempt);
+        writeAction("CALL_OFF", () -> {
+            generator.writeNumberField("ref", request);
+            generator.writeNumberField("hop", attempt);
         });
     }
 
     @Override
     public void refuse(long request, long retryAfterNanos) {
-        action("REFUSE", () -> {
-            out.writeNumberField("ref", request);
+        writeAction("REFUSE", () -> {
+            generator.writeNumberField("ref", request);
             if (retryAfterNanos > 0) {
-                out.writeNumberField("come_back_ns", retryAfterNanos);
+                generator.writeNumberField("come_back_ns", retryAfterNanos);
             }
         });
     }
 
     @Override
     public void fail(long request) {
-        action("ABORT", () -> out.writeNumberField("ref", request));
+        writeAction("ABORT", () -> generator.writeNumberField("ref", request));
     }
 
     @Override
     public void timer(long spanNanos, long token) {
-        action("SLEEP", () -> {
-            out.writeNumberField("span_ns", spanNanos);
-            out.writeStringField("token", Long.toString(token));
+        writeAction("SLEEP", () -> {
+            generator.writeNumberField("span_ns", spanNanos);
+            generator.writeStringField("token", Long.toString(token));
         });
     }
 
-    /** The simulator's wire has no such action: its connections close as they do. */
+    /** Does nothing: the simulator's protocol has no such action, the simulator decides when connections close. */
     @Override
     public void trim(long server, long idleNanos) {}
 
     @Override
     public void letGo(long server) {
-        action("LET_GO", () -> out.writeNumberField("node", server));
+        writeAction("LET_GO", () -> generator.writeNumberField("node", server));
     }
 
     @Override
     public void watchList() {
-        action("OBSERVE", () -> out.writeBooleanField("on", true));
+        writeAction("OBSERVE", () -> generator.writeBooleanField("on", true));
     }
 
     @Override
     public void log(String text) {
-        action("DEBUG", () -> out.writeStringField("note_text", text));
+        writeAction("DEBUG", () -> generator.writeStringField("note_text", text));
     }
 
+    /** Reports a failure of the instance or of the adapter. */
     void panic(String text) {
-        action("PANIC", () -> out.writeStringField("note_text", text));
+        writeAction("PANIC", () -> generator.writeStringField("note_text", text));
     }
 }
--- a/proxy/src/main/java/burlarch/wire/WireHost.java
+++ b/proxy/src/main/java/burlarch/wire/WireHost.java
@@ -21,53 +21,64 @@
 import java.util.List;
 import java.util.Map;
 
-/** Hosts many instances of the module on the wire: a line of events in, a line of actions out. */
+/**
+ * Adapter between the simulator and the decision policy. Hosts any number of policy instances; for each line of
+ * events (a batch, one JSON object) it writes one line with the actions that they cause. Single-threaded.
+ */
 public final class WireHost {
-    private static final int KNOWN_WORK = 1;
-    private static final int WRITE = 4;
+    /** Bit of {@code state_bits}: the request's {@code effort_ns} is known. */
+    private static final int KNOWN_WORK_BIT = 1;
+    /** Bit of {@code state_bits}: the request is a write. */
+    private static final int WRITE_BIT = 4;
 
+    /** Policy instances by their number on the wire. */
     private final Map<Integer, Instance> instances = new HashMap<>();
-    private final Map<Integer, List<ListedServer>> tables = new HashMap<>();
+    /** Server lists by their table number. */
+    private final Map<Integer, List<ListedServer>> serverTables = new HashMap<>();
+
     private final Event event = new Event();
 
-    /** A list entry with the wire's names: each instance numbers them by its own settings. */
+    /** An entry of a server list. Model and zone are names; each instance maps them to numbers by its settings. */
     private record ListedServer(
             long id, long bootNanos, double size, int cell, Stage stage, String model, String zone) {}
 
-    /** The fields of the event being read; only those that its kind has are set. */
+    /** Fields of the event being read; those that the event lacks have their default values. */
     private static final class Event {
-        int who;
-        long ref;
-        long node;
+        int instanceNumber;
+        long requestId;
+        long serverId;
         long deadlineNanos;
         long workNanos;
         long elapsedNanos;
         long seed;
-        int bits;
-        int table;
+        int stateBits;
+        int tableNumber;
         int attempt;
         boolean complete;
-        String profile;
+        String requestClassName;
         String tenant;
         String key;
         String kind;
-        String code;
+        String outcomeCode;
         String token;
         Json config;
-        List<ListedServer> rows;
+        List<ListedServer> listedServers;
 
         void clear() {
-            who = -1;
-            ref = node = deadlineNanos = workNanos = elapsedNanos = seed = 0;
-            bits = table = attempt = 0;
+            instanceNumber = -1;
+            requestId = serverId = deadlineNanos = workNanos = elapsedNanos = seed = 0;
+            stateBits = tableNumber = attempt = 0;
             complete = false;
-            profile = tenant = key = kind = code = token = null;
+            requestClassName = tenant = key = kind = outcomeCode = token = null;
             config = null;
-            rows = null;
+            listedServers = null;
         }
     }
 
-    /** Serves the simulator until its input ends; exits with 2 on wrong arguments. */
+    /**
+     * Runs the adapter on standard input and output until the input ends. Exits with status 2 if the arguments
+     * are wrong and with 1 if the input violates the protocol.
+     */
     public static void main(String[] args) throws IOException {
         if (args.length != 1 || !args[0].equals("drill")) {
             System.err.println("usage: burlarch drill   (reads events on standard input, writes actions)");
@@ -81,7 +92,7 @@
         }
     }
 
-    /** What arrived does not follow the wire. */
+    /** The input violates the protocol. */
     static final class WireException extends IOException {
         private static final long serialVersionUID = 1L;
 
@@ -90,26 +101,26 @@
         }
     }
 
-    /** Answers batches until the input ends. */
+    /** Processes batches until the input ends, and flushes the output after each. */
     void run(InputStream input, OutputStream output) throws IOException {
         JsonFactory factory = JsonFactory.builder().build();
         OutputStream buffered = new BufferedOutputStream(output, 1 << 16);
-        try (JsonParser in = factory.createParser(input);
-                JsonGenerator out = factory.createGenerator(buffered)) {
-            out.setRootValueSeparator(null);
-            while (nextBatch(in)) {
-                batch(in, out);
-                out.writeRaw('\n');
-                out.flush();
+        try (JsonParser parser = factory.createParser(input);
+                JsonGenerator generator = factory.createGenerator(buffered)) {
+            generator.setRootValueSeparator(null);
+            while (readBatchStart(parser)) {
+                handleBatch(parser, generator);
+                generator.writeRaw('\n');
+                generator.flush();
             }
         }
     }
 
-    private static boolean nextBatch(JsonParser in) throws IOException {
+    private static boolean readBatchStart(JsonParser parser) throws IOException {
         try {
-            JsonToken token = in.nextToken();
+            JsonToken token = parser.nextToken();
             if (token != null && token != JsonToken.START_OBJECT) {
-                throw new IOException("a batch is an object, not " + token);
+                throw new IOException("batch must be an object, not " + token);
             }
             return token != null;
         } catch (IOException e) {
@@ -117,93 +128,94 @@
         }
     }
 
-    private void batch(JsonParser in, JsonGenerator out) throws IOException {
-        out.writeStartObject();
-        out.writeArrayFieldStart("decisions");
+    private void handleBatch(JsonParser parser, JsonGenerator generator) throws IOException {
+        generator.writeStartObject();
+        generator.writeArrayFieldStart("decisions");
         long nowNanos = 0;
-        String name = "batch";
+        String eventName = "batch";
         try {
-            while (in.nextToken() != JsonToken.END_OBJECT) {
-                String field = in.currentName();
-                JsonToken value = in.nextToken();
+            while (parser.nextToken() != JsonToken.END_OBJECT) {
+                String field = parser.currentName();
+                JsonToken value = parser.nextToken();
                 if (field.equals("clock_ns")) {
-                    nowNanos = in.getLongValue();
+                    nowNanos = parser.getLongValue();
                 } else if (field.equals("happened") && value == JsonToken.START_ARRAY) {
-                    while (in.nextToken() != JsonToken.END_ARRAY) {
-                        in.nextToken();
-                        name = in.currentName();
-                        in.nextToken();
+                    while (parser.nextToken() != JsonToken.END_ARRAY) {
+                        parser.nextToken();
+                        eventName = parser.currentName();
+                        parser.nextToken();
                         event.clear();
-                        readFields(in);
-                        in.nextToken();
-                        handle(name, nowNanos, out);
+                        readFields(parser);
+                        parser.nextToken();
+                        handle(eventName, nowNanos, generator);
                     }
                 } else {
-                    in.skipChildren();
+                    parser.skipChildren();
                 }
             }
         } catch (IOException e) {
-            throw new WireException("instance " + event.who + ", event " + name + ": " + e.getMessage(), e);
+            throw new WireException(
+                    "instance " + event.instanceNumber + ", event " + eventName + ": " + e.getMessage(), e);
         }
-        out.writeEndArray();
-        out.writeEndObject();
+        generator.writeEndArray();
+        generator.writeEndObject();
     }
 
-    private void readFields(JsonParser in) throws IOException {
-        if (in.currentToken() != JsonToken.START_OBJECT) {
-            throw new IOException("fields of an event are an object");
+    private void readFields(JsonParser parser) throws IOException {
+        if (parser.currentToken() != JsonToken.START_OBJECT) {
+            throw new IOException("fields of an event must be an object");
         }
-        while (in.nextToken() != JsonToken.END_OBJECT) {
-            String field = in.currentName();
-            if (in.nextToken() == JsonToken.VALUE_NULL) {
+        while (parser.nextToken() != JsonToken.END_OBJECT) {
+            String field = parser.currentName();
+            if (parser.nextToken() == JsonToken.VALUE_NULL) {
                 continue;
             }
             switch (field) {
-                case "who" -> event.who = in.getIntValue();
-                case "ref" -> event.ref = in.getLongValue();
-                case "node" -> event.node = in.getLongValue();
-                case "drop_dead_ns" -> event.deadlineNanos = in.getLongValue();
-                case "effort_ns" -> event.workNanos = in.getLongValue();
-                case "elapsed_ns" -> event.elapsedNanos = in.getLongValue();
-                case "prng" -> event.seed = seed(in);
-                case "state_bits" -> event.bits = in.getIntValue();
-                case "table" -> event.table = in.getIntValue();
-                case "hop" -> event.attempt = in.getIntValue();
-                case "complete" -> event.complete = in.getBooleanValue();
-                case "profile" -> event.profile = in.getText();
-                case "billing" -> event.tenant = in.getText();
-                case "resource" -> event.key = in.getText();
-                case "kind" -> event.kind = in.getText();
-                case "state_code" -> event.code = in.getText();
-                case "token" -> event.token = in.getText();
-                case "config" -> event.config = Json.read(in);
-                case "rows" -> event.rows = rows(in);
-                default -> in.skipChildren();
+                case "who" -> event.instanceNumber = parser.getIntValue();
+                case "ref" -> event.requestId = parser.getLongValue();
+                case "node" -> event.serverId = parser.getLongValue();
+                case "drop_dead_ns" -> event.deadlineNanos = parser.getLongValue();
+                case "effort_ns" -> event.workNanos = parser.getLongValue();
+                case "elapsed_ns" -> event.elapsedNanos = parser.getLongValue();
+                case "prng" -> event.seed = readSeed(parser);
+                case "state_bits" -> event.stateBits = parser.getIntValue();
+                case "table" -> event.tableNumber = parser.getIntValue();
+                case "hop" -> event.attempt = parser.getIntValue();
+                case "complete" -> event.complete = parser.getBooleanValue();
+                case "profile" -> event.requestClassName = parser.getText();
+                case "billing" -> event.tenant = parser.getText();
+                case "resource" -> event.key = parser.getText();
+                case "kind" -> event.kind = parser.getText();
+                case "state_code" -> event.outcomeCode = parser.getText();
+                case "token" -> event.token = parser.getText();
+                case "config" -> event.config = Json.read(parser);
+                case "rows" -> event.listedServers = readRows(parser);
+                default -> parser.skipChildren();
             }
         }
     }
 
-    /** A seed may use all 64 bits, unsigned. */
-    private static long seed(JsonParser in) throws IOException {
-        return in.getNumberType() == JsonParser.NumberType.BIG_INTEGER
-                ? in.getBigIntegerValue().longValue()
-                : in.getLongValue();
+    /** Reads a seed, an unsigned 64-bit number. */
+    private static long readSeed(JsonParser parser) throws IOException {
+        return parser.getNumberType() == JsonParser.NumberType.BIG_INTEGER
+                ? parser.getBigIntegerValue().longValue()
+                : parser.getLongValue();
     }
 
-    private static List<ListedServer> rows(JsonParser in) throws IOException {
-        List<ListedServer> rows = new ArrayList<>();
-        if (in.currentToken() != JsonToken.START_ARRAY) {
-            throw new IOException("rows are an array");
+    private static List<ListedServer> readRows(JsonParser parser) throws IOException {
+        List<ListedServer> listedServers = new ArrayList<>();
+        if (parser.currentToken() != JsonToken.START_ARRAY) {
+            throw new IOException("rows must be an array");
         }
-        while (in.nextToken() != JsonToken.END_ARRAY) {
-            Json row = Json.read(in);
+        while (parser.nextToken() != JsonToken.END_ARRAY) {
+            Json row = Json.read(parser);
             Stage stage =
                     switch (row.get("stage_state").text("")) {
                         case "IN" -> Stage.IN;
                         case "OUT" -> Stage.OUT;
                         default -> Stage.LAME;
                     };
-            rows.add(new ListedServer(
+            listedServers.add(new ListedServer(
                     row.get("node").integer(0),
                     row.get("boot_time_ns").integer(0),
                     Math.max(1e-9, row.get("scale").number(1)),
@@ -212,67 +224,78 @@
                     row.get("generation_hw").text(""),
                     row.get("az").text("")));
         }
-        return rows;
+        return listedServers;
     }
 
-    private void handle(String name, long nowNanos, JsonGenerator out) throws IOException {
-        switch (name) {
-            case "SHEET" -> tables.put(event.table, event.rows == null ? List.of() : event.rows);
+    private void handle(String eventName, long nowNanos, JsonGenerator generator) throws IOException {
+        switch (eventName) {
+            case "SHEET" -> serverTables.put(
+                    event.tableNumber, event.listedServers == null ? List.of() : event.listedServers);
             case "INIT" -> {
-                ReplyWriter writer = new ReplyWriter(out, event.who);
+                ReplyWriter writer = new ReplyWriter(generator, event.instanceNumber);
                 if (event.config == null) {
                     throw new IOException("settings are missing");
                 }
-                guarded(name, out, () -> instances.put(event.who, new Instance(event.config, event.seed, writer)));
+                callReportingFailure(
+                        eventName,
+                        generator,
+                        () -> instances.put(event.instanceNumber, new Instance(event.config, event.seed, writer)));
             }
-            case "SHUTDOWN" -> instances.remove(event.who);
+            case "SHUTDOWN" -> instances.remove(event.instanceNumber);
             default -> {
-                Instance instance = instances.get(event.who);
+                Instance instance = instances.get(event.instanceNumber);
                 if (instance != null) {
-                    guarded(name, out, () -> deliver(name, nowNanos, instance));
+                    callReportingFailure(eventName, generator, () -> deliver(eventName, nowNanos, instance));
                 }
             }
         }
     }
 
-    /** The module failed: say so where the wire can carry it, with the instance and the event. */
-    private void guarded(String name, JsonGenerator out, Runnable delivery) {
+    /** Calls the policy; reports an exception to the simulator as a PANIC action with the instance and the event. */
+    private void callReportingFailure(String eventName, JsonGenerator generator, Runnable call) {
         try {
-            delivery.run();
+            call.run();
         } catch (RuntimeException e) {
-            new ReplyWriter(out, event.who).panic("instance " + event.who + ", event " + name + ": " + e);
+            new ReplyWriter(generator, event.instanceNumber)
+                    .panic("instance " + event.instanceNumber + ", event " + eventName + ": " + e);
         }
     }
 
-    private void deliver(String name, long nowNanos, Instance instance) {
-        switch (name) {
+    private void deliver(String eventName, long nowNanos, Instance instance) {
+        switch (eventName) {
             case "QUERY" -> instance.policy.onRequest(
                     nowNanos,
                     new Request(
-                            event.ref,
-                            number(instance.classes, event.profile),
+                            event.requestId,
+                            number(instance.classes, event.requestClassName),
                             number(instance.tenants, event.tenant),
                             event.key != null,
                             event.key == null ? 0 : digest(event.key),
                             event.deadlineNanos,
-                            (event.bits & KNOWN_WORK) != 0 ? event.workNanos : 0,
-                            (event.bits & WRITE) != 0));
+                            (event.stateBits & KNOWN_WORK_BIT) != 0 ? event.workNanos : 0,
+                            (event.stateBits & WRITE_BIT) != 0));
             case "REPLY" -> {
-                Outcome outcome = outcome(event.code);
+                Outcome outcome = parseOutcome(event.outcomeCode);
                 instance.policy.onEnded(
                         nowNanos,
-                        new Ended(event.ref, event.attempt, event.node, outcome, event.complete, event.elapsedNanos));
+                        new Ended(
+                                event.requestId,
+                                event.attempt,
+                                event.serverId,
+                                outcome,
+                                event.complete,
+                                event.elapsedNanos));
             }
-            case "HEAD_RECEIVED" -> instance.policy.onStarted(nowNanos, event.ref);
-            case "LEFT" -> instance.policy.onGone(nowNanos, event.ref);
-            case "TIMEOUT_FIRED" -> instance.policy.onTimer(nowNanos, timer(event.token));
-            case "FLEET" -> fleet(nowNanos, instance);
+            case "HEAD_RECEIVED" -> instance.policy.onStarted(nowNanos, event.requestId);
+            case "LEFT" -> instance.policy.onGone(nowNanos, event.requestId);
+            case "TIMEOUT_FIRED" -> instance.policy.onTimer(nowNanos, parseTimerToken(event.token));
+            case "FLEET" -> deliverServerList(nowNanos, instance);
             default -> {}
         }
     }
 
-    /** The token of a timer; of one that the module never asked for, a number that it does not use. */
-    private static long timer(String token) {
+    /** Parses the token of a timer; returns a number that the policy does not use if it is not one of the policy's. */
+    private static long parseTimerToken(String token) {
         try {
             return Long.parseLong(token);
         } catch (NumberFormatException e) {
@@ -280,8 +303,8 @@
         }
     }
 
-    /** An outcome that this version does not know may have run. */
-    private static Outcome outcome(String code) {
+    /** Parses an outcome. An unknown one is taken as BAD, the outcome of a request that may have been executed. */
+    private static Outcome parseOutcome(String code) {
         for (Outcome outcome : Outcome.values()) {
             if (outcome.name().equals(code)) {
                 return outcome;
@@ -290,7 +313,7 @@
         return Outcome.BAD;
     }
 
-    private void fleet(long nowNanos, Instance instance) {
+    private void deliverServerList(long nowNanos, Instance instance) {
         ListKind kind =
                 switch (event.kind == null ? "" : event.kind) {
                     case "update" -> ListKind.UPDATE;
@@ -304,33 +327,36 @@
         }
         List<Server> servers = new ArrayList<>();
         if (kind != ListKind.UNAVAILABLE) {
-            for (ListedServer row : tables.getOrDefault(event.table, List.of())) {
+            for (ListedServer server : serverTables.getOrDefault(event.tableNumber, List.of())) {
                 servers.add(new Server(
-                        row.id,
-                        row.bootNanos,
-                        row.size,
-                        row.cell,
-                        row.stage,
-                        number(instance.models, row.model),
-                        number(instance.zones, row.zone)));
+                        server.id,
+                        server.bootNanos,
+                        server.size,
+                        server.cell,
+                        server.stage,
+                        number(instance.models, server.model),
+                        number(instance.zones, server.zone)));
             }
         }
         instance.policy.onList(nowNanos, kind, servers);
     }
 
-    /** Keys are 16 hex digits; any other text is digested to as many bits. */
+    /**
+     * Converts a key to 64 bits. A key of up to 16 hexadecimal digits is its numeric value; any other text is
+     * hashed with FNV-1a over its UTF-16 code units.
+     */
     public static long digest(String key) {
         long bits = 0;
-        boolean hex = key.length() <= 16;
+        boolean isHex = key.length() <= 16;
         for (int i = 0; i < key.length(); i++) {
-            int digit = hex ? Character.digit(key.charAt(i), 16) : -1;
+            int digit = isHex ? Character.digit(key.charAt(i), 16) : -1;
             if (digit < 0) {
-                hex = false;
+                isHex = false;
                 break;
             }
             bits = bits << 4 | digit;
         }
-        if (hex) {
+        if (isHex) {
             return bits;
         }
         bits = 0xCBF29CE484222325L;
