--- a/proxy/src/main/java/burlarch/proxy/ClientConnection.java
+++ b/proxy/src/main/java/burlarch/proxy/ClientConnection.java
@@ -129,7 +129,7 @@
         if (activity == Activity.BUSY || activity == Activity.IDLE) {
             return;
         }
-        // Counts from the previous response at the earliest: a part that arrived before had to wait for it.
+        // Not before the previous response: a part that arrived earlier had to wait for it.
         long sinceNanos = hasReceivedRequest
                 ? Math.max(idleSinceNanos, decoder.partialSinceNanos(idleSinceNanos))
                 : idleSinceNanos;
--- a/proxy/src/main/java/burlarch/proxy/Log.java
+++ b/proxy/src/main/java/burlarch/proxy/Log.java
@@ -23,7 +23,7 @@
      * Starts a thread that does all writing from now on. For features that log so much that writing on the event
      * loop could block it.
      */
-    static synchronized void inBackground() {
+    static synchronized void writeInBackground() {
         if (writer == null) {
             writer = new LogWriter(System.err, MAX_QUEUED_TEXTS);
             Thread thread = new Thread(writer, "burlarch-log");
@@ -61,7 +61,7 @@
 
     /**
      * Queues text for the log's thread, which generates and writes it unchanged. Not subject to the rate limit.
-     * Only valid after {@link #inBackground}.
+     * Only valid after {@link #writeInBackground}.
      *
      * @return false if the text was dropped because the queue is full
      */
--- a/proxy/src/main/java/burlarch/proxy/LogWriter.java
+++ b/proxy/src/main/java/burlarch/proxy/LogWriter.java
@@ -7,8 +7,8 @@
 import java.util.function.Supplier;
 
 /**
- * Writes texts to the log on a thread of its own, each in one piece. If the reader of standard error stops
- * reading, writes to it block; this keeps them from blocking the event loop.
+ * Writes queued texts to the log on a thread of its own, each in one piece. If the reader of standard error stops
+ * reading, writes to it block; they then block this thread and not the event loop.
  */
 final class LogWriter implements Runnable {
     private final PrintStream out;
--- a/proxy/src/main/java/burlarch/proxy/ProxyMain.java
+++ b/proxy/src/main/java/burlarch/proxy/ProxyMain.java
@@ -42,18 +42,18 @@
  * Main program of the caching proxy: assembles its components, binds its ports, and handles its signals.
  *
  * <p>The subcommand {@code serve} runs one proxy; {@code drill} runs the decision policy alone, driven by the
- * simulator's protocol on standard input and output. All proxy state is confined to the thread of one event
- * loop; methods that other threads may call say so.
+ * simulator's protocol on standard input and output. A proxy has a single event loop, whose thread handles all
+ * connections and requests; signals and the shutdown hook run on threads of the JVM.
  */
 public final class ProxyMain {
-    /** How long startup waits for discovery's first list before it binds the plain port without one. */
+    /** How long startup waits for discovery's first list. An agent that has sent nothing by then has no list. */
     private static final long FIRST_LIST_TIMEOUT_MS = 2000;
     /** Time for the log's thread to write the last lines before the program exits. */
     private static final long LOG_FLUSH_TIMEOUT_MS = 100;
-    /** Linux signal number. */
+    /** Signal number on Linux. */
     private static final int SIGUSR1 = 10;
 
-    /** Linux signal number. */
+    /** Signal number on Linux. */
     private static final int SIGURG = 23;
 
     /**
@@ -78,7 +78,7 @@
     private final Features features;
     /** Null if the TLS port is disabled. */
     private final TlsPort tlsPort;
-    /** File that requests are recorded to; null if recording is disabled. */
+    /** Output of the request recording; null if recording is disabled. */
     private final TraceRecorder.Sink traceSink;
 
     private volatile TraceRecorder traceRecorder;
@@ -110,7 +110,7 @@
         this.tlsPort = features.tls().listen() == null ? null : TlsPort.load(features.tls());
         this.traceSink = features.trace().file() == null ? null : TraceRecorder.Sink.create(features.trace());
         if (features.hotList() != null || tlsPort != null) {
-            Log.inBackground();
+            Log.writeInBackground();
         }
         NETTY_LOGGER.setLevel(Level.SEVERE);
     }
@@ -219,7 +219,7 @@
         }
         table = new RequestTable(loop, clock, nodePool, config.settings(), config.seed());
         if (features.hotList() != null) {
-            hotList = new HotList(features.hotList(), classNames(), clock::nowNanos, loop);
+            hotList = new HotList(features.hotList(), requestClassNames(), clock::nowNanos, loop);
             table.observe(hotList);
         }
         if (traceSink != null) {
@@ -232,8 +232,8 @@
                 table,
                 nodePool);
         if (features.status().port() != null) {
-            StatusBoard statusBoard =
-                    new StatusBoard(StatusPage.version(), classNames(), clock::nowNanos, System::currentTimeMillis);
+            StatusBoard statusBoard = new StatusBoard(
+                    StatusPage.version(), requestClassNames(), clock::nowNanos, System::currentTimeMillis);
             table.observe(statusBoard);
             membershipWatch.observe(statusBoard);
             statusPage = new StatusPage(statusBoard, loop);
@@ -243,7 +243,7 @@
         if (!table.instance().settings.asksForList()) {
             membershipWatch.start();
         }
-        // Requests delayed by this may miss their deadlines; the log line gives the cause.
+        // Requests that wait meanwhile may miss their deadlines; the log line gives the cause.
         EventLoopLag eventLoopLag = new EventLoopLag(
                 loop,
                 clock::nowNanos,
@@ -265,7 +265,7 @@
         if (table.instance().settings.asksForList()) {
             bind(config, plainHandler, bound);
         } else {
-            bindWhenListed(config, plainHandler, bound);
+            bindAfterFirstList(config, plainHandler, bound);
         }
         return bound;
     }
@@ -274,7 +274,7 @@
      * Binds once the first list has arrived or {@link #FIRST_LIST_TIMEOUT_MS} has passed. For modes in which
      * discovery pushes lists: there, the list held by the agent counts as known from the process's start.
      */
-    private void bindWhenListed(
+    private void bindAfterFirstList(
             ProxyConfig config, RequestHandler plainHandler, io.netty.util.concurrent.Promise<SocketAddress> bound) {
         AtomicBoolean bindStarted = new AtomicBoolean();
         Runnable bindOnce = () -> {
@@ -301,7 +301,7 @@
 
     private void startTraceRecording() {
         try {
-            traceRecorder = new TraceRecorder(features.trace(), traceSink, classNames(), clock::nowNanos);
+            traceRecorder = new TraceRecorder(features.trace(), traceSink, requestClassNames(), clock::nowNanos);
             table.observe(traceRecorder);
         } catch (IOException e) {
             Log.line("requests are not recorded: " + e.getMessage());
@@ -362,7 +362,7 @@
         }
     }
 
-    private List<String> classNames() {
+    private List<String> requestClassNames() {
         return table.instance().settings.classes().stream()
                 .map(RequestClass::name)
                 .toList();
