--- a/controller/src/main/java/burlarch/controller/distribution/ConfigurationConfirmationService.java
+++ b/controller/src/main/java/burlarch/controller/distribution/ConfigurationConfirmationService.java
@@ -8,66 +8,66 @@
 import java.util.Map;
 
 /**
- * Responds to routers that ask which version of the configuration is the newest. Runs on the event loop.
+ * Service that confirms the newest version of the configuration to routers by a quorum read. Runs on the event loop.
  *
  * <p>Invariant <em>read after request</em>: a response carries the version of a quorum read that started after the
- * request was received. So the version is at least as new as any that was acknowledged before the router sent its
- * request. A read that no quorum confirms gets no response, and the router asks another controller.
+ * request was received. The version is therefore at least as new as any that was acknowledged before the router sent
+ * its request. If the read fails, no response is sent, and the router asks another controller.
  *
- * <p>Requests gather for a short time, and one read serves all of them; a router has at most one request here.
+ * <p>Requests are batched for a short time and served by one read. At most one request per router is pending.
  */
 public final class ConfigurationConfirmationService {
-    /** Reads write to the acceptors' disks and compete with changes, so there are only a few in a second. */
+    /** Limits the rate of quorum reads, which write to the acceptors' disks and compete with changes. */
     static final long BATCH_DELAY_NANOS = 250_000_000;
 
     private enum State {
         IDLE,
-        GATHERING,
+        BATCHING,
         READING
     }
 
     private final EventLoop loop;
     private final RegisterClient register;
-    /** The number of the newest request of each router that waits. */
-    private Map<PeerConnection, Long> waiting = new LinkedHashMap<>();
+    /** The number of the newest pending request of each router. */
+    private Map<PeerConnection, Long> pending = new LinkedHashMap<>();
 
     private State state = State.IDLE;
 
-    /** A service that nobody has asked yet. */
+    /** Creates a service without pending requests. */
     public ConfigurationConfirmationService(EventLoop loop, RegisterClient register) {
         this.loop = loop;
         this.register = register;
     }
 
-    /** A router asks. */
+    /** Handles a router's request; replaces an earlier pending one of the same router. */
     public void onRequest(PeerConnection router, long request) {
-        waiting.put(router, request);
-        gather();
+        pending.put(router, request);
+        scheduleRead();
     }
 
-    /** A router is disconnected and waits no longer. */
+    /** Drops the pending request of a disconnected router. */
     public void onRouterDisconnected(PeerConnection router) {
-        waiting.remove(router);
+        pending.remove(router);
     }
 
-    private void gather() {
-        if (state == State.IDLE && !waiting.isEmpty()) {
-            state = State.GATHERING;
-            loop.schedule(BATCH_DELAY_NANOS, this::read);
+    private void scheduleRead() {
+        if (state == State.IDLE && !pending.isEmpty()) {
+            state = State.BATCHING;
+            loop.schedule(BATCH_DELAY_NANOS, this::readAndRespond);
         }
     }
 
-    private void read() {
-        Map<PeerConnection, Long> served = waiting;
-        waiting = new LinkedHashMap<>();
+    private void readAndRespond() {
+        Map<PeerConnection, Long> batch = pending;
+        pending = new LinkedHashMap<>();
         state = State.READING;
-        register.read().whenComplete((read, failure) -> {
+        register.read().whenComplete((newest, failure) -> {
             state = State.IDLE;
             if (failure == null) {
-                served.forEach((router, request) ->
-                        router.send(new ConfigurationConfirmed(request, read.configurationVersion())));
+                batch.forEach((router, request) ->
+                        router.send(new ConfigurationConfirmed(request, newest.configurationVersion())));
             }
-            gather();
+            scheduleRead();
         });
     }
 }
--- a/controller/src/main/java/burlarch/controller/distribution/ConfigurationDeltaSender.java
+++ b/controller/src/main/java/burlarch/controller/distribution/ConfigurationDeltaSender.java
@@ -8,9 +8,9 @@
 import java.util.OptionalLong;
 
 /**
- * Sends routers the newest configuration: as a delta from the version that a router holds or was sent last on its
- * connection, if that version is still in the {@link ConfigurationHistory}, and otherwise as the complete document.
- * Runs on the event loop; bounded by the connected routers.
+ * Sender of the newest configuration to routers. It sends a delta from the version that a router holds or was last sent
+ * on its connection, if that version is still in the {@link ConfigurationHistory}, and otherwise the complete document.
+ * Runs on the event loop; memory is bounded by the number of connected routers.
  */
 final class ConfigurationDeltaSender {
     private final FrameCodec codec;
@@ -22,31 +22,31 @@
         history = new ConfigurationHistory(codec);
     }
 
-    /** A newer version is committed. */
+    /** Adds a newly committed version. */
     void add(long version, byte[] document) {
         history.add(version, document);
     }
 
-    /** The router is disconnected. */
-    void forget(PeerConnection router) {
+    /** Removes a disconnected router. */
+    void remove(PeerConnection router) {
         sentVersions.remove(router);
     }
 
     /**
-     * Sends the newest version unless the router holds it or was sent it on this connection.
+     * Sends the newest version, unless the router holds it or was already sent it on this connection.
      *
-     * @param held the version that the router has acknowledged; empty if it has not acknowledged any
+     * @param acknowledged the version that the router has acknowledged; empty if it has not acknowledged any
      */
-    void send(PeerConnection router, OptionalLong held) {
-        long base = Math.max(sentVersions.getOrDefault(router, 0L), held.orElse(0));
-        if (base >= history.newest()) {
+    void send(PeerConnection router, OptionalLong acknowledged) {
+        long baseVersion = Math.max(sentVersions.getOrDefault(router, 0L), acknowledged.orElse(0));
+        if (baseVersion >= history.newest()) {
             return;
         }
-        router.sendFrame(held.isPresent() ? history.frameFrom(base) : completeFrame());
+        router.sendFrame(acknowledged.isPresent() ? history.frameFrom(baseVersion) : completeFrame());
         sentVersions.put(router, history.newest());
     }
 
-    /** Sends the complete newest version, because the router could not apply a delta. */
+    /** Sends the complete newest version to a router that could not apply a delta. */
     void sendComplete(PeerConnection router) {
         if (history.newest() > 0) {
             router.sendFrame(history.frameFrom(ConfigurationHistory.NO_VERSION));
@@ -54,7 +54,7 @@
         }
     }
 
-    /** The message for a router that may not understand deltas. */
+    /** The encoded message for a router that has not acknowledged any version and may not support deltas. */
     private byte[] completeFrame() {
         return codec.encode(new ConfigurationUpdate(history.newest(), history.newestDocument()));
     }
--- a/controller/src/main/java/burlarch/controller/distribution/PrefixCacheEventForwarder.java
+++ b/controller/src/main/java/burlarch/controller/distribution/PrefixCacheEventForwarder.java
@@ -16,25 +16,26 @@
 import java.util.function.Consumer;
 
 /**
- * Forwards prefix-cache events that one router has read from an engine to all other routers, without decoding them.
- * Runs on the event loop.
+ * Forwarder of prefix-cache events from the router that read them from an engine to all other routers. It does not
+ * decode the events. Runs on the event loop.
  *
- * <p>A frame crosses to each other zone once: to a controller there, which forwards it to the routers of its own zone.
- * Routers of a zone without such a controller are sent it from here. Frames that arrive within a short time are sent
- * together, so that each router wakes once for many; what crosses to another zone waits there once more, so it
- * waits here only briefly. Losses are allowed: the receiver finds them by the sequence numbers of the source.
+ * <p>A frame is sent to each other zone once: to a controller there (the relay), which forwards it to the routers of
+ * its own zone. Routers of a zone without a relay are sent the frame directly. Frames that arrive within a short time
+ * are sent as one batch, so that each router wakes once for many. Frames for another zone are batched again by the
+ * relay, so they wait here for a shorter time. Frames may be lost: the receiver detects losses by the sequence numbers
+ * of the source.
  */
 public final class PrefixCacheEventForwarder {
-    /** How long the oldest frame of a batch for routers waits. */
+    /** Time for which the oldest frame of a batch for routers waits. */
     static final long BATCH_DELAY_NANOS = 100_000_000;
-    /** How long the oldest frame of a batch for the controllers of other zones waits. */
+    /** Time for which the oldest frame of a batch for other zones waits. */
     static final long RELAY_DELAY_NANOS = 20_000_000;
     /**
-     * A controller is a relay for its zone once it has been connected for so long: routers retry connections at least
-     * once a second, so those of its zone are connected to it by then.
+     * Time for which a controller must be connected before it is a relay for its zone. Routers retry connections at
+     * least once a second, so those of its zone are connected to it by then.
      */
     static final long RELAY_ELIGIBLE_AFTER_NANOS = 2_000_000_000;
-    /** The most frames of a batch; a full batch is sent at once. */
+    /** Limit of frames in a batch; a full batch is sent at once. */
     private static final int MAX_PENDING_FRAMES = 256;
 
     private final EventLoop loop;
@@ -42,14 +43,17 @@
     private final String ownAddress;
     private final String ownZone;
     private final Map<String, Set<PeerConnection>> routersByZone = new HashMap<>();
-    /** Outbound connections to the controllers of other zones, with the time of their start in nanoseconds. */
+    /**
+     * Outbound connections to controllers of other zones, each with the time in nanoseconds at which it was
+     * established.
+     */
     private final Map<PeerConnection, Long> relayCandidates = new LinkedHashMap<>();
 
     private final Batch forOwnZone = new Batch(BATCH_DELAY_NANOS, this::sendToOwnZone);
     private final Batch forOtherZones = new Batch(RELAY_DELAY_NANOS, this::sendToOtherZones);
 
     private record PendingFrame(PeerConnection from, byte[] frame) {
-        /** Whether its sender, a controller, has forwarded it to the other zones already. */
+        /** Whether a controller sent the frame; that controller also sends it to the other zones. */
         boolean isRelayed() {
             return from.peerHello().role().equals(NodeRoles.CONTROLLER);
         }
@@ -62,7 +66,7 @@
         this.ownZone = ownZone;
     }
 
-    /** A router or a controller is connected. */
+    /** Handles a new connection of a router or controller. */
     public void onConnected(PeerConnection connection) {
         if (connection.peerHello().role().equals(NodeRoles.ROUTER)) {
             routersByZone
@@ -73,7 +77,7 @@
         }
     }
 
-    /** A router or a controller is disconnected. */
+    /** Handles the loss of a connection of a router or controller. */
     public void onDisconnected(PeerConnection connection) {
         relayCandidates.remove(connection);
         Set<PeerConnection> routers = routersByZone.get(connection.peerHello().zone());
@@ -82,7 +86,7 @@
         }
     }
 
-    /** Events of a router, or of a controller that forwards them for its zone. */
+    /** Forwards events from a router, or from a controller that relays them to this zone. */
     public void onPrefixCacheEvents(PeerConnection from, PrefixCacheEvents events) {
         PendingFrame frame = new PendingFrame(from, codec.encode(events));
         forOwnZone.add(frame);
@@ -108,7 +112,7 @@
         });
     }
 
-    /** Frames that wait to be sent together. A full batch is sent at once. */
+    /** Frames that wait to be sent together. */
     private final class Batch {
         private final long delayNanos;
         private final Consumer<List<PendingFrame>> sender;
@@ -129,39 +133,42 @@
         }
 
         private void flush() {
-            List<PendingFrame> due = pending;
+            List<PendingFrame> frames = pending;
             pending = new ArrayList<>();
-            if (!due.isEmpty()) {
-                sender.accept(due);
+            if (!frames.isEmpty()) {
+                sender.accept(frames);
             }
         }
     }
 
     private static void send(List<PendingFrame> frames, PeerConnection to) {
         for (int i = 0; i < frames.size(); i++) {
-            PendingFrame one = frames.get(i);
-            if (one.from() != to) {
-                to.sendFrame(one.frame());
+            PendingFrame pending = frames.get(i);
+            if (pending.from() != to) {
+                to.sendFrame(pending.frame());
             }
         }
     }
 
-    /** The controller that relays frames of this process in that zone; null if there is none. */
+    /**
+     * Selects the controller that relays this process's frames in the given zone, by rendezvous hashing; null if there
+     * is none.
+     */
     private PeerConnection relayFor(String zone) {
         long now = loop.nanoTime();
-        PeerConnection best = null;
-        double bestScore = -1;
-        for (Map.Entry<PeerConnection, Long> one : relayCandidates.entrySet()) {
-            PeerConnection candidate = one.getKey();
+        PeerConnection relay = null;
+        double relayScore = -1;
+        for (Map.Entry<PeerConnection, Long> entry : relayCandidates.entrySet()) {
+            PeerConnection candidate = entry.getKey();
             boolean eligible =
-                    candidate.peerHello().zone().equals(zone) && now - one.getValue() >= RELAY_ELIGIBLE_AFTER_NANOS;
+                    candidate.peerHello().zone().equals(zone) && now - entry.getValue() >= RELAY_ELIGIBLE_AFTER_NANOS;
             double score =
                     eligible ? RendezvousAssignment.score(candidate.peerHello().nodeName(), ownAddress) : -1;
-            if (score > bestScore) {
-                bestScore = score;
-                best = candidate;
+            if (score > relayScore) {
+                relayScore = score;
+                relay = candidate;
             }
         }
-        return best;
+        return relay;
     }
 }
--- a/controller/src/main/java/burlarch/controller/distribution/QuorumReadGate.java
+++ b/controller/src/main/java/burlarch/controller/distribution/QuorumReadGate.java
@@ -9,11 +9,12 @@
 import java.util.Set;
 
 /**
- * Lets a newly connected router have the configuration only after a quorum read. Runs on the event loop.
+ * Gate that withholds the configuration from a newly connected router until a quorum read has succeeded. Runs on the
+ * event loop.
  *
- * <p>Invariant <em>no configuration from hearsay</em>: a router is sent a configuration only over a connection that was
- * established before the start of a read that a quorum confirmed. A controller that is cut off from the others may hold
- * an old configuration, and its read does not succeed.
+ * <p>Invariant <em>no unconfirmed configuration</em>: a router is sent a configuration only over a connection that was
+ * established before the start of a successful quorum read. A controller that is partitioned from the others may hold
+ * an old configuration, but its reads fail.
  */
 public final class QuorumReadGate {
     private static final long RETRY_DELAY_NANOS = 200_000_000;
@@ -29,20 +30,20 @@
     private final Set<PeerConnection> waitingRouters = new LinkedHashSet<>();
     private ReadState readState = ReadState.IDLE;
 
-    /** A gate without waiting routers. */
+    /** Creates a gate without waiting routers. */
     public QuorumReadGate(EventLoop loop, RegisterClient register, RouterPublisher publisher) {
         this.loop = loop;
         this.register = register;
         this.publisher = publisher;
     }
 
-    /** A router is connected and waits for a read. */
+    /** Adds a newly connected router, which waits for a quorum read. */
     public void onRouterConnected(PeerConnection router) {
         waitingRouters.add(router);
         readIfNeeded();
     }
 
-    /** A router is disconnected and waits no longer. */
+    /** Removes a disconnected router. */
     public void onRouterDisconnected(PeerConnection router) {
         waitingRouters.remove(router);
     }
@@ -53,12 +54,12 @@
             return;
         }
         readState = ReadState.READING;
-        List<PeerConnection> served = new ArrayList<>(waitingRouters);
+        List<PeerConnection> batch = new ArrayList<>(waitingRouters);
         register.read().whenComplete((state, failure) -> {
             readState = ReadState.IDLE;
             if (failure == null) {
-                served.forEach(waitingRouters::remove);
-                served.forEach(publisher::onQuorumRead);
+                batch.forEach(waitingRouters::remove);
+                batch.forEach(publisher::onQuorumRead);
                 readIfNeeded();
             } else {
                 loop.schedule(RETRY_DELAY_NANOS, this::readIfNeeded);
--- a/controller/src/main/java/burlarch/controller/distribution/RouterPublisher.java
+++ b/controller/src/main/java/burlarch/controller/distribution/RouterPublisher.java
@@ -18,36 +18,36 @@
 import java.util.concurrent.CompletableFuture;
 
 /**
- * Publishes configurations, instances and the fleet's size to the connected routers, and tells when all of them have
- * acknowledged a revision. Runs on the event loop.
+ * Publisher of configurations, instances and the fleet's size to the connected routers. It tracks which revisions the
+ * routers have acknowledged. Runs on the event loop.
  *
  * <table>
  * <caption>A router's access to the configuration</caption>
  * <tr><th>from</th><th>event</th><th>to</th></tr>
- * <tr><td></td><td>{@link #onRouterConnected}: it is sent the instances</td><td>AWAITING_QUORUM_READ</td></tr>
- * <tr><td>AWAITING_QUORUM_READ</td><td>{@link #onQuorumRead}: it is sent the configuration, now or once it has said
- * what it holds</td><td>ALLOWED</td></tr>
- * <tr><td>ALLOWED</td><td>a newer configuration is committed: it is sent that one</td><td>ALLOWED</td></tr>
- * <tr><td>any</td><td>{@link #onRouterDisconnected}</td><td>forgotten, waited for no longer</td></tr>
+ * <tr><td></td><td>{@link #onRouterConnected}: the router is sent the instances</td><td>AWAITING_QUORUM_READ</td></tr>
+ * <tr><td>AWAITING_QUORUM_READ</td><td>{@link #onQuorumRead}: the router is sent the configuration, at once or after
+ * its first acknowledgement</td><td>ALLOWED</td></tr>
+ * <tr><td>ALLOWED</td><td>a newer configuration is committed: the router is sent it</td><td>ALLOWED</td></tr>
+ * <tr><td>any</td><td>{@link #onRouterDisconnected}</td><td>removed; no wait includes it any longer</td></tr>
  * </table>
  *
- * <p>Invariant <em>routers first</em>: a configuration that is awaited is held by all connected routers, or the timeout
- * is over. Soon after its start a controller doesn't know the routers that have yet to connect to it, so that it waits
- * the timeout out; the other controllers send to these routers meanwhile.
+ * <p>Invariant <em>routers first</em>: when a wait for a configuration ends, all connected routers hold it or the
+ * timeout has passed. Shortly after its start a controller doesn't know all routers yet, so it always waits for the
+ * full timeout; the other controllers send the configuration to these routers meanwhile.
  */
 public final class RouterPublisher {
     /**
-     * The controller whose proposal committed a configuration sends it. The others send it this much later, and only
-     * to routers that have not acknowledged it by then.
+     * The controller whose proposal committed a configuration sends it at once. The others send it after this delay,
+     * and only to routers that have not acknowledged it by then.
      */
     private static final long PEER_COMMIT_DELAY_NANOS = 150_000_000;
-    /** Changes of the routers and controllers within this time are published together. */
+    /** Delay for which changes of the sets of routers and controllers are collected into one update. */
     static final long FLEET_UPDATE_DELAY_NANOS = 50_000_000;
-    /** How long to wait for a new router's first acknowledgement before it is sent the complete document. */
+    /** Time to wait for a new router's first acknowledgement before it is sent the complete document. */
     private static final long FIRST_ACK_TIMEOUT_NANOS = 100_000_000;
 
-    /** Within this time after the start of this process the routers connect to it. */
-    private static final long ROUTERS_CONNECT_NANOS = 2_000_000_000L;
+    /** Time after the start of this process by which all routers have connected to it. */
+    private static final long ROUTER_RECONNECT_TIME_NANOS = 2_000_000_000L;
 
     private enum ConfigurationAccess {
         AWAITING_QUORUM_READ,
@@ -73,7 +73,7 @@
     private List<String> knownControllers = List.of();
     private FleetUpdateState fleetUpdate = FleetUpdateState.NOT_SCHEDULED;
 
-    /** A publisher without routers. */
+    /** Creates a publisher without routers. */
     public RouterPublisher(EventLoop loop, FrameCodec codec, InstanceRegistry registry) {
         this.loop = loop;
         startedAtNanos = loop.nanoTime();
@@ -82,7 +82,10 @@
         configurationSender = new ConfigurationDeltaSender(codec);
     }
 
-    /** A router is connected. It is sent the instances at once, the configuration after {@link #onQuorumRead}. */
+    /**
+     * Adds a newly connected router. It is sent the instances at once, and the configuration after {@link
+     * #onQuorumRead}.
+     */
     public void onRouterConnected(PeerConnection router, List<String> controllers) {
         routers.putIfAbsent(router, ConfigurationAccess.AWAITING_QUORUM_READ);
         configurationAcks.subscribe(router);
@@ -91,19 +94,19 @@
         scheduleFleetUpdate(controllers);
     }
 
-    /** A router is disconnected. */
+    /** Removes a disconnected router. */
     public void onRouterDisconnected(PeerConnection router, List<String> controllers) {
         if (routers.remove(router) == null) {
             return;
         }
-        configurationSender.forget(router);
+        configurationSender.remove(router);
         configurationAcks.unsubscribe(router);
         instanceAcks.unsubscribe(router);
         finishWaits();
         scheduleFleetUpdate(controllers);
     }
 
-    /** Tells the routers soon which controllers there are and how many routers. */
+    /** Schedules an update that tells the routers the controllers' addresses and the number of routers. */
     public void scheduleFleetUpdate(List<String> controllers) {
         knownControllers = controllers;
         if (fleetUpdate == FleetUpdateState.NOT_SCHEDULED) {
@@ -117,7 +120,7 @@
         sendToAll(codec.encode(new NodeMessage.FleetUpdate(knownControllers, routers.size())));
     }
 
-    /** A read that a quorum confirmed has started after the router was connected. */
+    /** Grants a router access to the configuration, after a quorum read that started after it connected. */
     public void onQuorumRead(PeerConnection router) {
         if (routers.get(router) != ConfigurationAccess.AWAITING_QUORUM_READ) {
             return;
@@ -130,11 +133,11 @@
         }
     }
 
-    /** A newer state is committed. */
+    /** Publishes the configuration of a newly committed state, if it is newer. */
     public void onCommitted(SystemState committed, Origin origin) {
-        boolean newer = committed.configurationVersion() > state.configurationVersion();
+        boolean isNewer = committed.configurationVersion() > state.configurationVersion();
         state = committed;
-        if (!newer) {
+        if (!isNewer) {
             return;
         }
         configurationSender.add(committed.configurationVersion(), committed.configuration());
@@ -159,14 +162,14 @@
         return routers.get(router) == ConfigurationAccess.ALLOWED;
     }
 
-    /** A router could not apply the delta that it was sent. */
+    /** Sends the complete configuration to a router that could not apply a delta. */
     public void onFetchConfiguration(PeerConnection router) {
         if (isAllowed(router)) {
             configurationSender.sendComplete(router);
         }
     }
 
-    /** Sends the routers what has changed in the registry since the last call. */
+    /** Sends the routers the changes in the registry since the last call. */
     public void sendInstances() {
         if (registry.revision() == sentInstancesRevision) {
             return;
@@ -184,33 +187,39 @@
         routers.keySet().forEach(router -> router.sendFrame(frame));
     }
 
-    /** A router holds that version of the configuration. */
+    /** Records that a router holds the given version of the configuration. */
     public void onConfigurationAck(PeerConnection router, long version) {
-        boolean first = configurationAcks.acknowledgedBy(router).isEmpty();
+        boolean isFirstAck = configurationAcks.acknowledgedBy(router).isEmpty();
         configurationAcks.onAcknowledged(router, version);
         finishWaits();
-        if (first) {
+        if (isFirstAck) {
             sendConfiguration(router);
         }
     }
 
-    /** A router holds that revision of the instances. */
+    /** Records that a router holds the given revision of the instances. */
     public void onInstancesAck(PeerConnection router, long revision) {
         instanceAcks.onAcknowledged(router, revision);
         finishWaits();
     }
 
-    /** Done when all connected routers hold the version of the configuration, or after the timeout; never fails. */
+    /**
+     * Returns a future that completes when all connected routers hold the given version of the configuration, or after
+     * the timeout. It never fails.
+     */
     public CompletableFuture<Void> awaitConfiguration(long version, long timeoutNanos) {
-        if (loop.nanoTime() - startedAtNanos < ROUTERS_CONNECT_NANOS) {
-            CompletableFuture<Void> timeoutOver = new CompletableFuture<>();
-            loop.schedule(timeoutNanos, () -> timeoutOver.complete(null));
-            return timeoutOver;
+        if (loop.nanoTime() - startedAtNanos < ROUTER_RECONNECT_TIME_NANOS) {
+            CompletableFuture<Void> timeoutPassed = new CompletableFuture<>();
+            loop.schedule(timeoutNanos, () -> timeoutPassed.complete(null));
+            return timeoutPassed;
         }
         return await(configurationAcks, version, timeoutNanos);
     }
 
-    /** Done when all connected routers hold the revision of the instances, or after the timeout; never fails. */
+    /**
+     * Returns a future that completes when all connected routers hold the given revision of the instances, or after the
+     * timeout. It never fails.
+     */
     public CompletableFuture<Void> awaitInstances(long revision, long timeoutNanos) {
         return await(instanceAcks, revision, timeoutNanos);
     }
--- a/controller/src/main/java/burlarch/controller/instances/InstanceReplicator.java
+++ b/controller/src/main/java/burlarch/controller/instances/InstanceReplicator.java
@@ -13,11 +13,11 @@
 import java.util.List;
 
 /**
- * Replicates the announcements of instances between controllers and to routers. Runs on the event loop.
+ * Replicator of instance announcements between controllers and to routers. Runs on the event loop.
  *
  * <p>Changes are sent at once. Heartbeats without a change are sent in batches, so that each controller knows which
- * instances were heard from. Without contact to a quorum replication goes on, to whoever is reachable, but no instance
- * is expired: what isn't heard here may be heard elsewhere.
+ * instances are alive. Without contact to a quorum, replication to the reachable nodes continues but no instance
+ * expires, because an instance that sends no heartbeats to this controller may send them to another.
  */
 public final class InstanceReplicator {
     private static final long BATCH_DELAY_NANOS = 250_000_000;
@@ -28,8 +28,8 @@
     private final InstanceRegistry registry;
     private final ControllerPeers peers;
     private final RouterPublisher publisher;
-    private final QuorumContactMonitor quorum;
-    /** Heartbeats for the next batch. A batch is scheduled exactly while there are any. */
+    private final QuorumContactMonitor quorumContact;
+    /** Heartbeats for the next batch. A batch is scheduled if and only if the list is not empty. */
     private List<Instance> heartbeats = new ArrayList<>();
 
     /** Schedules the first expiry check. */
@@ -38,19 +38,20 @@
             InstanceRegistry registry,
             ControllerPeers peers,
             RouterPublisher publisher,
-            QuorumContactMonitor quorum) {
+            QuorumContactMonitor quorumContact) {
         this.loop = loop;
         this.registry = registry;
         this.peers = peers;
         this.publisher = publisher;
-        this.quorum = quorum;
+        this.quorumContact = quorumContact;
         loop.schedule(EXPIRY_CHECK_PERIOD_NANOS, this::onExpiryTimer);
     }
 
     /**
-     * An instance announces itself at this controller.
+     * Handles an instance's announcement at this controller.
      *
-     * @return whether the registry knows the instance now, by this announcement or by a newer one; false if it is full
+     * @return whether the registry contains the instance, from this announcement or a newer one; false if the registry
+     *     is full
      */
     public boolean announce(Instance instance) {
         InstanceRegistry.AnnouncementResult result = registry.announce(instance, loop.nanoTime());
@@ -80,27 +81,30 @@
         heartbeats = new ArrayList<>();
     }
 
-    /** An instance announces its end at this controller. */
+    /** Handles an instance's announcement, at this controller, that it ends. */
     public void onLeft(String id) {
         Instance left = registry.leave(id, loop.nanoTime());
         peers.sendAll(new NodeMessage.InstanceAnnouncements(List.of(left)));
         publisher.sendInstances();
     }
 
-    /** Another controller has heard from these instances. */
+    /** Merges announcements that another controller has received. */
     public void onPeerAnnounced(Collection<Instance> instances) {
         registry.merge(instances, loop.nanoTime());
         publisher.sendInstances();
     }
 
-    /** Another controller is disconnected: its instances need time to turn to another one before they expire. */
+    /**
+     * Restarts the grace period after another controller disconnected, because its instances need time to switch to
+     * another controller before they expire.
+     */
     public void onPeerLost() {
         registry.restartGrace(loop.nanoTime());
     }
 
     /**
-     * Sends a newly connected controller what it may have missed. Called for each of the two connections between two
-     * controllers, because either may be established first.
+     * Sends a newly connected controller the known instances, because it may have missed announcements. Called for each
+     * of the two connections between two controllers, because either may be established first.
      */
     public void sendSnapshot(PeerConnection controller) {
         List<Instance> known = registry.selfReported();
@@ -115,10 +119,13 @@
         loop.schedule(EXPIRY_CHECK_PERIOD_NANOS, this::onExpiryTimer);
     }
 
-    /** Expires the instances whose heartbeats are overdue; notices too if this process itself stood still. */
+    /**
+     * Expires the instances whose heartbeats are overdue. Called also before a router is sent the instances, so that a
+     * pause of this process is noticed first.
+     */
     public void expireOverdue() {
         long now = loop.nanoTime();
-        if (!quorum.hasContact()) {
+        if (!quorumContact.hasContact()) {
             registry.restartGrace(now);
         }
         registry.expire(now);
--- a/controller/src/main/java/burlarch/controller/instances/package-info.java
+++ b/controller/src/main/java/burlarch/controller/instances/package-info.java
@@ -1,9 +1,9 @@
 /**
- * The instances that serve requests, as this controller and the others hear of them.
+ * The replicated registry of instances that serve requests.
  *
- * <p>Job: take heartbeats, drains and ends of instances, replicate them to the other controllers and to routers, and
- * expire instances that are not heard from. Thread: the controller's event loop. Owner of the state: the
- * {@link burlarch.coordination.registry.InstanceRegistry} of this controller, in memory only; after a start it is
- * filled by heartbeats and by the other controllers.
+ * <p>Job: receive heartbeats, drains and ends of instances, replicate them to the other controllers and to routers, and
+ * expire instances whose heartbeats are overdue. Thread: the controller's event loop. Owner of the state: the {@link
+ * burlarch.coordination.registry.InstanceRegistry} of this controller, in memory only. After a start it is rebuilt from
+ * heartbeats and from the other controllers.
  */
 package burlarch.controller.instances;
--- a/controller/src/main/java/burlarch/controller/ownership/LeaseHolderMonitor.java
+++ b/controller/src/main/java/burlarch/controller/ownership/LeaseHolderMonitor.java
@@ -9,19 +9,19 @@
 import java.util.Optional;
 
 /**
- * Says whether the holder of a lease is alive, and which controllers could hold it. Runs on the event loop and has no
- * state of its own.
+ * Liveness check for lease holders; also lists the controllers that are eligible to hold a lease. Runs on the event
+ * loop and has no state of its own.
  *
- * <p>A holder is lost if it has announced its shutdown, or if membership says that it is dead and this process can't
- * reach it either. That routers can still reach it doesn't count: without the other controllers it has no quorum and
- * can't act.
+ * <p>A holder is not alive if it has announced its shutdown, or if membership reports it as dead and this process isn't
+ * connected to it. Routers that still reach it don't matter: without the other controllers it has no quorum and can't
+ * act.
  */
 final class LeaseHolderMonitor {
     private static final char ADDRESS_SEPARATOR = '@';
     /**
-     * A controller that is out of reach for a shorter time may only be slow and keeps its roles. A restarted controller
-     * loses the roles of its former process this long after it is connected again, when controllers that start
-     * together have all connected.
+     * A controller that is unreachable for a shorter time may only be slow and keeps its roles. A restarted controller
+     * loses the roles of its previous process this long after it reconnects; by then, controllers that started together
+     * have all connected.
      */
     private static final long UNREACHABLE_GRACE_NANOS = 1_000_000_000;
 
@@ -35,12 +35,12 @@
         this.ownAddress = ownAddress;
     }
 
-    /** The name of a process as the holder of a lease: unique for each start, and ending in its address. */
+    /** The holder name of a process: unique for each start, and ending with the process's address. */
     static String holderName(String processName, String address) {
         return processName + ADDRESS_SEPARATOR + address;
     }
 
-    /** Whether the holder, which is another process than this one, is alive. */
+    /** Whether the holder is alive. The holder must not be this process. */
     boolean isAlive(String holder, long nowNanos) {
         int separator = holder.lastIndexOf(ADDRESS_SEPARATOR);
         String address = holder.substring(separator + 1);
@@ -64,7 +64,7 @@
         return peers.allConnected();
     }
 
-    /** The addresses of the controllers that could hold a lease, including this one. */
+    /** The addresses of the controllers that are eligible to hold a lease, including this one. */
     List<String> candidates() {
         List<String> candidates = new ArrayList<>(peers.connectedAddresses());
         candidates.removeIf(membershipView::hasLeft);
--- a/controller/src/main/java/burlarch/controller/ownership/LeaseManager.java
+++ b/controller/src/main/java/burlarch/controller/ownership/LeaseManager.java
@@ -19,49 +19,50 @@
 import org.tinylog.Logger;
 
 /**
- * Keeps the lease of one singleton role with one live controller. Runs on the event loop.
+ * Manager of the lease of one singleton role: claims, confirms and releases it for this process. Runs on the event
+ * loop.
  *
- * <p>The controller that rendezvous hashing assigns the role to claims the lease ahead of need, so that the former
- * holder's lease has expired by the time there is work. While there is work, the holder has the register confirm the
- * lease.
+ * <p>The controller that rendezvous hashing assigns the role to claims the lease before there is work, so that the
+ * previous holder's lease has expired when work arrives. While there is work, the holder confirms the lease by reading
+ * the register.
  *
  * <table>
- * <caption>What happens in which state of the lease ({@link LeaseState})</caption>
- * <tr><th>state</th><th>at each check</th><th>to</th></tr>
- * <tr><td>UNCLAIMED</td><td>the register names this process and there is work, or the role is assigned to this
- * controller: claim</td><td>CLAIMING</td></tr>
+ * <caption>Actions by state of the lease ({@link LeaseState})</caption>
+ * <tr><th>state</th><th>action at each check</th><th>to</th></tr>
+ * <tr><td>UNCLAIMED</td><td>claim, if the register names this process and there is work, or if the role is assigned to
+ * this controller</td><td>CLAIMING</td></tr>
  * <tr><td>CLAIMING</td><td>wait for the register's result</td><td>AWAITING_EXPIRY, OWNED; UNCLAIMED if the claim
  * failed</td></tr>
  * <tr><td>AWAITING_EXPIRY, OWNED</td><td>there is work and confirmation is due: read the register</td><td>OWNED; LOST
  * if another holder is shown or a lease passed without confirmation; UNCLAIMED if an engine rejects the token</td></tr>
- * <tr><td>LOST</td><td>release, then as UNCLAIMED</td><td>UNCLAIMED</td></tr>
+ * <tr><td>LOST</td><td>release, then act as in UNCLAIMED</td><td>UNCLAIMED</td></tr>
  * </table>
  *
- * <p>Invariant <em>one holder acts</em>: see {@link OwnershipLease}. Invariant <em>one request</em>: at most one claim
- * or confirmation of this manager is in flight.
+ * <p>Invariant <em>one holder acts</em>: see {@link OwnershipLease}. Invariant <em>one request in flight</em>: this
+ * manager has at most one outstanding claim or confirmation.
  */
 public final class LeaseManager {
     private static final long CHECK_PERIOD_NANOS = 200_000_000;
-    /** How long after its start, or after it was cut off, a controller may not yet be connected to all live others. */
+    /** Time after a start or a network partition during which connections to live controllers may still be missing. */
     private static final long DISCOVERY_NANOS = 1_500_000_000;
 
     private static final long NO_TOKEN = -1;
 
-    /** The request to the register that is in flight. */
+    /** The request to the register that is outstanding. */
     private enum Request {
         NONE,
         CLAIM,
         CONFIRMATION
     }
 
-    /** What the role was notified of last. */
+    /** The state that the role was last notified of. */
     private enum RoleState {
         INACTIVE,
         ACTIVE
     }
 
     /**
-     * Which lease, and who claims it.
+     * The lease to manage and the process that claims it.
      *
      * @param roleKey key of the role in the register
      * @param ownAddress IP:PORT of this process
@@ -72,8 +73,8 @@
 
     private final EventLoop loop;
     private final RegisterClient register;
-    private final LeaseHolderMonitor holders;
-    private final QuorumContactMonitor quorum;
+    private final LeaseHolderMonitor holderMonitor;
+    private final QuorumContactMonitor quorumContact;
     private final String roleKey;
     private final String ownAddress;
     private final String holderName;
@@ -81,9 +82,10 @@
     private final SingletonRole role;
     private Request request = Request.NONE;
     private RoleState roleState = RoleState.INACTIVE;
-    /** The token under which this process became the holder last, and when. */
+    /** The fencing token with which this process last became the holder; {@link #NO_TOKEN} if it never did. */
     private long ownToken = NO_TOKEN;
 
+    /** Time at which this process last became the holder, moved back if there was no lease to wait out. */
     private long holderSinceNanos;
 
     /** Schedules the first check. */
@@ -92,13 +94,13 @@
             RegisterClient register,
             ControllerPeers peers,
             ControllerMembershipView membershipView,
-            QuorumContactMonitor quorum,
+            QuorumContactMonitor quorumContact,
             Settings settings,
             SingletonRole role) {
         this.loop = loop;
         this.register = register;
-        holders = new LeaseHolderMonitor(peers, membershipView, settings.ownAddress());
-        this.quorum = quorum;
+        holderMonitor = new LeaseHolderMonitor(peers, membershipView, settings.ownAddress());
+        this.quorumContact = quorumContact;
         roleKey = settings.roleKey();
         ownAddress = settings.ownAddress();
         holderName = LeaseHolderMonitor.holderName(settings.processName(), settings.ownAddress());
@@ -107,17 +109,17 @@
         loop.schedule(CHECK_PERIOD_NANOS, this::check);
     }
 
-    /** The name of this process as the holder. */
+    /** The holder name of this process. */
     public String holderName() {
         return holderName;
     }
 
-    /** Whether the role may act now; to be asked before each act. */
+    /** Whether the role may act now. Must be checked before each action. */
     public boolean mayAct() {
         return lease.mayAct(loop.nanoTime());
     }
 
-    /** An engine has rejected this holder's token because it has seen a higher one. */
+    /** Releases the lease after an engine rejected its fencing token because it has seen a higher one. */
     public void onFenced() {
         if (lease.state().isGranted()) {
             lease.release();
@@ -125,17 +127,17 @@
         }
     }
 
-    /** Checks soon whether there is work, instead of at the next period. */
+    /** Schedules a check on the event loop now, instead of at the next period. */
     public void wake() {
-        loop.execute(this::evaluate);
+        loop.execute(this::checkLease);
     }
 
     private void check() {
         loop.schedule(CHECK_PERIOD_NANOS, this::check);
-        evaluate();
+        checkLease();
     }
 
-    private void evaluate() {
+    private void checkLease() {
         lease.onTimer(loop.nanoTime());
         if (lease.state() == LeaseState.LOST) {
             lease.release();
@@ -147,16 +149,16 @@
     }
 
     private void requestIfDue() {
-        boolean work = role.hasWork();
+        boolean hasWork = role.hasWork();
         switch (lease.state()) {
             case UNCLAIMED -> {
-                boolean holder = isHolder(register.committedState());
-                if (holder ? work : isAssignedHere()) {
+                boolean isCurrentHolder = isHolder(register.committedState());
+                if (isCurrentHolder ? hasWork : isAssignedHere()) {
                     claim();
                 }
             }
             case AWAITING_EXPIRY, OWNED -> {
-                if (work && loop.nanoTime() - lease.confirmByNanos() >= 0) {
+                if (hasWork && loop.nanoTime() - lease.confirmByNanos() >= 0) {
                     confirm();
                 }
             }
@@ -165,35 +167,36 @@
     }
 
     private boolean isHolder(SystemState state) {
-        Lease known = state.owners().get(roleKey);
-        return known != null && known.holder().equals(holderName);
+        Lease current = state.owners().get(roleKey);
+        return current != null && current.holder().equals(holderName);
     }
 
     /**
-     * Whether the role falls to this controller: its holder is lost, and rendezvous hashing over the live controllers
-     * selects this one. A controller that is cut off from the others can't tell.
+     * Whether this controller should take the role: its holder is not alive, and rendezvous hashing over the live
+     * controllers selects this one. A controller that is partitioned from the others can't know this and returns false.
      */
     private boolean isAssignedHere() {
-        Lease known = register.committedState().owners().get(roleKey);
-        if (known != null && holders.isAlive(known.holder(), loop.nanoTime()) || isDiscovering()) {
+        Lease current = register.committedState().owners().get(roleKey);
+        if (current != null && holderMonitor.isAlive(current.holder(), loop.nanoTime()) || isDiscovering()) {
             return false;
         }
-        RendezvousAssignment assignment = new RendezvousAssignment(holders.candidates(), List.of(roleKey));
+        RendezvousAssignment assignment = new RendezvousAssignment(holderMonitor.candidates(), List.of(roleKey));
         return assignment.ownerOf(roleKey).filter(ownAddress::equals).isPresent();
     }
 
-    /** Whether this controller may not yet know all live controllers. */
+    /** Whether this controller may not yet be connected to all live controllers. */
     private boolean isDiscovering() {
-        return !quorum.hasContact() || !quorum.hasContactFor(DISCOVERY_NANOS) && !holders.allControllersConnected();
+        return !quorumContact.hasContact()
+                || !quorumContact.hasContactFor(DISCOVERY_NANOS) && !holderMonitor.allControllersConnected();
     }
 
-    /** The claim as a change of the state; remembers the holder before it when it was applied last. */
+    /** The claim as a state change; records the previous holder in the state that it was last applied to. */
     private final class Claim implements Function<SystemState, ChangeResult> {
-        private Optional<String> formerHolder = Optional.empty();
+        private Optional<String> previousHolder = Optional.empty();
 
         @Override
         public ChangeResult apply(SystemState state) {
-            formerHolder = Optional.ofNullable(state.owners().get(roleKey)).map(Lease::holder);
+            previousHolder = Optional.ofNullable(state.owners().get(roleKey)).map(Lease::holder);
             return StateChanges.takeOwnership(state, roleKey, holderName);
         }
     }
@@ -210,11 +213,11 @@
                 lease.onClaimFailed();
                 return;
             }
-            onClaimed(state.owners().get(roleKey), claim.formerHolder, requestedAtNanos);
+            onClaimed(state.owners().get(roleKey), claim.previousHolder, requestedAtNanos);
         });
     }
 
-    private void onClaimed(Lease claimed, Optional<String> formerHolder, long requestedAtNanos) {
+    private void onClaimed(Lease claimed, Optional<String> previousHolder, long requestedAtNanos) {
         long now = loop.nanoTime();
         if (claimed == null || !claimed.holder().equals(holderName)) {
             lease.onClaimFailed();
@@ -222,12 +225,15 @@
         }
         if (claimed.token() != ownToken) {
             ownToken = claimed.token();
-            // Without a former holder there is no lease to wait out.
-            holderSinceNanos = formerHolder.isEmpty() ? now - lease.takeoverWaitNanos() : now;
+            // Without a previous holder there is no lease whose expiry must be awaited.
+            holderSinceNanos = previousHolder.isEmpty() ? now - lease.takeoverWaitNanos() : now;
         }
-        boolean waitedOut = now - holderSinceNanos >= lease.takeoverWaitNanos();
+        boolean previousLeaseExpired = now - holderSinceNanos >= lease.takeoverWaitNanos();
         lease.onClaimAccepted(
-                claimed.token(), waitedOut ? Optional.empty() : Optional.of("another"), requestedAtNanos, now);
+                claimed.token(),
+                previousLeaseExpired ? Optional.empty() : Optional.of("another"),
+                requestedAtNanos,
+                now);
         Logger.info("lease claimed: role={} token={}", roleKey, claimed.token());
         updateRole();
     }
@@ -238,16 +244,16 @@
         register.read().whenComplete((state, failure) -> {
             request = Request.NONE;
             if (failure == null) {
-                Lease shown = state.owners().get(roleKey);
-                if (shown != null) {
-                    lease.onRegisterRead(shown.holder(), shown.token(), requestedAtNanos);
+                Lease confirmed = state.owners().get(roleKey);
+                if (confirmed != null) {
+                    lease.onRegisterRead(confirmed.holder(), confirmed.token(), requestedAtNanos);
                 }
             }
             updateRole();
         });
     }
 
-    /** Notifies the role when {@link #mayAct} has changed; the one place where the role's state changes. */
+    /** Notifies the role if {@link #mayAct} has changed. Only this method changes {@link #roleState}. */
     private void updateRole() {
         RoleState next = mayAct() ? RoleState.ACTIVE : RoleState.INACTIVE;
         if (next == roleState) {
--- a/controller/src/main/java/burlarch/controller/ownership/SingletonRole.java
+++ b/controller/src/main/java/burlarch/controller/ownership/SingletonRole.java
@@ -1,17 +1,18 @@
 package burlarch.controller.ownership;
 
-/** Work that only the holder of a lease may do. Called on the event loop. */
+/** A role whose work only the holder of its lease may do. Called on the event loop. */
 public interface SingletonRole {
-    /** Whether there is work to do; the lease is claimed by its holder and confirmed only while there is. */
+    /** Whether there is work to do. The recorded holder claims and confirms the lease only while there is. */
     boolean hasWork();
 
     /**
-     * This process may act from now on, until {@link #onLost}; before each act it asks {@link LeaseManager#mayAct}.
+     * Called when this process may act, until {@link #onLost}. The role must check {@link LeaseManager#mayAct} before
+     * each action.
      *
      * @param fencingToken higher than the token of every earlier holder
      */
     void onAcquired(long fencingToken);
 
-    /** This process may no longer act. */
+    /** Called when this process may no longer act. */
     void onLost();
 }
--- a/controller/src/main/java/burlarch/controller/peers/ControllerMembershipView.java
+++ b/controller/src/main/java/burlarch/controller/peers/ControllerMembershipView.java
@@ -10,21 +10,22 @@
 import java.util.Optional;
 
 /**
- * What membership says of the other controllers, by address. Runs on the controller's event loop; in memory only.
+ * The membership states of the other controllers, indexed by address. Used on the controller's event loop; in memory
+ * only.
  *
- * <p>An address passes from one process to its successor, so each entry names the process it speaks of. Invariant
- * <em>successor unharmed</em>: the end of a process never changes the entry of another process at the same address.
+ * <p>A restarted process reuses the address of its predecessor, so each entry records its process. Invariant
+ * <em>successor unaffected</em>: the end of a process never changes the entry of another process at the same address.
  */
 public final class ControllerMembershipView {
-    /** When full, the oldest entry of an ended process is evicted, or else the oldest entry. */
+    /** Limit of entries. When full, the oldest entry of an ended process is evicted, or else the oldest entry. */
     private static final int MAX_CONTROLLERS = 64;
 
     private record KnownProcess(long processId, MemberState state) {}
 
-    /** The least recently updated first. */
+    /** Ordered by last update, least recent first. */
     private final Map<String, KnownProcess> byAddress = new LinkedHashMap<>();
 
-    /** Takes the changes of controllers and ignores those of other roles. */
+    /** Applies membership changes of controllers and ignores those of other roles. */
     public void onChanges(List<MemberChange> changes) {
         for (MemberChange change : changes) {
             if (change.member().role().equals(NodeRoles.CONTROLLER)) {
@@ -35,8 +36,8 @@
 
     private void update(MemberInfo member, MemberState state) {
         long processId = member.processId();
-        KnownProcess before = byAddress.get(member.address());
-        if (!state.isLive() && before != null && before.processId != processId) {
+        KnownProcess existing = byAddress.get(member.address());
+        if (!state.isLive() && existing != null && existing.processId != processId) {
             return;
         }
         byAddress.remove(member.address());
@@ -57,9 +58,9 @@
     /** The state of the process with that incarnation at the address; empty if no such process is known there. */
     public Optional<MemberState> stateOf(String address, String incarnation) {
         KnownProcess known = byAddress.get(address);
-        boolean same =
+        boolean sameProcess =
                 known != null && ProcessIncarnations.toText(known.processId).equals(incarnation);
-        return same ? Optional.of(known.state) : Optional.empty();
+        return sameProcess ? Optional.of(known.state) : Optional.empty();
     }
 
     /** Whether the newest known process at the address has announced its shutdown. */
--- a/controller/src/main/java/burlarch/controller/peers/ControllerPeers.java
+++ b/controller/src/main/java/burlarch/controller/peers/ControllerPeers.java
@@ -15,8 +15,8 @@
 import java.util.TreeMap;
 
 /**
- * The other controllers: their addresses, from the seeds and from what controllers tell one another, each with the
- * connection that this process opened. Runs on the controller's event loop; in memory only.
+ * Bounded table of the other controllers, with the connection that this process opened to each. Addresses come from the
+ * seeds and from the status messages of other controllers. Runs on the controller's event loop; in memory only.
  *
  * <table>
  * <caption>Connectivity of a peer</caption>
@@ -24,18 +24,17 @@
  * <tr><td></td><td>its address is learned</td><td>NEVER_CONNECTED</td></tr>
  * <tr><td>any</td><td>{@link #onConnected} with an outbound connection</td><td>CONNECTED</td></tr>
  * <tr><td>CONNECTED</td><td>{@link #onDisconnected} with that connection</td><td>DISCONNECTED</td></tr>
- * <tr><td>NEVER_CONNECTED, DISCONNECTED</td><td>another address needs its place, and it is no
- * acceptor</td><td>forgotten
- * </td></tr>
+ * <tr><td>NEVER_CONNECTED, DISCONNECTED</td><td>the table is full, and the peer is not an
+ * acceptor</td><td>evicted</td></tr>
  * </table>
  *
- * <p>Invariant <em>acceptors are never forgotten</em>: the addresses of {@link #retainAcceptors} stay, whatever else is
- * learned, because without them no quorum can be reached.
+ * <p>Invariant <em>acceptors are never evicted</em>: the addresses of {@link #retainAcceptors} are kept, because
+ * without them no quorum can be reached.
  */
 public final class ControllerPeers {
-    /** The most known peers; when full, the one that has been out of reach for longest is forgotten. */
+    /** Limit of known peers; when full, the one that has been unreachable for longest is evicted. */
     static final int MAX_PEERS = 32;
-    /** How long after its connection was lost a peer's address is still told to others. */
+    /** Time after the loss of its connection for which a peer's address is still advertised. */
     private static final long ADVERTISED_AFTER_LOSS_NANOS = 60_000_000_000L;
 
     private enum Connectivity {
@@ -44,7 +43,7 @@
         DISCONNECTED
     }
 
-    /** What a controller says of its acceptor; {@code TAKES_PART} until it says otherwise. */
+    /** The status that a controller reports for its acceptor; {@code TAKES_PART} until it reports otherwise. */
     private enum AcceptorStatus {
         TAKES_PART,
         ABSTAINS
@@ -53,12 +52,14 @@
     private static final class Peer {
         private Connectivity connectivity = Connectivity.NEVER_CONNECTED;
         private long changedAtNanos;
-        /** Of the process that was connected last; empty before the first connection. */
+        /** Storage identity of the process that was connected last; empty before the first connection. */
         private String storageId = "";
 
+        /** Incarnation of the process that was connected last; empty before the first connection. */
         private String incarnation = "";
-        private AcceptorStatus acceptor = AcceptorStatus.TAKES_PART;
-        private long acceptorSinceNanos;
+
+        private AcceptorStatus acceptorStatus = AcceptorStatus.TAKES_PART;
+        private long acceptorStatusSinceNanos;
         /** Not null exactly while CONNECTED. */
         private PeerConnection connection;
 
@@ -71,9 +72,9 @@
         }
 
         private void onAcceptorStatus(AcceptorStatus status, long nowNanos) {
-            if (status != acceptor) {
-                acceptor = status;
-                acceptorSinceNanos = nowNanos;
+            if (status != acceptorStatus) {
+                acceptorStatus = status;
+                acceptorStatusSinceNanos = nowNanos;
             }
         }
 
@@ -82,13 +83,13 @@
             if (!isConnected()) {
                 return Candidate.ofUnreachable(member, changedAtNanos);
             }
-            return acceptor == AcceptorStatus.ABSTAINS
-                    ? Candidate.ofAbstaining(member, acceptorSinceNanos)
+            return acceptorStatus == AcceptorStatus.ABSTAINS
+                    ? Candidate.ofAbstaining(member, acceptorStatusSinceNanos)
                     : Candidate.ofReachable(member, changedAtNanos);
         }
 
-        /** The one place where the connectivity changes. */
-        private void become(Connectivity next, PeerConnection newConnection, long nowNanos) {
+        /** Sets the connectivity. Only this method changes it. */
+        private void setConnectivity(Connectivity next, PeerConnection newConnection, long nowNanos) {
             connectivity = next;
             connection = newConnection;
             changedAtNanos = nowNanos;
@@ -98,58 +99,64 @@
     private final EventLoop loop;
     private final PeerConnections connections;
     private final String ownAddress;
-    /** In the order of addresses, which is the order in which peers are sent to. */
+    /** Ordered by address; messages to all peers are sent in this order. */
     private final Map<String, Peer> peers = new TreeMap<>();
 
     private Set<String> acceptorAddresses = Set.of();
 
-    /** @param ownAddress IP:PORT of this process, which is never one of the peers */
+    /** @param ownAddress IP:PORT of this process, which is never in the table */
     public ControllerPeers(EventLoop loop, PeerConnections connections, String ownAddress) {
         this.loop = loop;
         this.connections = connections;
         this.ownAddress = ownAddress;
     }
 
-    /** Connects to the addresses that were not known. */
+    /**
+     * Adds and connects to the addresses that are not known yet. Ignores the own address, and new addresses while no
+     * peer can be evicted.
+     */
     public void addAddresses(Collection<String> addresses) {
         for (String address : addresses) {
-            if (!address.equals(ownAddress) && !peers.containsKey(address) && makeRoom()) {
+            if (!address.equals(ownAddress) && !peers.containsKey(address) && evictIfFull()) {
                 peers.put(address, new Peer(loop.nanoTime()));
                 connections.connect(LiteralAddresses.parse(address));
             }
         }
     }
 
-    /** Learns the addresses of the acceptors; none of them is forgotten before the next call. */
+    /** Sets and adds the addresses of the acceptors; none of them is evicted before the next call. */
     public void retainAcceptors(Collection<String> acceptors) {
         acceptorAddresses = Set.copyOf(acceptors);
         addAddresses(acceptors);
     }
 
     /**
-     * Forgets the peer that has been out of reach for longest if there are too many; false if none may be forgotten.
+     * Evicts the peer that has been unreachable for longest if the table is full. Returns whether there is room for a
+     * new peer.
      */
-    private boolean makeRoom() {
+    private boolean evictIfFull() {
         if (peers.size() < MAX_PEERS) {
             return true;
         }
-        String longest = null;
+        String evictionCandidate = null;
         for (Map.Entry<String, Peer> entry : peers.entrySet()) {
             Peer peer = entry.getValue();
-            boolean forgettable = !peer.isConnected() && !acceptorAddresses.contains(entry.getKey());
-            if (forgettable && (longest == null || peer.changedAtNanos - peers.get(longest).changedAtNanos < 0)) {
-                longest = entry.getKey();
+            boolean evictable = !peer.isConnected() && !acceptorAddresses.contains(entry.getKey());
+            if (evictable
+                    && (evictionCandidate == null
+                            || peer.changedAtNanos - peers.get(evictionCandidate).changedAtNanos < 0)) {
+                evictionCandidate = entry.getKey();
             }
         }
-        if (longest == null) {
+        if (evictionCandidate == null) {
             return false;
         }
-        peers.remove(longest);
-        connections.disconnect(LiteralAddresses.parse(longest));
+        peers.remove(evictionCandidate);
+        connections.disconnect(LiteralAddresses.parse(evictionCandidate));
         return true;
     }
 
-    /** A connection to or from a controller is established. */
+    /** Handles a new connection to or from a controller. */
     public void onConnected(PeerConnection connection) {
         NodeMessage.Hello hello = connection.peerHello();
         addAddresses(List.of(hello.address()));
@@ -160,11 +167,11 @@
             }
             peer.storageId = hello.storage();
             peer.incarnation = hello.incarnation();
-            peer.become(Connectivity.CONNECTED, connection, loop.nanoTime());
+            peer.setConnectivity(Connectivity.CONNECTED, connection, loop.nanoTime());
         }
     }
 
-    /** A controller says over a connection whether its acceptor abstains. */
+    /** Handles a controller's report on whether its acceptor abstains. */
     public void onAcceptorStatus(PeerConnection connection, boolean abstains) {
         NodeMessage.Hello hello = connection.peerHello();
         Peer peer = peers.get(hello.address());
@@ -173,15 +180,15 @@
         }
     }
 
-    /** A connection to or from a controller is lost. */
+    /** Handles the loss of a connection to or from a controller. */
     public void onDisconnected(PeerConnection connection) {
         Peer peer = peers.get(connection.peerHello().address());
         if (peer != null && peer.connection == connection) {
-            peer.become(Connectivity.DISCONNECTED, null, loop.nanoTime());
+            peer.setConnectivity(Connectivity.DISCONNECTED, null, loop.nanoTime());
         }
     }
 
-    /** Sends to one controller; the message is dropped if it is not connected. */
+    /** Sends a message to one controller; drops it if the controller is not connected. */
     public void send(String address, NodeMessage message) {
         Peer peer = peers.get(address);
         if (peer != null && peer.isConnected()) {
@@ -189,7 +196,7 @@
         }
     }
 
-    /** Sends to all connected controllers. */
+    /** Sends a message to all connected controllers. */
     public void sendAll(NodeMessage message) {
         byte[] frame = connections.codec().encode(message);
         for (Peer peer : peers.values()) {
@@ -205,7 +212,7 @@
         return address.equals(ownAddress) || peer != null && peer.isConnected();
     }
 
-    /** The incarnation of the process that was connected last at the address; empty if there was none. */
+    /** The incarnation of the process that was last connected at the address; empty if there was none. */
     public String incarnationAt(String address) {
         Peer peer = peers.get(address);
         return peer == null ? "" : peer.incarnation;
@@ -216,13 +223,16 @@
         return connectedAddresses().size() == peers.size();
     }
 
-    /** When the controller was connected or lost, in nanoseconds of the loop's clock; 0 if its address is unknown. */
+    /**
+     * Time of the last change of the controller's connectivity, in nanoseconds of the loop's clock; 0 if its address is
+     * unknown.
+     */
     public long connectivityChangedAtNanos(String address) {
         Peer peer = peers.get(address);
         return peer == null ? 0 : peer.changedAtNanos;
     }
 
-    /** The addresses of the connected controllers in order, without the own one. */
+    /** The addresses of the connected controllers in ascending order, without the own one. */
     public List<String> connectedAddresses() {
         List<String> connected = new ArrayList<>();
         peers.forEach((address, peer) -> {
@@ -234,9 +244,9 @@
     }
 
     /**
-     * The addresses that others are told: the own one, the acceptors, and peers that are or recently were connected.
-     * Addresses that were only heard of are left out, because controllers would otherwise keep a dead address alive by
-     * telling it to one another.
+     * The addresses to advertise to other nodes: the own one, the acceptors, and peers that are or recently were
+     * connected. Addresses to which there never was a connection are left out, because controllers would otherwise keep
+     * a dead address alive by advertising it to one another.
      */
     public List<String> advertisedAddresses() {
         List<String> advertised = new ArrayList<>();
@@ -255,7 +265,7 @@
                 && nowNanos - peer.changedAtNanos < ADVERTISED_AFTER_LOSS_NANOS;
     }
 
-    /** The acceptors of all known controllers, from which the acceptor set is planned. */
+    /** The acceptors of all known controllers, as candidates for the acceptor set. */
     public List<Candidate> candidates() {
         List<Candidate> candidates = new ArrayList<>();
         peers.forEach((address, peer) -> {
--- a/controller/src/main/java/burlarch/controller/peers/ProcessIncarnations.java
+++ b/controller/src/main/java/burlarch/controller/peers/ProcessIncarnations.java
@@ -2,7 +2,10 @@
 
 import burlarch.node.RandomIds;
 
-/** Numbers that distinguish the starts of one process, and process names that contain them. Pure functions. */
+/**
+ * Utility functions for incarnations, which are random numbers that distinguish the starts of one process, and for
+ * process names that contain them.
+ */
 public final class ProcessIncarnations {
     private static final char SEPARATOR = '-';
 
@@ -13,7 +16,7 @@
         return RandomIds.nonZero();
     }
 
-    /** The incarnation as it stands in messages and names: hexadecimal. */
+    /** The hexadecimal form of an incarnation, as used in messages and names. */
     public static String toText(long incarnation) {
         return Long.toHexString(incarnation);
     }
@@ -23,7 +26,7 @@
         return nodeName + SEPARATOR + incarnation;
     }
 
-    /** The incarnation in a name that {@link #processName} made. */
+    /** Extracts the incarnation from a name that {@link #processName} returned. */
     public static String ofProcessName(String name) {
         return name.substring(name.lastIndexOf(SEPARATOR) + 1);
     }
--- a/controller/src/main/java/burlarch/controller/register/AcceptorDiskMonitor.java
+++ b/controller/src/main/java/burlarch/controller/register/AcceptorDiskMonitor.java
@@ -3,9 +3,9 @@
 import org.tinylog.Logger;
 
 /**
- * Whether this process's acceptor can write to its disk. One that can't, because the disk is full, fails or hangs, does
- * not vote although its process is alive: it abstains, and says so to the other controllers, which may replace it. Runs
- * on the event loop.
+ * State machine that decides, from the results of disk writes, whether this process's acceptor abstains from voting. An
+ * acceptor whose disk is full, fails or hangs can't vote although its process is alive. It abstains and reports that to
+ * the other controllers, which may replace it. Runs on the event loop.
  *
  * <table>
  * <caption>States</caption>
@@ -19,21 +19,20 @@
  * <tr><td>RECOVERING</td><td>{@value #RETURN_AFTER_NANOS} ns have passed</td><td>USABLE</td></tr>
  * </table>
  *
- * <p>Invariant <em>no flapping</em>: between two ends of abstaining lies at least the time of RECOVERING, so
- * that a disk
- * which fails by turns is replaced once.
+ * <p>Invariant <em>no flapping</em>: the acceptor leaves ABSTAINING only through RECOVERING, so an intermittently
+ * failing disk leads to one replacement.
  */
 final class AcceptorDiskMonitor {
-    /** How long the disk thread may go without finishing a task before that counts as a failure. */
+    /** A pending task that the disk thread has not finished after this time counts as a failure. */
     static final long STALL_NANOS = 500_000_000;
     /** How long a disk must be unusable before the acceptor abstains; shorter stalls are ordinary. */
     static final long ABSTAIN_AFTER_NANOS = 1_000_000_000;
     /** How long the disk must be usable again before the acceptor takes part again. */
     static final long RETURN_AFTER_NANOS = 2_000_000_000;
 
-    /** What a task on the disk thread did. */
+    /** Result of one task on the disk thread. */
     enum WriteResult {
-        /** It had nothing to write. */
+        /** The task had nothing to write. */
         NONE,
         SUCCEEDED,
         FAILED
@@ -55,17 +54,17 @@
     private long stateSinceNanos;
     private long abstainingSinceNanos;
     private int pendingTasks;
-    /** When a task ended, or was submitted while none was pending. */
+    /** Time at which a task last ended, or was submitted while none was pending. */
     private long lastProgressNanos;
 
-    /** A task was handed to the disk thread. */
+    /** Records that a task was handed to the disk thread. */
     void onTaskSubmitted(long nowNanos) {
         if (pendingTasks++ == 0) {
             lastProgressNanos = nowNanos;
         }
     }
 
-    /** A task of the disk thread has ended. */
+    /** Records that a task of the disk thread has ended. */
     void onTaskEnded(WriteResult result, long nowNanos) {
         pendingTasks--;
         lastProgressNanos = nowNanos;
@@ -74,33 +73,33 @@
         }
     }
 
-    /** To be called periodically: finds a disk that hangs, and lets time pass in the states. */
+    /** Detects a hanging disk and performs the transitions that are due by time. Must be called periodically. */
     void check(long nowNanos) {
         if (pendingTasks > 0 && nowNanos - lastProgressNanos >= STALL_NANOS) {
             onEvent(Event.FAILURE, nowNanos);
         }
-        long inStateNanos = nowNanos - stateSinceNanos;
-        if (state == State.DOUBTFUL && inStateNanos >= ABSTAIN_AFTER_NANOS) {
+        long timeInStateNanos = nowNanos - stateSinceNanos;
+        if (state == State.DOUBTFUL && timeInStateNanos >= ABSTAIN_AFTER_NANOS) {
             abstainingSinceNanos = nowNanos;
-            moveTo(State.ABSTAINING, nowNanos);
+            transitionTo(State.ABSTAINING, nowNanos);
             Logger.warn("disk cannot be written: acceptor abstains, others may replace it");
-        } else if (state == State.RECOVERING && inStateNanos >= RETURN_AFTER_NANOS) {
-            moveTo(State.USABLE, nowNanos);
+        } else if (state == State.RECOVERING && timeInStateNanos >= RETURN_AFTER_NANOS) {
+            transitionTo(State.USABLE, nowNanos);
             Logger.info("disk can be written again: acceptor takes part again");
         }
     }
 
-    /** Whether the disk should be written to find out about it: it is not known as usable, and nothing is pending. */
+    /** Whether a probe write is needed: the state is not USABLE and no task is pending. */
     boolean needsProbe() {
         return state != State.USABLE && pendingTasks == 0;
     }
 
-    /** Whether the acceptor takes no part. */
+    /** Whether the acceptor abstains from voting. */
     boolean abstains() {
         return state == State.ABSTAINING || state == State.RECOVERING;
     }
 
-    /** Since when it takes no part; only while it does not. */
+    /** Time at which the acceptor began to abstain; valid only while {@link #abstains} is true. */
     long abstainingSinceNanos() {
         return abstainingSinceNanos;
     }
@@ -114,11 +113,11 @@
                     case RECOVERING -> event == Event.FAILURE ? State.ABSTAINING : State.RECOVERING;
                 };
         if (next != state) {
-            moveTo(next, nowNanos);
+            transitionTo(next, nowNanos);
         }
     }
 
-    private void moveTo(State next, long nowNanos) {
+    private void transitionTo(State next, long nowNanos) {
         state = next;
         stateSinceNanos = nowNanos;
     }
--- a/controller/src/main/java/burlarch/controller/register/AcceptorSetReconciler.java
+++ b/controller/src/main/java/burlarch/controller/register/AcceptorSetReconciler.java
@@ -16,32 +16,34 @@
 import org.tinylog.Logger;
 
 /**
- * Keeps the register's acceptor set in line with the controllers that are alive. Runs on the event loop.
+ * Periodic reconciler that changes the register's acceptor set to match the controllers that are alive. Runs on the
+ * event loop.
  *
- * <p>Every controller checks periodically; the first connected one by address acts. The others wait longer the later
- * their address stands, so that they rarely compete. Competition is safe: each change applies only to the set that its
- * proposer has seen.
+ * <p>Every controller checks periodically; the connected controller with the lowest address acts first. Each further
+ * one in the order of addresses waits longer, so that they rarely compete. Competition is safe: each change applies
+ * only to the acceptor set that its proposer has seen.
  *
- * <p>Invariant <em>no unfinished write stays behind</em>. A set change that its proposer left unfinished at some
- * acceptors would need the quorums of both sets when it is found, maybe at a time when the joining acceptors are lost.
- * Therefore, whenever such a write is possible, some value is chosen anew: what is chosen after a write was left either
- * excludes that write or completes it.
+ * <p>Invariant <em>no unfinished write remains</em>. A set change that its proposer left unfinished at some acceptors
+ * needs the quorums of both sets when a later proposal discovers it, possibly after the joining acceptors were lost.
+ * Therefore, whenever an unfinished write may exist, a new value is chosen, which either excludes that write or
+ * completes it.
  *
  * <table>
- * <caption>Whether an older write may still become chosen ({@code WriteHistory})</caption>
+ * <caption>Whether an older, unfinished write may still become chosen ({@code WriteHistory})</caption>
  * <tr><th>event</th><th>to</th></tr>
  * <tr><td>the first committed value after the start is known</td><td>POSSIBLY_UNFINISHED: writes before the start are
  * unknown</td></tr>
  * <tr><td>a newer committed value is known</td><td>SETTLED</td></tr>
- * <tr><td>a connection to another controller is lost</td><td>POSSIBLY_UNFINISHED: it may have been a proposer</td></tr>
- * <tr><td>an own change of the set failed</td><td>POSSIBLY_UNFINISHED</td></tr>
+ * <tr><td>a connection to another controller is lost</td><td>POSSIBLY_UNFINISHED: that controller may have been a
+ * proposer</td></tr>
+ * <tr><td>an acceptor set change by this process failed</td><td>POSSIBLY_UNFINISHED</td></tr>
  * </table>
  */
 final class AcceptorSetReconciler {
     private static final long CHECK_PERIOD_NANOS = 250_000_000;
-    /** How long an acceptor is out of reach before it is replaced. */
+    /** Time for which an acceptor is unreachable or abstains before it is replaced. */
     private static final long REMOVE_AFTER_NANOS = 2_000_000_000;
-    /** How many checks longer a controller waits than the one before it in the order of addresses. */
+    /** Additional checks that a controller waits for each connected controller with a lower address. */
     private static final int CHECKS_PER_RANK = 2;
 
     private enum Activity {
@@ -54,14 +56,16 @@
         POSSIBLY_UNFINISHED
     }
 
-    /** What the register needs. */
+    /** A write that the register needs. */
     private sealed interface Repair {
-        /** The first value: the empty state, so that the set can grow before the first configuration. */
+        /**
+         * Writes the empty state as the first value, so that the acceptor set can grow before the first configuration.
+         */
         record WriteInitialState() implements Repair {}
 
         record ChangeMembers(List<AcceptorMember> from, List<AcceptorMember> to) implements Repair {}
 
-        /** Choose the current value anew, see the invariant of the class. */
+        /** Chooses the current value again; see the invariant of the class. */
         record Seal() implements Repair {}
     }
 
@@ -74,7 +78,7 @@
     private final long startedAtNanos;
     private final AcceptorSetPlanner planner;
     private final QuorumReachabilityReporter reachability;
-    /** The newest committed number at the last check; {@link ProposalNumber#ZERO} until one is known. */
+    /** The newest committed proposal number at the last check; {@link ProposalNumber#ZERO} until one is known. */
     private ProposalNumber lastSeenNumber = ProposalNumber.ZERO;
 
     private WriteHistory history = WriteHistory.SETTLED;
@@ -125,27 +129,27 @@
         }
     }
 
-    /** The one place, beside a failed change of the set, where the write history changes. */
+    /** Updates {@link #history}; {@link #onChangeFailed} is the only other place that sets it. */
     private void updateHistory() {
-        int connected = peers.connectedAddresses().size();
+        int connectedNow = peers.connectedAddresses().size();
         if (committed.proposalNumber().compareTo(lastSeenNumber) > 0) {
-            boolean first = lastSeenNumber.equals(ProposalNumber.ZERO);
-            history = first ? WriteHistory.POSSIBLY_UNFINISHED : WriteHistory.SETTLED;
+            boolean firstKnown = lastSeenNumber.equals(ProposalNumber.ZERO);
+            history = firstKnown ? WriteHistory.POSSIBLY_UNFINISHED : WriteHistory.SETTLED;
             lastSeenNumber = committed.proposalNumber();
         }
-        if (connected < connectedControllers) {
+        if (connectedNow < connectedControllers) {
             history = WriteHistory.POSSIBLY_UNFINISHED;
         }
-        connectedControllers = connected;
+        connectedControllers = connectedNow;
     }
 
     private Optional<Repair> neededRepair(List<Candidate> candidates, long nowNanos) {
-        Optional<List<AcceptorMember>> next = nextMembers(candidates, nowNanos);
+        Optional<List<AcceptorMember>> nextMembers = nextMembers(candidates, nowNanos);
         if (committed.value().isEmpty()) {
             return Optional.of(new Repair.WriteInitialState());
         }
-        if (next.isPresent()) {
-            return Optional.of(new Repair.ChangeMembers(committed.members(), next.get()));
+        if (nextMembers.isPresent()) {
+            return Optional.of(new Repair.ChangeMembers(committed.members(), nextMembers.get()));
         }
         return history == WriteHistory.POSSIBLY_UNFINISHED ? Optional.of(new Repair.Seal()) : Optional.empty();
     }
@@ -191,12 +195,12 @@
         return candidates;
     }
 
-    /** How many connected controllers stand before this one in the order of addresses. */
+    /** The number of connected controllers with a lower address than this one. */
     private int rank() {
-        int before = 0;
+        int lowerAddresses = 0;
         for (String address : peers.connectedAddresses()) {
-            before += address.compareTo(own.address()) < 0 ? 1 : 0;
+            lowerAddresses += address.compareTo(own.address()) < 0 ? 1 : 0;
         }
-        return before;
+        return lowerAddresses;
     }
 }
--- a/controller/src/main/java/burlarch/controller/register/CommitLearner.java
+++ b/controller/src/main/java/burlarch/controller/register/CommitLearner.java
@@ -8,15 +8,15 @@
 import burlarch.transport.PeerConnection;
 
 /**
- * Learns from other controllers which values are chosen, and tells them. Runs on the event loop; the state is in
- * {@link CommittedState}.
+ * Learner of the register: takes chosen values from other controllers into {@link CommittedState}, and sends them the
+ * newest value on request. Runs on the event loop and has no state of its own.
  *
  * <p>A proposer reports only the proposal number of a chosen value, because most controllers have accepted the value
- * themselves. A controller that has not yet finished its own write waits a short time, and fetches the value if it is
- * still missing then.
+ * themselves. A controller whose own acceptor has not finished that write waits a short time and fetches the value if
+ * it is still missing.
  */
 final class CommitLearner {
-    /** The local acceptor may still be writing the value: it is fetched only after this time. */
+    /** Delay before a value is fetched, because the local acceptor may still be writing it. */
     private static final long LOCAL_ACCEPT_DELAY_NANOS = 50_000_000;
 
     private final EventLoop loop;
@@ -29,7 +29,7 @@
         this.acceptor = acceptor;
     }
 
-    /** Another controller reports a chosen value, or only its proposal number. */
+    /** Handles another controller's report of a chosen value, or of its proposal number alone. */
     void onCommitted(PeerConnection from, Committed message) {
         ProposalNumber chosen = message.proposalNumber();
         if (message.value() != null) {
@@ -39,14 +39,14 @@
         }
     }
 
-    /** Another controller's status names the newest proposal number that it knows to be chosen. */
+    /** Fetches the committed value if another controller's status names a newer proposal number. */
     void onPeerStatus(PeerConnection from, ProposalNumber peerNumber) {
         if (peerNumber.compareTo(committed.proposalNumber()) > 0) {
             from.send(new NodeMessage.FetchCommitted());
         }
     }
 
-    /** Another controller asks for the newest committed value; it gets no response while none is known. */
+    /** Sends another controller the newest committed value; sends nothing while none is known. */
     void onFetch(PeerConnection from) {
         committed.value().ifPresent(value -> from.send(new Committed(committed.proposalNumber(), value)));
     }
@@ -57,7 +57,7 @@
         }
     }
 
-    /** Takes the chosen value from the local acceptor; false if it is still missing. */
+    /** Takes the chosen value from the local acceptor if it has accepted it. Returns whether the value is now known. */
     private boolean learnFromAcceptor(ProposalNumber chosen) {
         acceptor.acceptedAt(chosen).ifPresent(value -> committed.advance(chosen, value, Origin.OTHER_CONTROLLER));
         return chosen.compareTo(committed.proposalNumber()) <= 0;
--- a/controller/src/main/java/burlarch/controller/register/CommittedState.java
+++ b/controller/src/main/java/burlarch/controller/register/CommittedState.java
@@ -20,17 +20,17 @@
  * values of the register.
  */
 public final class CommittedState {
-    /** How this process learned that a value is chosen. */
+    /** The way in which this process learned that a value is chosen. */
     public enum Origin {
-        /** A proposal of this process ended with it. */
+        /** A proposal of this process ended with the value. */
         OWN_PROPOSAL,
-        /** Another controller reported it. */
+        /** Another controller reported the value. */
         OTHER_CONTROLLER
     }
 
-    /** Notified on the event loop of each newer value, in the order of registration. */
+    /** Listener for newer committed values. Called on the event loop, in the order of registration. */
     public interface Listener {
-        /** A newer value is chosen. */
+        /** Called after a newer value became known as chosen. */
         void onCommitted(SystemState state, Origin origin);
     }
 
@@ -42,12 +42,12 @@
     private SystemState state = SystemState.EMPTY;
     private RegisterView registerView;
 
-    /** @param stored what this process's disk says of the register; holds until a newer value is known */
+    /** @param stored information about the register from this process's disk; used until a newer value is known */
     public CommittedState(RegisterView stored) {
         registerView = stored;
     }
 
-    /** Adds a listener; it hears of later values only. */
+    /** Adds a listener, which is notified of later values only. */
     public void addListener(Listener listener) {
         listeners.add(listener);
     }
@@ -64,9 +64,9 @@
         proposalNumber = chosenNumber;
         value = chosen;
         state = SystemStateCodec.decode(chosen.payload());
-        List<AcceptorMember> before = registerView.members();
+        List<AcceptorMember> previousMembers = registerView.members();
         registerView = registerView.newerOf(RegisterView.of(chosenNumber, chosen));
-        AcceptorSetChange change = AcceptorSetChange.between(before, registerView.members());
+        AcceptorSetChange change = AcceptorSetChange.between(previousMembers, registerView.members());
         if (!change.isEmpty()) {
             Logger.info("acceptor set changed: change=\"{}\" term={}", change, chosenNumber.term());
         }
@@ -89,7 +89,7 @@
         return state;
     }
 
-    /** What a proposal starts with. */
+    /** The information about the register that a proposal starts with. */
     RegisterView registerView() {
         return registerView;
     }
--- a/controller/src/main/java/burlarch/controller/register/LocalAcceptor.java
+++ b/controller/src/main/java/burlarch/controller/register/LocalAcceptor.java
@@ -19,15 +19,15 @@
 import org.tinylog.Logger;
 
 /**
- * This process's acceptor. It runs on the disk thread, so that a disk that hangs delays the acceptor and nothing else.
+ * Host of this process's acceptor. The acceptor runs on the disk thread, so that a hanging disk delays nothing else.
  *
- * <p>The {@link AcceptorDiskMonitor} learns on the event loop how each task of the disk thread ended.
+ * <p>The result of each task on the disk thread is passed to the {@link AcceptorDiskMonitor} on the event loop.
  *
- * <p>Invariant <em>durable before response</em>: a response leaves only after the state behind it is durable. A request
- * whose write fails gets no response; its proposer sends it again.
+ * <p>Invariant <em>durable before response</em>: a response is sent only after the acceptor state that it reports is
+ * durable. A request whose write fails gets no response; its proposer sends it again.
  */
 final class LocalAcceptor {
-    /** Named value that a probe of the disk writes. */
+    /** Name of the stored value that a disk probe writes. */
     private static final String PROBE_NAME = "disk-probe";
 
     private static final byte[] PROBE_VALUE = {1};
@@ -45,10 +45,10 @@
     /** The state on the disk; written by the disk thread, read by any thread. */
     private volatile AcceptorState durableState;
 
-    /** Used by the disk thread alone; only decides what is logged. */
+    /** Used by the disk thread only; decides whether a change is logged. */
     private DiskState diskState = DiskState.WRITABLE;
 
-    /** @param disk runs one task after the other; it rejects tasks beyond its bound, because proposers send again */
+    /** @param disk runs one task at a time; rejects tasks when its queue is full, because proposers retry */
     LocalAcceptor(AcceptorStore store, Executor disk, EventLoop loop, AcceptorDiskMonitor monitor) {
         this.store = store;
         this.disk = disk;
@@ -59,34 +59,36 @@
     }
 
     /**
-     * The value that this acceptor accepted last, if it was accepted at that proposal number. May be called on any
-     * thread. A proposal number has only one value, so this is the chosen value if the number is known as chosen.
+     * Returns the last accepted value if it was accepted at the given proposal number. May be called on any thread. A
+     * proposal number has only one value, so the result is the chosen value if that number is known to be chosen.
      */
     Optional<RegisterValue> acceptedAt(ProposalNumber number) {
         AcceptorState state = durableState;
         return state.accepted().equals(number) ? Optional.ofNullable(state.value()) : Optional.empty();
     }
 
-    /** Handles a request. Called on the event loop; the response comes on the disk thread, or never. */
+    /**
+     * Handles a prepare or accept request. Called on the event loop; the responder is called on the disk thread, or
+     * never.
+     */
     void onRequest(RegisterMessage request, Consumer<RegisterMessage> responder) {
         submit("request", () -> process(request, responder));
     }
 
     /**
-     * Stores the acceptors of a chosen value on the disk. If that fails now, the next chosen value stores them.
-     * Called on
-     * the event loop.
+     * Stores the acceptors of a chosen value on the disk. A failure is not retried; the next chosen value stores them.
+     * Called on the event loop.
      */
     void storeAcceptorSet(RegisterView chosen) {
         submit("acceptor set", () -> saveAcceptorSet(chosen));
     }
 
-    /** Writes to the disk only to find out whether that is possible. Called on the event loop. */
+    /** Writes a small value to find out whether the disk can be written. Called on the event loop. */
     void probeDisk() {
         submit("probe", this::writeProbe);
     }
 
-    private void submit(String what, Supplier<WriteResult> task) {
+    private void submit(String taskName, Supplier<WriteResult> task) {
         try {
             disk.execute(() -> {
                 WriteResult result = task.get();
@@ -94,7 +96,7 @@
             });
             monitor.onTaskSubmitted(loop.nanoTime());
         } catch (RejectedExecutionException full) {
-            Logger.debug("acceptor queue full: {} dropped", what);
+            Logger.debug("acceptor queue full: {} dropped", taskName);
         }
     }
 
@@ -119,18 +121,18 @@
     }
 
     private WriteResult process(RegisterMessage request, Consumer<RegisterMessage> responder) {
-        Optional<AcceptorTransition> done = transition(request);
-        if (done.isEmpty()) {
+        Optional<AcceptorTransition> transition = transition(request);
+        if (transition.isEmpty()) {
             return WriteResult.NONE;
         }
-        WriteResult result = persist(done.get());
+        WriteResult result = persist(transition.get());
         if (result != WriteResult.FAILED) {
-            responder.accept(done.get().response());
+            responder.accept(transition.get().response());
         }
         return result;
     }
 
-    /** Empty for a message that is no request to an acceptor. */
+    /** The transition for a request; empty for a message that is not a request to an acceptor. */
     private Optional<AcceptorTransition> transition(RegisterMessage request) {
         if (request instanceof RegisterMessage.PrepareRequest prepare) {
             return Optional.of(acceptor.onPrepare(prepare));
@@ -141,7 +143,7 @@
         return Optional.empty();
     }
 
-    /** Makes the state behind the response durable. */
+    /** Makes the new acceptor state durable, if the request changed it. */
     private WriteResult persist(AcceptorTransition transition) {
         if (!transition.changed()) {
             return WriteResult.NONE;
--- a/controller/src/main/java/burlarch/controller/register/ProposalExecutor.java
+++ b/controller/src/main/java/burlarch/controller/register/ProposalExecutor.java
@@ -17,14 +17,14 @@
 import java.util.random.RandomGenerator;
 
 /**
- * Runs this process's proposals, one after the other, so that they don't compete with one another for the acceptors'
- * promises. Runs on the event loop and owns the running proposal and the queue.
+ * Proposer that runs this process's proposals one at a time, so that they don't compete for the acceptors' promises.
+ * Runs on the event loop and owns the running proposal and the queue.
  *
- * <p>Invariant <em>one proposal</em>: at most one proposal of this process runs. Responses and timers of an earlier
- * proposal are ignored.
+ * <p>Invariant <em>one running proposal</em>: at most one proposal of this process runs at a time. Responses and timers
+ * of an earlier proposal are ignored.
  */
 final class ProposalExecutor implements Proposer {
-    /** The most waiting proposals; a further one ends at once as not started. */
+    /** Limit of queued proposals; a further one completes at once as not started. */
     private static final int MAX_QUEUED = 64;
 
     private record QueuedProposal(
@@ -49,7 +49,7 @@
 
     /**
      * @param proposerName unique for this start of this process
-     * @param registerView what this process knows about the register when a proposal starts
+     * @param registerView supplies the information about the register that a proposal starts with
      */
     ProposalExecutor(
             EventLoop loop,
@@ -80,14 +80,14 @@
         return result;
     }
 
-    /** A response of another controller's acceptor. */
+    /** Handles a response from another controller's acceptor. */
     void onResponse(RegisterMessage response) {
         if (running != null) {
             onResponse(running.proposal, response);
         }
     }
 
-    /** Another controller is connected: requests that were sent to it before may be lost. */
+    /** Lets the running proposal resend requests to a newly connected controller, because earlier ones may be lost. */
     void onPeerConnected() {
         if (running != null) {
             Proposal proposal = running.proposal;
@@ -157,10 +157,10 @@
 
     private void finish(Proposal proposal, ProposalResult result) {
         highestTerm = Math.max(highestTerm, proposal.highestTerm());
-        CompletableFuture<ProposalResult> ended = running.result;
+        CompletableFuture<ProposalResult> finishedResult = running.result;
         running = null;
         // The next proposal starts after the listeners of this result have run.
         loop.execute(this::startNext);
-        ended.complete(result);
+        finishedResult.complete(result);
     }
 }
--- a/controller/src/main/java/burlarch/controller/register/QuorumContactMonitor.java
+++ b/controller/src/main/java/burlarch/controller/register/QuorumContactMonitor.java
@@ -7,15 +7,15 @@
 import org.tinylog.Logger;
 
 /**
- * Says whether this controller is in contact with a quorum of the acceptors, by what it hears from the other
- * controllers. Runs on the event loop; in memory only, and starts without contact.
+ * Failure detector for the quorum: determines from received messages whether this controller is in contact with a
+ * quorum of the acceptors. Runs on the event loop. The state is in memory only and starts as OUT_OF_CONTACT.
  *
- * <p>Contact is a hint: it decides what isn't worth trying, never what is safe. States and transitions:
- * OUT_OF_CONTACT to IN_CONTACT when a quorum was heard from within the timeout, and back when it was not. The state is
- * updated whenever it is asked for.
+ * <p>The result is a hint that avoids calls which would probably fail; safety never depends on it. The state is
+ * IN_CONTACT while a quorum was heard from within the timeout, and OUT_OF_CONTACT otherwise. It is updated on each
+ * query.
  */
 public final class QuorumContactMonitor {
-    /** Four status messages of a peer. */
+    /** Four periods of the status message of a peer. */
     private static final long CONTACT_TIMEOUT_NANOS = 1_200_000_000;
 
     private enum State {
@@ -37,29 +37,32 @@
         changedAtNanos = loop.nanoTime();
     }
 
-    /** Another controller was heard from. */
+    /** Records that a message was received from another controller. */
     public void onHeard(PeerConnection controller) {
         tracker.onHeardFrom(controller.peerHello().storage(), loop.nanoTime());
     }
 
-    /** A connection to or from another controller is lost. */
+    /** Records the loss of a connection to or from another controller. */
     public void onDisconnected(PeerConnection controller) {
         tracker.onConnectionLost(controller.peerHello().storage());
     }
 
     /** Whether a quorum of the known acceptors is in contact now. */
     public boolean hasContact() {
-        boolean quorum = tracker.hasQuorum(AcceptorSet.of(committed.members()), loop.nanoTime());
-        become(quorum ? State.IN_CONTACT : State.OUT_OF_CONTACT);
-        return quorum;
+        boolean hasQuorum = tracker.hasQuorum(AcceptorSet.of(committed.members()), loop.nanoTime());
+        setState(hasQuorum ? State.IN_CONTACT : State.OUT_OF_CONTACT);
+        return hasQuorum;
     }
 
-    /** Whether contact has lasted for that time, as far as {@link #hasContact} was asked during it. */
+    /**
+     * Whether contact has lasted for the given time. Interruptions between calls of {@link #hasContact} are not
+     * noticed.
+     */
     public boolean hasContactFor(long nanos) {
         return hasContact() && loop.nanoTime() - changedAtNanos >= nanos;
     }
 
-    private void become(State next) {
+    private void setState(State next) {
         if (next != state) {
             state = next;
             changedAtNanos = loop.nanoTime();
--- a/controller/src/main/java/burlarch/controller/register/QuorumReachabilityReporter.java
+++ b/controller/src/main/java/burlarch/controller/register/QuorumReachabilityReporter.java
@@ -4,7 +4,7 @@
 import org.tinylog.Logger;
 
 /**
- * Logs for operators, at a bounded rate, that no quorum of the acceptors can be reached. Runs on the event loop.
+ * Rate-limited alarm that logs for operators that no quorum of the acceptors can be reached. Runs on the event loop.
  *
  * <table>
  * <caption>States of the alarm</caption>
@@ -15,7 +15,7 @@
  * </table>
  */
 final class QuorumReachabilityReporter {
-    /** Shorter gaps are normal at starts and short network faults. */
+    /** Shorter gaps occur during starts and brief network faults and need no operator. */
     private static final long REPORT_AFTER_NANOS = 3_000_000_000L;
 
     private static final long REPORT_PERIOD_NANOS = 10_000_000_000L;
@@ -33,7 +33,7 @@
         lastReachableAtNanos = startedAtNanos;
     }
 
-    /** Takes one observation; to be called periodically. */
+    /** Processes one observation. Must be called periodically. */
     void onObserved(AcceptorReachability reachability, long nowNanos) {
         if (reachability.quorumReachable()) {
             onQuorum(reachability, nowNanos);
--- a/controller/src/main/java/burlarch/controller/register/RegisterClient.java
+++ b/controller/src/main/java/burlarch/controller/register/RegisterClient.java
@@ -20,11 +20,11 @@
 import java.util.function.Function;
 
 /**
- * The register as the other packages use it: it holds a {@link SystemState}. Called on the event loop, where its
- * futures complete; they fail with a {@link ControlException}. It has no state of its own.
+ * Client of the replicated register, through which the other packages read and change the {@link SystemState}. Called
+ * on the event loop, where its futures complete; they fail with a {@link ControlException}. It has no state of its own.
  *
- * <p>Invariant <em>commit before result</em>: the value that a proposal ended with is in {@link CommittedState}, and
- * the other controllers were told of it, before anyone learns of the proposal's result.
+ * <p>Invariant <em>commit before result</em>: before a caller learns of a proposal's result, the chosen value is in
+ * {@link CommittedState} and its proposal number was sent to the other controllers.
  */
 public final class RegisterClient {
     private static final long PROPOSAL_TIMEOUT_NANOS = 850_000_000;
@@ -33,7 +33,7 @@
     private final CommittedState committed;
     private final ControllerPeers peers;
 
-    /** A client that proposes by {@code proposer} and advances {@code committed}. */
+    /** Creates a client that proposes through {@code proposer} and advances {@code committed}. */
     public RegisterClient(Proposer proposer, CommittedState committed, ControllerPeers peers) {
         this.proposer = proposer;
         this.committed = committed;
@@ -44,7 +44,7 @@
      * Changes the state.
      *
      * @param change a pure function, such as those of {@link burlarch.controller.state.StateChanges}
-     * @return the state that holds the change, also if it was applied before
+     * @return future of a state that contains the change, which may have been applied earlier already
      */
     public CompletableFuture<SystemState> change(Function<SystemState, ChangeResult> change) {
         StateChangeProposal proposal = new StateChangeProposal(change);
@@ -68,18 +68,18 @@
     }
 
     /**
-     * Writes the current state again. Afterwards no write that was left unfinished before, such as a change of the
-     * acceptor set, can become chosen any more.
+     * Writes the current state again. Afterwards no write that was left unfinished earlier, such as a change of the
+     * acceptor set, can become chosen.
      */
     CompletableFuture<SystemState> seal() {
         return proposeAndRead(current -> ChangeDecision.seal());
     }
 
-    /** Changes the acceptors if they are still {@code from}; the state stays. */
+    /** Changes the acceptor set if it is still {@code from}; the state is kept. */
     CompletableFuture<SystemState> changeMembers(List<AcceptorMember> from, List<AcceptorMember> to) {
         return proposeAndRead(current -> {
-            boolean asExpected = current != null && current.members().equals(from);
-            return asExpected
+            boolean unchanged = current != null && current.members().equals(from);
+            return unchanged
                     ? new ChangeDecision.Write(new RegisterValue(to, current.payload()))
                     : ChangeDecision.keep();
         });
@@ -94,8 +94,8 @@
         if (result instanceof ProposalResult.Chosen chosen) {
             return StateChangeProposal.stateOf(chosen.value());
         }
-        boolean unclear = result instanceof ProposalResult.Unknown;
-        throw new ControlException(unclear ? ErrorKind.UNCLEAR : ErrorKind.NO_QUORUM);
+        boolean outcomeUnknown = result instanceof ProposalResult.Unknown;
+        throw new ControlException(outcomeUnknown ? ErrorKind.UNCLEAR : ErrorKind.NO_QUORUM);
     }
 
     private void commit(ProposalResult result) {
@@ -106,12 +106,12 @@
         }
     }
 
-    /** The newest committed state that is known here, without asking a quorum. */
+    /** The newest committed state known to this process; not a quorum read, so it may be stale. */
     public SystemState committedState() {
         return committed.state();
     }
 
-    /** The acceptors of the newest committed value that is known here. */
+    /** The acceptor set of the newest committed value known to this process. */
     public AcceptorSet acceptors() {
         return AcceptorSet.of(committed.members());
     }
--- a/controller/src/main/java/burlarch/controller/register/RegisterReplica.java
+++ b/controller/src/main/java/burlarch/controller/register/RegisterReplica.java
@@ -14,8 +14,8 @@
 import java.util.random.RandomGenerator;
 
 /**
- * This controller's acceptor, proposer, client and reconciler of the register, wired together, and the register's
- * messages to them. Runs on the event loop; the package's documentation says who owns which state.
+ * Composition of this controller's acceptor, proposer, client and reconciler of the register; dispatches the register's
+ * messages to them. Runs on the event loop; the package documentation lists the owner of each state.
  */
 public final class RegisterReplica {
     private static final long DISK_CHECK_PERIOD_NANOS = 250_000_000;
@@ -32,12 +32,12 @@
     private final QuorumContactMonitor quorumContact;
 
     /**
-     * A replica that does nothing by itself before {@link #start}.
+     * Creates a replica that handles messages but starts no timers before {@link #start}.
      *
-     * @param disk runs what touches the disk, one task after the other; may reject a task
+     * @param disk executes all disk access, one task at a time; may reject a task
      * @param ownAddress IP:PORT of this process
      * @param proposerName unique for this start of this process
-     * @param proposer makes the proposer that the client uses out of the real one
+     * @param proposer returns the proposer that the client uses, given the real one
      */
     public RegisterReplica(
             EventLoop loop,
@@ -61,7 +61,7 @@
     }
 
     /**
-     * Starts to follow changes of the acceptor set and to reconcile it. To be called once.
+     * Starts following and reconciling the acceptor set, and checking the disk. Must be called once.
      *
      * @param toleratedLosses the number of acceptors that may be lost at the same time
      */
@@ -80,22 +80,22 @@
         }
     }
 
-    /** Whether this process's acceptor takes no part, because its disk can't be written. */
+    /** Whether this process's acceptor abstains from voting because its disk can't be written. */
     public boolean acceptorAbstains() {
         return diskMonitor.abstains();
     }
 
-    /** Reads and changes the state. */
+    /** The client that reads and changes the state. */
     public RegisterClient client() {
         return client;
     }
 
-    /** The newest state that this process knows to be committed. */
+    /** The newest value that this process knows to be committed. */
     public CommittedState committed() {
         return committed;
     }
 
-    /** Whether this controller is in contact with a quorum. */
+    /** The monitor of this controller's contact with a quorum. */
     public QuorumContactMonitor quorumContact() {
         return quorumContact;
     }
@@ -105,7 +105,7 @@
         return addresses(AcceptorSet.of(committed.members()).votingMembers());
     }
 
-    /** A message of the register's protocol from another controller. */
+    /** Handles a message of the register's protocol from another controller. */
     public void onMessage(PeerConnection from, RegisterMessage message) {
         if (message instanceof RegisterMessage.PrepareRequest || message instanceof RegisterMessage.AcceptRequest) {
             acceptor.onRequest(message, response -> from.send(new NodeMessage.RegisterProtocol(response)));
@@ -114,22 +114,22 @@
         }
     }
 
-    /** Another controller is connected. */
+    /** Handles a new connection to or from another controller. */
     public void onPeerConnected() {
         proposals.onPeerConnected();
     }
 
-    /** Another controller reports a chosen value. */
+    /** Handles another controller's report of a chosen value. */
     public void onCommitted(PeerConnection from, NodeMessage.Committed message) {
         learner.onCommitted(from, message);
     }
 
-    /** Another controller asks for the newest committed value. */
+    /** Handles another controller's request for the newest committed value. */
     public void onFetchCommitted(PeerConnection from) {
         learner.onFetch(from);
     }
 
-    /** Another controller's status names the newest proposal number that it knows to be chosen. */
+    /** Handles the newest proposal number that another controller knows to be chosen, from its status. */
     public void onPeerStatus(PeerConnection from, ProposalNumber peerNumber) {
         learner.onPeerStatus(from, peerNumber);
     }
--- a/controller/src/main/java/burlarch/controller/register/RegisterStorage.java
+++ b/controller/src/main/java/burlarch/controller/register/RegisterStorage.java
@@ -16,24 +16,25 @@
 import org.tinylog.Logger;
 
 /**
- * What a controller recovers from its disk at its start. Opened before the event loop and the disk thread run.
+ * The register's persistent data that a controller recovers from its disk when it starts. Opened before the event loop
+ * and the disk thread run.
  *
  * @param store the acceptor's store
- * @param initialView the newest information on this disk about the register and its acceptors: the accepted value, the
- *     acceptors of a chosen value, or those of the first start
+ * @param initialView the newest information on this disk about the register and its acceptors, taken from the accepted
+ *     value, the acceptors of a chosen value, or those of the first start
  */
 public record RegisterStorage(AcceptorStore store, RegisterView initialView) {
     /** Named value of the store: the addresses of the acceptors of the first start, one a line. */
     private static final String FIRST_MEMBERS = "first-members";
 
     /**
-     * Opens the disk.
+     * Opens the disk with segments of the default size; see the other overload.
      *
      * @param address IP:PORT of this process
      * @param seeds the addresses of the acceptors of the first start
-     * @param bootstrap whether the fleet starts for the first time. The identity of the disk then follows from the
-     *     address, so that all controllers know the first acceptors without asking
-     * @param newIdentity an identity that no other disk ever has, for a disk that is empty at a later start
+     * @param bootstrap whether the fleet starts for the first time. The disk's identity is then derived from the
+     *     address, so that all controllers know the first acceptors without communication
+     * @param newIdentity supplies a unique identity for a disk that is empty at a later start
      * @throws IOException if the disk can't be read, or if writes may not be durable; opening may be tried again
      */
     public static RegisterStorage open(
@@ -43,10 +44,10 @@
     }
 
     /**
-     * Opens the disk, as the shorter form does. A damaged log is set aside: the acceptor then has a new identity and no
-     * vote until the others admit it, as after the loss of its disk.
+     * Opens the disk. A damaged log is set aside: the acceptor then has a new identity and no vote until the others
+     * admit it, as after the loss of its disk.
      *
-     * @param segmentBytes size of a segment of the log, after which a snapshot is written
+     * @param segmentBytes size of a log segment in bytes; a snapshot is written when it is reached
      */
     public static RegisterStorage open(
             Disk disk,
@@ -77,15 +78,16 @@
             Supplier<String> newIdentity,
             long segmentBytes)
             throws IOException {
-        // Together, so that no end of the process between two writes leaves an acceptor that knows no others.
+        // Written together, so that a crash between two writes can't leave an acceptor that knows no other acceptors.
         AcceptorStore store = AcceptorStore.open(
                 disk,
                 () -> bootstrap ? firstIdentity(address) : newIdentity.get(),
                 bootstrap ? Map.of(FIRST_MEMBERS, encodeMembers(seeds)) : Map.of(),
                 segmentBytes);
-        RegisterView first = RegisterView.ofInitialAcceptors(firstMembers(store));
-        RegisterView newest = first.newerOf(StoredAcceptorSet.load(store)).newerOf(RegisterView.of(store.state()));
-        return new RegisterStorage(store, newest);
+        RegisterView firstView = RegisterView.ofInitialAcceptors(firstMembers(store));
+        RegisterView newestView =
+                firstView.newerOf(StoredAcceptorSet.load(store)).newerOf(RegisterView.of(store.state()));
+        return new RegisterStorage(store, newestView);
     }
 
     private static String firstIdentity(String address) {
--- a/controller/src/main/java/burlarch/controller/register/StoredAcceptorSet.java
+++ b/controller/src/main/java/burlarch/controller/register/StoredAcceptorSet.java
@@ -12,11 +12,13 @@
 import java.util.Optional;
 
 /**
- * The acceptors of the newest chosen value that this controller has heard of, on its disk. After a start they tell a
- * controller whom to ask if it is no acceptor itself, or if its own accepted value is older than a change of the set.
+ * Persistent copy of the acceptor set of the newest chosen value that this controller has learned. After a start, a
+ * controller that is not an acceptor, or whose accepted value is older than a change of the set, uses it to find the
+ * acceptors.
  *
- * <p>Stored as one named value of the acceptor's store, bounded by {@link AcceptorStore#MAX_NAMED_VALUE_BYTES}. Its
- * text form is stored data: the proposal number's term and proposer in the first line, then one acceptor a line.
+ * <p>Stored as one named value of the acceptor's store, bounded by {@link AcceptorStore#MAX_NAMED_VALUE_BYTES}. The
+ * text format is persistent and must not change: the proposal number's term and proposer in the first line, then the
+ * storage identity and address of one acceptor on each line.
  */
 final class StoredAcceptorSet {
     private static final String KEY = "known-acceptors";
@@ -25,7 +27,7 @@
 
     private StoredAcceptorSet() {}
 
-    /** What was saved last; {@link RegisterView#NONE} if nothing was saved. */
+    /** The acceptor set that was saved last; {@link RegisterView#NONE} if none was saved. */
     static RegisterView load(AcceptorStore store) {
         Optional<byte[]> stored = store.namedValue(KEY);
         return stored.isEmpty() ? RegisterView.NONE : parse(new String(stored.get(), UTF_8));
@@ -43,9 +45,9 @@
     }
 
     /**
-     * Makes the acceptors of a chosen value durable, if others are stored.
+     * Makes the acceptors of a chosen value durable, unless the same acceptors are stored already.
      *
-     * @throws IOException if they may not be durable; the next call tries again
+     * @throws IOException if the write failed, so that they may not be durable; the next call retries
      */
     static void save(AcceptorStore store, RegisterView chosen) throws IOException {
         if (load(store).members().equals(chosen.members())) {
--- a/controller/src/main/java/burlarch/controller/rollout/RolloutCoordinator.java
+++ b/controller/src/main/java/burlarch/controller/rollout/RolloutCoordinator.java
@@ -19,10 +19,11 @@
 import org.tinylog.Logger;
 
 /**
- * Brings engines to the named versions of model weights while this controller holds the role's lease. Runs on the event
- * loop; responses of engines are taken to it. The decisions, and their state, are in {@link WeightsRollout}.
+ * Coordinator that brings engines to the target versions of model weights while this controller holds the role's lease.
+ * Runs on the event loop, to which the engines' responses are passed. {@link WeightsRollout} makes the decisions and
+ * owns their state.
  *
- * <p>Invariant <em>no order without a lease</em>: {@link LeaseManager#mayAct} is asked immediately before each order.
+ * <p>Invariant <em>no order without a lease</em>: {@link LeaseManager#mayAct} is checked immediately before each order.
  */
 public final class RolloutCoordinator implements SingletonRole {
     private static final long INSTANCES_PERIOD_NANOS = 300_000_000;
@@ -50,7 +51,7 @@
         this.rollout = rollout;
     }
 
-    /** Starts to follow the instances; to be called once. */
+    /** Starts following the instances. Must be called once. */
     public void start(LeaseManager roleLease) {
         lease = roleLease;
         loop.schedule(INSTANCES_PERIOD_NANOS, this::updateInstances);
@@ -62,7 +63,7 @@
         return !rollout.isComplete();
     }
 
-    /** A newer state is committed. */
+    /** Takes the target versions of a newly committed state, and requests a check of the lease if there is work. */
     public void onCommitted(SystemState state) {
         perform(rollout.onTargets(state.weights(), loop.nanoTime()));
         if (hasWork()) {
@@ -96,10 +97,10 @@
                 registry.beginLoading(mark.instanceId(), loop.nanoTime());
             } else if (action instanceof RolloutAction.ClearLoading clear) {
                 registry.endLoading(clear.instanceId());
-            } else if (action instanceof RolloutAction.RequestReport ask) {
-                requestReport(ask.instanceId());
-            } else if (action instanceof RolloutAction.Timer next) {
-                scheduleTimer(next);
+            } else if (action instanceof RolloutAction.RequestReport request) {
+                requestReport(request.instanceId());
+            } else if (action instanceof RolloutAction.Timer timerRequest) {
+                scheduleTimer(timerRequest);
             } else if (action instanceof RolloutAction.OwnershipLost) {
                 loop.execute(lease::onFenced);
             }
@@ -113,14 +114,15 @@
             loop.execute(() -> onResult(order, OrderResult.NO_RESPONSE));
             return;
         }
-        WeightsOrder sent = new WeightsOrder(
+        WeightsOrder weightsOrder = new WeightsOrder(
                 order.model(),
                 order.version(),
                 order.mode(),
                 lease.holderName(),
                 order.fencingToken(),
                 order.expectedSequence());
-        engines.order(address(instance.get()), sent).thenAccept(result -> loop.execute(() -> onResult(order, result)));
+        engines.order(address(instance.get()), weightsOrder)
+                .thenAccept(result -> loop.execute(() -> onResult(order, result)));
     }
 
     private void onResult(RolloutAction.SendOrder order, OrderResult result) {
@@ -147,11 +149,11 @@
         return new EngineAddress(instance.id(), instance.address());
     }
 
-    private void scheduleTimer(RolloutAction.Timer next) {
+    private void scheduleTimer(RolloutAction.Timer timerRequest) {
         if (timer != null) {
             timer.cancel();
         }
         timer = loop.schedule(
-                Math.max(0, next.atNanos() - loop.nanoTime()), () -> perform(rollout.onTimer(loop.nanoTime())));
+                Math.max(0, timerRequest.atNanos() - loop.nanoTime()), () -> perform(rollout.onTimer(loop.nanoTime())));
     }
 }
--- a/controller/src/main/java/burlarch/controller/state/AppliedChange.java
+++ b/controller/src/main/java/burlarch/controller/state/AppliedChange.java
@@ -6,17 +6,17 @@
 import java.security.NoSuchAlgorithmException;
 
 /**
- * The identity of a change of the configuration, by which the register recognizes a call that is sent again because its
+ * Identity of a configuration change, by which the register recognizes a call that a client retries because its
  * response was lost.
  *
  * <p>Two calls are the same change if method, {@code If-Match}, version and content are equal. They then lead from the
- * same configuration to the same configuration, so that nobody can tell which of the two was applied. The method counts
- * because one body may be valid both as a complete configuration and as a patch, with different results. The base
- * version counts because a call that builds on another version must not be acknowledged for this change.
+ * same configuration to the same configuration, so that the two are indistinguishable. The method counts because one
+ * body may be valid both as a complete configuration and as a patch, with different results. The base version counts
+ * because a call that builds on another version must not be acknowledged for this change.
  *
  * @param version the version that the change creates
- * @param fingerprint the first 64 bits of a SHA-256 of everything else; it only has to distinguish changes that create
- *     the same version, and two of those collide by chance once in 2^64
+ * @param fingerprint the first 64 bits of a SHA-256 over method, base version and digest. It only has to distinguish
+ *     changes that create the same version; two of those collide with probability 2^-64
  */
 public record AppliedChange(long version, long fingerprint) {
     private static final String PUT = "PUT";
@@ -38,9 +38,9 @@
     }
 
     private static long fingerprint(String method, long ifMatch, String digest) {
-        String text = method + " " + ifMatch + " " + digest;
+        String input = method + " " + ifMatch + " " + digest;
         try {
-            byte[] hash = MessageDigest.getInstance("SHA-256").digest(text.getBytes(StandardCharsets.UTF_8));
+            byte[] hash = MessageDigest.getInstance("SHA-256").digest(input.getBytes(StandardCharsets.UTF_8));
             return ByteBuffer.wrap(hash).getLong();
         } catch (NoSuchAlgorithmException e) {
             throw new AssertionError("every Java platform has SHA-256", e);
--- a/controller/src/main/java/burlarch/controller/state/AppliedChanges.java
+++ b/controller/src/main/java/burlarch/controller/state/AppliedChanges.java
@@ -9,21 +9,21 @@
 import java.util.List;
 
 /**
- * The newest applied changes of the configuration, by which a repeated call is recognized. Immutable.
+ * Bounded, immutable history of the newest applied configuration changes, by which a repeated call is recognized.
  *
  * <p><b>Invariant: an applied change is recognized again.</b> Versions only increase along the values of the register,
- * and only the oldest change is ever forgotten. Therefore every change that was applied with a version above
- * {@link #forgottenVersion()} is here, and no change here has a lower version. For versions above it the answer
- * "applied" or "not applied" is certain; for the others nothing is known.
+ * and only the oldest change is ever removed. Therefore every change that was applied with a version above {@link
+ * #forgottenVersion()} is here, and no change here has a lower version. For versions above it the result APPLIED or
+ * NOT_APPLIED is certain; for lower versions nothing is known.
  *
  * <p>The encoding is one byte string: the forgotten version; then for each change the difference of its version from
- * the previous one, and the eight bytes of its fingerprint. Numbers are variable-length, seven bits a byte. A change
- * takes nine bytes, or some more if versions are far apart.
+ * the previous one, and the eight bytes of its fingerprint. Numbers are varints with seven bits per byte, least
+ * significant group first. A change takes nine bytes, or more if its version is far from the previous one.
  */
 public final class AppliedChanges {
-    /** The most changes that are remembered; the oldest is forgotten first. They add about 37 KB to each value. */
+    /** Limit of remembered changes; the oldest is removed first. They add about 37 KB to each register value. */
     public static final int MAX_CHANGES = 4096;
-    /** No change was applied yet. */
+    /** The history before the first change. */
     public static final AppliedChanges NONE = forgottenUpTo(0);
 
     /** What is known about a change. */
@@ -36,10 +36,10 @@
         FORGOTTEN
     }
 
-    private static final int LONGEST_NUMBER = 10;
-    private static final int GROUP_BITS = 7;
+    private static final int MAX_VARINT_BYTES = 10;
+    private static final int BITS_PER_GROUP = 7;
     private static final int GROUP_MASK = 0x7f;
-    private static final int MORE_FLAG = 0x80;
+    private static final int CONTINUATION_BIT = 0x80;
 
     private final long forgottenVersion;
     private final long[] versions;
@@ -51,12 +51,12 @@
         this.fingerprints = fingerprints;
     }
 
-    /** Nothing is known about this version and lower ones, and no change was applied above it. */
+    /** An empty history in which nothing is known about the given version and lower ones. */
     public static AppliedChanges forgottenUpTo(long version) {
         return new AppliedChanges(version, new long[0], new long[0]);
     }
 
-    /** What is known of this change. */
+    /** Returns what is known about a change. */
     public Recall recall(AppliedChange change) {
         if (change.version() <= forgottenVersion) {
             return Recall.FORGOTTEN;
@@ -65,19 +65,24 @@
         return index >= 0 && fingerprints[index] == change.fingerprint() ? Recall.APPLIED : Recall.NOT_APPLIED;
     }
 
-    /** These changes and a newer one; the oldest is forgotten if there are too many. */
+    /**
+     * Returns a copy with a newer change added, and the oldest removed if there are too many.
+     *
+     * @throws IllegalArgumentException if the version of the change is not above all others
+     */
     public AppliedChanges with(AppliedChange change) {
         if (change.version() <= newestVersion()) {
-            throw new IllegalArgumentException("version does not increase: " + change.version());
+            throw new IllegalArgumentException(
+                    "version of the change must be above all applied versions: " + change.version());
         }
         int from = versions.length < MAX_CHANGES ? 0 : 1;
-        long forgotten = from == 0 ? forgottenVersion : versions[0];
+        long newForgottenVersion = from == 0 ? forgottenVersion : versions[0];
         int retained = versions.length - from;
         long[] newVersions = Arrays.copyOfRange(versions, from, from + retained + 1);
         long[] newFingerprints = Arrays.copyOfRange(fingerprints, from, from + retained + 1);
         newVersions[retained] = change.version();
         newFingerprints[retained] = change.fingerprint();
-        return new AppliedChanges(forgotten, newVersions, newFingerprints);
+        return new AppliedChanges(newForgottenVersion, newVersions, newFingerprints);
     }
 
     /** The highest version about which nothing is known; 0 if everything is known. */
@@ -105,14 +110,14 @@
 
     @JsonValue
     byte[] toBytes() {
-        int most = LONGEST_NUMBER + versions.length * (LONGEST_NUMBER + Long.BYTES);
-        ByteBuffer bytes = ByteBuffer.allocate(most);
-        putNumber(bytes, forgottenVersion);
-        long before = forgottenVersion;
+        int maxBytes = MAX_VARINT_BYTES + versions.length * (MAX_VARINT_BYTES + Long.BYTES);
+        ByteBuffer bytes = ByteBuffer.allocate(maxBytes);
+        putVarint(bytes, forgottenVersion);
+        long previousVersion = forgottenVersion;
         for (int i = 0; i < versions.length; i++) {
-            putNumber(bytes, versions[i] - before);
+            putVarint(bytes, versions[i] - previousVersion);
             bytes.putLong(fingerprints[i]);
-            before = versions[i];
+            previousVersion = versions[i];
         }
         return Arrays.copyOf(bytes.array(), bytes.position());
     }
@@ -123,45 +128,46 @@
      * @throws IllegalArgumentException for any other bytes
      */
     @JsonCreator(mode = JsonCreator.Mode.DELEGATING)
-    static AppliedChanges fromBytes(byte[] text) {
-        ByteBuffer bytes = ByteBuffer.wrap(text);
+    static AppliedChanges fromBytes(byte[] encoded) {
+        ByteBuffer bytes = ByteBuffer.wrap(encoded);
         try {
-            long forgotten = getNumber(bytes);
-            int most = bytes.remaining() / (1 + Long.BYTES);
-            long[] versions = new long[most];
-            long[] fingerprints = new long[most];
+            long forgottenVersion = getVarint(bytes);
+            int maxCount = bytes.remaining() / (1 + Long.BYTES);
+            long[] versions = new long[maxCount];
+            long[] fingerprints = new long[maxCount];
             int count = 0;
-            for (long before = forgotten; bytes.hasRemaining(); before = versions[count++]) {
-                versions[count] = before + getNumber(bytes);
+            for (long previousVersion = forgottenVersion; bytes.hasRemaining(); previousVersion = versions[count++]) {
+                versions[count] = previousVersion + getVarint(bytes);
                 fingerprints[count] = bytes.getLong();
-                if (versions[count] <= before) {
-                    throw new IllegalArgumentException("versions do not increase");
+                if (versions[count] <= previousVersion) {
+                    throw new IllegalArgumentException("versions in encoded changes do not increase");
                 }
             }
-            return new AppliedChanges(forgotten, Arrays.copyOf(versions, count), Arrays.copyOf(fingerprints, count));
+            return new AppliedChanges(
+                    forgottenVersion, Arrays.copyOf(versions, count), Arrays.copyOf(fingerprints, count));
         } catch (BufferUnderflowException | ArrayIndexOutOfBoundsException truncated) {
             throw new IllegalArgumentException("truncated", truncated);
         }
     }
 
-    private static void putNumber(ByteBuffer bytes, long number) {
-        long left = number;
-        while (left >= MORE_FLAG) {
-            bytes.put((byte) (left & GROUP_MASK | MORE_FLAG));
-            left >>>= GROUP_BITS;
+    private static void putVarint(ByteBuffer bytes, long number) {
+        long remaining = number;
+        while (remaining >= CONTINUATION_BIT) {
+            bytes.put((byte) (remaining & GROUP_MASK | CONTINUATION_BIT));
+            remaining >>>= BITS_PER_GROUP;
         }
-        bytes.put((byte) left);
+        bytes.put((byte) remaining);
     }
 
-    private static long getNumber(ByteBuffer bytes) {
+    private static long getVarint(ByteBuffer bytes) {
         long number = 0;
-        for (int i = 0; i < LONGEST_NUMBER; i++) {
+        for (int i = 0; i < MAX_VARINT_BYTES; i++) {
             byte group = bytes.get();
-            number |= (long) (group & GROUP_MASK) << i * GROUP_BITS;
+            number |= (long) (group & GROUP_MASK) << i * BITS_PER_GROUP;
             if (group >= 0) {
                 return number;
             }
         }
-        throw new IllegalArgumentException("number too long");
+        throw new IllegalArgumentException("varint longer than 10 bytes");
     }
 }
--- a/controller/src/main/java/burlarch/controller/state/ChangeResult.java
+++ b/controller/src/main/java/burlarch/controller/state/ChangeResult.java
@@ -5,20 +5,20 @@
 import burlarch.controller.error.ErrorKind;
 import java.util.List;
 
-/** The result of applying one change to one {@link SystemState}. */
+/** Result of applying one change to one {@link SystemState}. */
 public sealed interface ChangeResult {
     /**
-     * The change applies.
+     * The change was applied.
      *
      * @param state the state with the change in it
      */
     record Changed(SystemState state) implements ChangeResult {}
 
     /**
-     * The state stays as it is.
+     * The change was not applied, so the state is unchanged.
      *
      * @param reason why
-     * @param problems the rules that the change breaks; empty unless the reason is {@link UnchangedReason#INVALID}
+     * @param problems the rules that the change violates; empty unless the reason is {@link UnchangedReason#INVALID}
      */
     record Unchanged(UnchangedReason reason, List<ConfigurationProblem> problems) implements ChangeResult {
         static final Unchanged ALREADY_APPLIED = new Unchanged(UnchangedReason.ALREADY_APPLIED, List.of());
@@ -30,7 +30,7 @@
         }
 
         /**
-         * The failure that the caller of the change is told.
+         * Returns the failure that is reported to the caller of the change.
          *
          * @throws IllegalStateException for {@link UnchangedReason#ALREADY_APPLIED}, which is a success
          */
@@ -39,26 +39,27 @@
                 case CONFLICT -> new ControlException(ErrorKind.CONFLICT);
                 case UNCLEAR -> new ControlException(ErrorKind.UNCLEAR);
                 case INVALID -> new ControlException(ErrorKind.INVALID, problems);
-                case ALREADY_APPLIED -> throw new IllegalStateException("an applied change is no failure");
+                case ALREADY_APPLIED -> throw new IllegalStateException(
+                        "ALREADY_APPLIED is a success and has no failure");
             };
         }
     }
 
-    /** Why a state stays as it is. */
+    /** Reason for which a change was not applied. */
     enum UnchangedReason {
-        /** The state holds this very change, or one that makes it unnecessary: a success. */
+        /** The state already contains this change, or one that makes it unnecessary: a success. */
         ALREADY_APPLIED,
-        /** The current version is another one than the version that the change builds on. */
+        /** The current version differs from the version that the change builds on. */
         CONFLICT,
-        /** The change breaks a rule. */
+        /** The change violates a rule. */
         INVALID,
         /**
-         * The change may have been applied and forgotten, or may still be applied once the version that it builds on
-         * is committed: neither success nor rejection can be promised.
+         * The change may have been applied and removed from the history, or may still be applied once its base version
+         * is committed, so neither success nor rejection can be reported.
          */
         UNCLEAR;
 
-        /** Whether the reason promises that the change is not in force and never will be. */
+        /** Whether the reason guarantees that the change is not in force and never will be. */
         boolean isRejection() {
             return this == CONFLICT || this == INVALID;
         }
--- a/controller/src/main/java/burlarch/controller/state/Lease.java
+++ b/controller/src/main/java/burlarch/controller/state/Lease.java
@@ -3,7 +3,7 @@
 import com.fasterxml.jackson.annotation.JsonProperty;
 
 /**
- * The lease of one singleton role, as the register records it. The annotations fix the field names in stored states.
+ * The lease of one singleton role, as recorded in the register. The annotations fix the field names in stored states.
  *
  * @param holder name of the process that holds the role, unique for each start of a process
  * @param token fencing token, higher than that of every earlier holder of any role
--- a/controller/src/main/java/burlarch/controller/state/StateChangeProposal.java
+++ b/controller/src/main/java/burlarch/controller/state/StateChangeProposal.java
@@ -14,12 +14,12 @@
 import java.util.function.Function;
 
 /**
- * A change of the state as a change of the register: the function that a proposal applies to each value that it reads,
- * and the meaning of the proposal's result for the caller.
+ * Adapter from a change of the {@link SystemState} to a change of the register's value. It decides what a proposal
+ * writes after reading a value, and translates the proposal's result for the caller.
  *
  * <p><b>Invariant: results only from chosen values.</b> {@link #outcome} reports a success or a rejection only on the
- * grounds of a value that is chosen. The values of the register form one chain along which versions increase and
- * applied changes are remembered, so neither report can become wrong later.
+ * basis of a chosen value. The values of the register form one chain along which versions increase and applied changes
+ * are remembered, so neither report can be invalidated later.
  */
 public final class StateChangeProposal implements RegisterChange {
     private final Function<SystemState, ChangeResult> change;
@@ -33,7 +33,7 @@
     public ChangeDecision decide(RegisterValue current) {
         ChangeResult result = change.apply(stateOf(current));
         if (result instanceof Changed changed) {
-            // The proposal fills in the acceptors of the first value, whatever is given here.
+            // For the first value the proposal replaces this list by the initial acceptors.
             List<AcceptorMember> members = current == null ? List.of() : current.members();
             return new ChangeDecision.Write(new RegisterValue(members, SystemStateCodec.encode(changed.state())));
         }
@@ -42,20 +42,20 @@
     }
 
     /**
-     * The state that holds the change, also if it was applied before.
+     * Returns the state that contains the change, which may have been applied earlier already.
      *
-     * @throws ControlException if the change is rejected, or if it is unclear whether it is applied
+     * @throws ControlException if the change is rejected, or if it is unknown whether it was applied
      */
     public SystemState outcome(ProposalResult result) {
         if (!(result instanceof ProposalResult.Chosen chosen)) {
-            boolean unclear = result instanceof ProposalResult.Unknown;
-            throw new ControlException(unclear ? ErrorKind.UNCLEAR : ErrorKind.NO_QUORUM);
+            boolean outcomeUnknown = result instanceof ProposalResult.Unknown;
+            throw new ControlException(outcomeUnknown ? ErrorKind.UNCLEAR : ErrorKind.NO_QUORUM);
         }
         SystemState state = stateOf(chosen.value());
         if (chosen.decision() instanceof ChangeDecision.Write) {
             return state;
         }
-        // Nothing was written, so the chosen value is the one that the decision was made on.
+        // Nothing new was written, so the decision was based on the chosen value.
         Unchanged unchanged = (Unchanged) change.apply(state);
         if (unchanged.reason() != UnchangedReason.ALREADY_APPLIED) {
             throw unchanged.failure();
@@ -63,7 +63,7 @@
         return state;
     }
 
-    /** The state in a value of the register; the empty state if there is no value. */
+    /** Decodes the state in a register value; the empty state if the value is null. */
     public static SystemState stateOf(RegisterValue value) {
         return value == null ? SystemState.EMPTY : SystemStateCodec.decode(value.payload());
     }
--- a/controller/src/main/java/burlarch/controller/state/StateChanges.java
+++ b/controller/src/main/java/burlarch/controller/state/StateChanges.java
@@ -9,8 +9,8 @@
 import java.util.Optional;
 
 /**
- * The changes of a {@link SystemState}, as pure functions: a proposal may apply the same change again to a newer state.
- * A change that was applied before is recognized before everything else, also when later changes build on it.
+ * Pure functions that apply changes to a {@link SystemState}. They are pure because a proposal may apply the same
+ * change again to a newer state. A change that was applied earlier is recognized even if later changes build on it.
  */
 public final class StateChanges {
     private static final int MAX_NAME_LENGTH = 256;
@@ -18,7 +18,7 @@
     private StateChanges() {}
 
     /**
-     * Replaces the complete configuration.
+     * Replaces the configuration by a complete document.
      *
      * @param ifMatch the version that the change builds on, 0 for the first configuration
      * @param digest of the document, see {@link AppliedChange}
@@ -26,11 +26,11 @@
     public static ChangeResult putConfiguration(
             SystemState state, long ifMatch, ConfigurationDocument document, String digest) {
         AppliedChange change = AppliedChange.put(ifMatch, document.version(), digest);
-        Optional<Unchanged> unchanged = reasonNotToApply(state, ifMatch, change);
-        return unchanged.isPresent() ? unchanged.get() : withConfiguration(state, change, document);
+        Optional<Unchanged> unchanged = checkApplicable(state, ifMatch, change);
+        return unchanged.isPresent() ? unchanged.get() : applyConfiguration(state, change, document);
     }
 
-    private static ChangeResult withConfiguration(
+    private static ChangeResult applyConfiguration(
             SystemState state, AppliedChange change, ConfigurationDocument document) {
         byte[] json = document.json();
         if (json.length > SystemState.MAX_CONFIGURATION_BYTES) {
@@ -39,11 +39,11 @@
         return new Changed(state.withConfiguration(change, json));
     }
 
-    /** Changes named items of the current configuration. Parameters as for {@link #putConfiguration}. */
+    /** Applies a patch to the current configuration. Parameters as for {@link #putConfiguration}. */
     public static ChangeResult patchConfiguration(
             SystemState state, long ifMatch, ConfigurationPatch patch, String digest) {
         AppliedChange change = AppliedChange.patch(ifMatch, patch.version(), digest);
-        Optional<Unchanged> unchanged = reasonNotToApply(state, ifMatch, change);
+        Optional<Unchanged> unchanged = checkApplicable(state, ifMatch, change);
         if (unchanged.isPresent()) {
             return unchanged.get();
         }
@@ -52,7 +52,7 @@
         }
         try {
             ConfigurationDocument base = ConfigurationDocument.parse(state.configuration());
-            return withConfiguration(state, change, patch.applyTo(base));
+            return applyConfiguration(state, change, patch.applyTo(base));
         } catch (InvalidConfigurationException invalid) {
             return new Unchanged(UnchangedReason.INVALID, invalid.problems());
         }
@@ -71,13 +71,13 @@
     }
 
     /**
-     * Why the state does not take a change; empty if it does.
+     * Returns the reason for which a change does not apply to the state; empty if it applies.
      *
-     * <p>A rejection (conflict or invalid) must hold for all later states too, because the same call may still be on
-     * its way to another controller. So a change is rejected only if its base version is in the past; if its base is
-     * not committed yet, the change may still be applied, and the result is unclear.
+     * <p>A rejection (conflict or invalid) must hold for all later states too, because a copy of the same call may
+     * still be in flight to another controller. Therefore a change is rejected only if its base version is in the past.
+     * If its base is not committed yet, the change may still be applied, and the result is unclear.
      */
-    private static Optional<Unchanged> reasonNotToApply(SystemState state, long ifMatch, AppliedChange change) {
+    private static Optional<Unchanged> checkApplicable(SystemState state, long ifMatch, AppliedChange change) {
         Optional<Unchanged> rejection = rejectionInAnyState(ifMatch, change.version());
         if (rejection.isPresent()) {
             return rejection;
@@ -85,41 +85,44 @@
         return switch (state.appliedChanges().recall(change)) {
             case APPLIED -> Optional.of(Unchanged.ALREADY_APPLIED);
             case FORGOTTEN -> Optional.of(Unchanged.UNCLEAR);
-            case NOT_APPLIED -> reasonByBase(state, ifMatch);
+            case NOT_APPLIED -> checkBaseVersion(state, ifMatch);
         };
     }
 
-    private static Optional<Unchanged> reasonByBase(SystemState state, long ifMatch) {
+    private static Optional<Unchanged> checkBaseVersion(SystemState state, long ifMatch) {
         if (ifMatch > state.configurationVersion()) {
             return Optional.of(Unchanged.UNCLEAR);
         }
         return ifMatch < state.configurationVersion() ? Optional.of(Unchanged.CONFLICT) : Optional.empty();
     }
 
-    /** Names a new version of a model's weights. A version that isn't above the model's newest one changes nothing. */
+    /**
+     * Sets the target version of a model's weights. A version that isn't above the model's current target changes
+     * nothing.
+     */
     public static ChangeResult nameWeights(SystemState state, String model, long version) {
-        if (!isName(model)) {
+        if (!isValidName(model)) {
             return Unchanged.invalid("model", "must be a name");
         }
         if (version < 1) {
             return Unchanged.invalid("config_version", "must be above 0");
         }
-        Long newest = state.weights().get(model);
-        if (newest != null && newest >= version) {
+        Long currentTarget = state.weights().get(model);
+        if (currentTarget != null && currentTarget >= version) {
             return Unchanged.ALREADY_APPLIED;
         }
-        if (newest == null && state.weights().size() >= SystemState.MAX_NAMES) {
+        if (currentTarget == null && state.weights().size() >= SystemState.MAX_NAMES) {
             return Unchanged.invalid("model", "too many models");
         }
         return new Changed(state.withWeights(model, version));
     }
 
     /**
-     * Gives a role's lease to a holder, under a new fencing token unless the holder has it already. The new holder must
-     * wait out the former holder's lease before it acts.
+     * Assigns a role's lease to a holder with a new fencing token, unless the holder has the lease already. The new
+     * holder must wait until the previous holder's lease has expired before it acts.
      */
     public static ChangeResult takeOwnership(SystemState state, String key, String holder) {
-        if (!isName(key) || !isName(holder)) {
+        if (!isValidName(key) || !isValidName(holder)) {
             return Unchanged.invalid("key", "key and holder must be names");
         }
         Lease lease = state.owners().get(key);
@@ -132,7 +135,7 @@
         return new Changed(state.withOwner(key, holder));
     }
 
-    private static boolean isName(String text) {
+    private static boolean isValidName(String text) {
         return text != null && !text.isEmpty() && text.length() <= MAX_NAME_LENGTH;
     }
 }
--- a/controller/src/main/java/burlarch/controller/state/SystemState.java
+++ b/controller/src/main/java/burlarch/controller/state/SystemState.java
@@ -6,16 +6,16 @@
 import java.util.Map;
 
 /**
- * Everything that the controllers agree on; the payload of the register. Immutable, except that the configuration's
- * bytes are not copied: nobody may write to them. Field names in stored bytes are short, because each change sends the
- * complete state.
+ * The replicated state that the controllers agree on; the payload of the register. Immutable, but the configuration's
+ * bytes are not copied, so callers must not modify them. Field names in stored bytes are short, because each change
+ * sends the complete state.
  *
  * @param configurationVersion version of the configuration; 0 while there is none
  * @param configuration the complete document as JSON; empty while there is none
  * @param appliedChanges the newest applied changes of the configuration; a value written by an older release has none,
  *     so that all of its changes count as forgotten
- * @param weights newest named version of the weights, by model
- * @param owners lease by the key of its role
+ * @param weights target version of the weights, by model
+ * @param owners leases by the key of their role
  * @param nextToken fencing token of the next lease; never decreases
  */
 @JsonIgnoreProperties(ignoreUnknown = true)
@@ -26,9 +26,9 @@
         @JsonProperty("w") Map<String, Long> weights,
         @JsonProperty("o") Map<String, Lease> owners,
         @JsonProperty("n") long nextToken) {
-    /** The longest accepted configuration, so that one message and one record on disk can hold it. */
+    /** Limit of a configuration's size, so that it fits into one message and one record on disk. */
     public static final int MAX_CONFIGURATION_BYTES = 5 << 20;
-    /** The most models with named weights, and the most roles with a lease. */
+    /** Limit of models with a target version, and of roles with a lease. */
     public static final int MAX_NAMES = 1024;
     /** The state of a fleet without a configuration. */
     public static final SystemState EMPTY = new SystemState(0, new byte[0], AppliedChanges.NONE, Map.of(), Map.of(), 1);
--- a/controller/src/main/java/burlarch/controller/state/SystemStateCodec.java
+++ b/controller/src/main/java/burlarch/controller/state/SystemStateCodec.java
@@ -12,25 +12,24 @@
 import java.util.zip.DataFormatException;
 
 /**
- * Encodes a state: one byte that names the format, then compressed CBOR. It is compressed because each change of the
- * register sends and stores the complete state at every acceptor. Equal states have equal bytes. Plain CBOR, which
- * starts with another byte, is decoded too: older releases have stored it.
+ * Codec of {@link SystemState}: one format byte, then compressed CBOR. The state is compressed because each change of
+ * the register sends the complete state to every acceptor, which stores it. Equal states have equal bytes. Plain CBOR,
+ * which older releases stored, is decoded too; it starts with a different byte.
  */
 public final class SystemStateCodec {
     private static final ObjectMapper MAPPER = new ObjectMapper(new CBORFactory())
             .enable(SerializationFeature.ORDER_MAP_ENTRIES_BY_KEYS)
-            // Only what is annotated is a field: a method that is called like a getter must not add one.
+            // Only annotated components are fields; a method that is named like a getter must not add one.
             .setVisibility(PropertyAccessor.GETTER, Visibility.NONE)
             .setVisibility(PropertyAccessor.IS_GETTER, Visibility.NONE);
 
     private static final byte COMPRESSED = 1;
-    /** The longest state before compression: the longest configuration and everything beside it. */
+    /** Limit of a state's size before compression: the largest configuration and as much for everything else. */
     private static final int MAX_STATE_BYTES = 2 * SystemState.MAX_CONFIGURATION_BYTES;
 
     private SystemStateCodec() {}
 
-    /** The register value that stores the state: a format byte, then compressed CBOR. */
-    /** The bytes of a state. */
+    /** Encodes a state as a register payload: a format byte, then compressed CBOR. */
     public static byte[] encode(SystemState state) {
         try {
             byte[] compressed = ZlibCompression.compress(MAPPER.writeValueAsBytes(state));
@@ -44,21 +43,21 @@
     }
 
     /**
-     * The state in a payload of the register; {@link SystemState#EMPTY} if there is no payload.
+     * Decodes a register payload; {@link SystemState#EMPTY} if the payload is null or empty.
      *
-     * @throws UncheckedIOException if {@link #encode} did not write the bytes
+     * @throws UncheckedIOException if the payload is damaged or has an unknown format
      */
     public static SystemState decode(byte[] payload) {
         if (payload == null || payload.length == 0) {
             return SystemState.EMPTY;
         }
         try {
-            byte[] plain = payload[0] == COMPRESSED ? ZlibCompression.decompress(payload, 1, MAX_STATE_BYTES) : payload;
-            return MAPPER.readValue(plain, SystemState.class);
-        } catch (DataFormatException broken) {
-            throw new UncheckedIOException(new IOException(broken));
-        } catch (IOException broken) {
-            throw new UncheckedIOException(broken);
+            byte[] cbor = payload[0] == COMPRESSED ? ZlibCompression.decompress(payload, 1, MAX_STATE_BYTES) : payload;
+            return MAPPER.readValue(cbor, SystemState.class);
+        } catch (DataFormatException malformed) {
+            throw new UncheckedIOException(new IOException(malformed));
+        } catch (IOException malformed) {
+            throw new UncheckedIOException(malformed);
         }
     }
 }
