--- a/controller/src/main/java/burlarch/controller/ControllerProgram.java
+++ b/controller/src/main/java/burlarch/controller/ControllerProgram.java
@@ -34,22 +34,22 @@
 import org.tinylog.Logger;
 
 /**
- * The controller program: starts the event loop, the disk thread, the node transport, membership and the control API,
- * and hands them to a {@link ControllerRuntime}.
+ * Entry point of the controller program. It starts the event loop, the disk thread, the node transport, membership and
+ * the control API, and passes them to a {@link ControllerRuntime}.
  */
 public final class ControllerProgram {
-    /** Less than the second after which callers of the control API give up. */
+    /** Callers of the control API time out after one second, so this must be less. */
     private static final long CALL_TIMEOUT_MILLIS = 930;
 
     private static final int IDENTITY_BYTES = 12;
     private static final int ENGINE_THREADS = 4;
-    /** The most requests that wait for the disk; further ones are dropped, because proposers send them again. */
+    /** Limit of queued disk tasks; further ones are rejected, because proposers retry. */
     private static final int MAX_DISK_QUEUE = 64;
 
     private ControllerProgram() {}
 
     /**
-     * Starts the controller, which keeps running on its own threads.
+     * Starts the controller and returns; it keeps running on its own threads.
      *
      * @throws Exception if the disk can't be opened or a port can't be bound
      */
@@ -87,12 +87,15 @@
                     controllerSettings,
                     storage,
                     new ControllerRuntime.Environment(
-                            transport, diskThread(), new EngineClient(engineHttp()), new SplittableRandom()));
+                            transport,
+                            diskExecutor(),
+                            new EngineClient(startEngineHttpClient()),
+                            new SplittableRandom()));
             membership.addListener(runtime::onMembers);
             SettingsFileWatcher.start(
                     changed -> loop.execute(() -> runtime.addControllerAddresses(NodeAddresses.seeds(changed))));
             membership.start();
-            serve(settings, service, membership);
+            startControlServer(settings, service, membership);
         });
         ConfigurationDocument.warmUpValidation();
     }
@@ -110,8 +113,8 @@
                 settings.faultTolerance().machines());
     }
 
-    /** The disk thread: the only one that uses the disk after the start. */
-    private static Executor diskThread() {
+    /** Creates the executor of the disk thread, the only thread that uses the disk after the start. */
+    private static Executor diskExecutor() {
         return new ThreadPoolExecutor(
                 1, 1, 0, TimeUnit.SECONDS, new LinkedBlockingQueue<>(MAX_DISK_QUEUE), ControllerProgram::newDiskThread);
     }
@@ -122,7 +125,7 @@
         return thread;
     }
 
-    private static HttpClient engineHttp() {
+    private static HttpClient startEngineHttpClient() {
         QueuedThreadPool threads = new QueuedThreadPool(ENGINE_THREADS, 1);
         threads.setName("engines");
         threads.setReservedThreads(0);
@@ -132,11 +135,12 @@
             scheduler.start();
             return EngineHttpClientFactory.start(threads, scheduler, new ArrayByteBufferPool());
         } catch (Exception e) {
-            throw new IllegalStateException("the HTTP client for engines did not start", e);
+            throw new IllegalStateException("cannot start the HTTP client for engines", e);
         }
     }
 
-    private static void serve(NodeSettings settings, ControlService service, MembershipService membership) {
+    private static void startControlServer(
+            NodeSettings settings, ControlService service, MembershipService membership) {
         ControlServer server = new ControlServer(settings.listen().control(), service, CALL_TIMEOUT_MILLIS);
         try {
             server.start();
--- a/controller/src/main/java/burlarch/controller/ControllerRuntime.java
+++ b/controller/src/main/java/burlarch/controller/ControllerRuntime.java
@@ -34,35 +34,37 @@
 import java.util.random.RandomGenerator;
 
 /**
- * The components of one controller, wired together. Sockets, disk, clock and random numbers are passed in, so that the
- * simulation runs the same class. Every method but the constructor is called on the event loop.
+ * Composition root of one controller: creates and connects its components. Sockets, disk, clock and random numbers are
+ * passed in, so that the simulation runs the same class. Every method except the constructor is called on the event
+ * loop.
  *
- * <p>It owns no state beyond the components; {@code package-info} of each package says who owns what.
+ * <p>It has no state beyond the components; the documentation of each package lists the owners of its state.
  */
 public class ControllerRuntime {
-    /** Key, in the register, of the role that rolls out weights. */
+    /** Key in the register of the singleton role that rolls out weights. */
     private static final String WEIGHTS_ROLE = "weights";
 
     private final EventLoop loop;
     private final NodeMessageDispatcher dispatcher;
     private final ControllerMembershipView membershipView = new ControllerMembershipView();
-    /** Null before {@link #start}, as {@link #register}. */
+    /** Null before {@link #start}. */
     private ControllerPeers peers;
 
+    /** Null before {@link #start}. */
     private RegisterReplica register;
 
     /**
-     * What a controller acts on.
+     * The external resources that a controller uses.
      *
-     * @param connections to other nodes
-     * @param disk runs what touches the disk, one task after the other; may reject a task
-     * @param engines calls to engines
-     * @param random spreads the retries of proposals
+     * @param connections connections to other nodes
+     * @param disk executes all disk access, one task at a time; may reject a task
+     * @param engines client for calls to engines
+     * @param random source of the jitter of proposal retries
      */
     public record Environment(
             PeerConnections connections, Executor disk, EngineControlClient engines, RandomGenerator random) {}
 
-    /** A runtime that does nothing before {@link #start}. */
+    /** Creates a runtime whose components start with {@link #start}. */
     public ControllerRuntime(EventLoop loop) {
         this.loop = loop;
         dispatcher = new NodeMessageDispatcher(loop);
@@ -74,8 +76,10 @@
     }
 
     /**
-     * Wires and starts all components; to be called once, before the first connection is established. Listeners of the
-     * committed state run in the order in which they are added here.
+     * Creates and starts all components. Must be called once, before the first connection is established. Listeners of
+     * the committed state run in the order in which they are added here.
+     *
+     * @return the service behind the control API
      */
     public ControlService start(ControllerSettings settings, RegisterStorage storage, Environment environment) {
         peers = new ControllerPeers(loop, environment.connections(), settings.ownAddress());
@@ -119,7 +123,7 @@
             EngineControlClient engines) {
         WeightsRollout rollout = new WeightsRollout(RolloutSettings.of(settings.rolloutDeadlineMillis()));
         RolloutCoordinator coordinator = new RolloutCoordinator(loop, registry, publisher, engines, rollout);
-        LeaseManager lease = new LeaseManager(
+        LeaseManager leaseManager = new LeaseManager(
                 loop,
                 register.client(),
                 peers,
@@ -128,25 +132,25 @@
                 new LeaseManager.Settings(
                         WEIGHTS_ROLE, settings.ownAddress(), settings.processName(), settings.leaseNanos()),
                 coordinator);
-        coordinator.start(lease);
+        coordinator.start(leaseManager);
         register.committed().addListener((state, origin) -> coordinator.onCommitted(state));
     }
 
-    /** Changes of the membership. */
+    /** Handles membership changes. */
     public void onMembers(List<MemberChange> changes) {
         membershipView.onChanges(changes);
         addControllerAddresses(MembershipService.appearedAddresses(changes, NodeRoles.CONTROLLER));
     }
 
-    /** Other controllers may be at these addresses. */
+    /** Adds addresses at which other controllers may be reached. */
     public void addControllerAddresses(Collection<String> addresses) {
         peers.addAddresses(addresses);
     }
 
     /**
-     * The proposer that all components use; the given one, unless a subclass changes how proposals are made.
+     * Returns the proposer that all components use. Returns {@code real} unless a subclass overrides it.
      *
-     * @param real executes the proposals
+     * @param real the proposer that executes the proposals
      */
     protected Proposer proposer(Proposer real) {
         return real;
@@ -162,7 +166,7 @@
         return register.committed().state();
     }
 
-    /** The acceptors that this process knows. */
+    /** The acceptors of the newest value that this process knows to be committed. */
     public List<AcceptorMember> acceptors() {
         return register.committed().members();
     }
--- a/controller/src/main/java/burlarch/controller/ControllerSettings.java
+++ b/controller/src/main/java/burlarch/controller/ControllerSettings.java
@@ -3,15 +3,15 @@
 import java.util.List;
 
 /**
- * The settings that a controller's decisions depend on.
+ * Settings of a {@link ControllerRuntime}.
  *
  * @param ownAddress IP:PORT at which other nodes connect to this one
- * @param zone where this process runs
- * @param seeds such addresses of other controllers
+ * @param zone zone in which this process runs
+ * @param seeds IP:PORT of other controllers at which this one connects to them
  * @param processName unique for this start of this process
- * @param heartbeatNanos time between the announcements of an instance
- * @param rolloutDeadlineMillis how long after a version of weights is named all engines have to serve it
- * @param leaseNanos how long the lease of a singleton role lasts after its last confirmation
+ * @param heartbeatNanos period of an instance's announcements
+ * @param rolloutDeadlineMillis time within which all engines must serve a newly set target version of weights
+ * @param leaseNanos duration of a singleton role's lease after its last confirmation
  * @param toleratedLosses the number of acceptors that may be lost at the same time
  */
 public record ControllerSettings(
--- a/controller/src/main/java/burlarch/controller/MessageHandlers.java
+++ b/controller/src/main/java/burlarch/controller/MessageHandlers.java
@@ -8,12 +8,12 @@
 import burlarch.controller.peers.ControllerPeers;
 import burlarch.controller.register.RegisterReplica;
 
-/** The components of a controller that connections and messages of other nodes are dispatched to. */
+/** The components of a controller to which {@link NodeMessageDispatcher} dispatches connections and messages. */
 record MessageHandlers(
         ControllerPeers peers,
         RegisterReplica register,
         RouterPublisher publisher,
-        QuorumReadGate reads,
-        ConfigurationConfirmationService confirmations,
+        QuorumReadGate quorumReadGate,
+        ConfigurationConfirmationService confirmationService,
         InstanceReplicator instances,
-        PrefixCacheEventForwarder prefixCacheEvents) {}
+        PrefixCacheEventForwarder prefixCacheForwarder) {}
--- a/controller/src/main/java/burlarch/controller/NodeMessageDispatcher.java
+++ b/controller/src/main/java/burlarch/controller/NodeMessageDispatcher.java
@@ -9,8 +9,8 @@
 import java.util.List;
 
 /**
- * Dispatches connections and messages of other nodes to the components that handle them, and sends the other
- * controllers this one's status periodically. Runs on the event loop; has no state of its own.
+ * Dispatcher of connections and messages from other nodes to the components that handle them. It also sends this
+ * controller's status to the other controllers periodically. Runs on the event loop; has no state of its own.
  */
 final class NodeMessageDispatcher implements PeerConnectionListener {
     private static final long STATUS_PERIOD_NANOS = 300_000_000;
@@ -23,7 +23,7 @@
         this.loop = loop;
     }
 
-    /** Sends the first status; to be called once, before the first connection. */
+    /** Sets the handlers and sends the first status. Must be called once, before the first connection. */
     void start(MessageHandlers messageHandlers) {
         handlers = messageHandlers;
         sendStatus();
@@ -31,7 +31,7 @@
 
     @Override
     public void onConnected(PeerConnection connection) {
-        handlers.prefixCacheEvents().onConnected(connection);
+        handlers.prefixCacheForwarder().onConnected(connection);
         String role = connection.peerHello().role();
         if (role.equals(NodeRoles.ROUTER)) {
             onRouterConnected(connection);
@@ -43,7 +43,7 @@
     private void onRouterConnected(PeerConnection router) {
         handlers.instances().expireOverdue();
         handlers.publisher().onRouterConnected(router, advertisedAddresses());
-        handlers.reads().onRouterConnected(router);
+        handlers.quorumReadGate().onRouterConnected(router);
     }
 
     private void onControllerConnected(PeerConnection controller) {
@@ -56,11 +56,11 @@
 
     @Override
     public void onDisconnected(PeerConnection connection) {
-        handlers.prefixCacheEvents().onDisconnected(connection);
+        handlers.prefixCacheForwarder().onDisconnected(connection);
         if (connection.peerHello().role().equals(NodeRoles.ROUTER)) {
             handlers.publisher().onRouterDisconnected(connection, advertisedAddresses());
-            handlers.reads().onRouterDisconnected(connection);
-            handlers.confirmations().onRouterDisconnected(connection);
+            handlers.quorumReadGate().onRouterDisconnected(connection);
+            handlers.confirmationService().onRouterDisconnected(connection);
         } else {
             handlers.peers().onDisconnected(connection);
             handlers.register().quorumContact().onDisconnected(connection);
@@ -71,7 +71,7 @@
     @Override
     public void onMessage(PeerConnection connection, NodeMessage message) {
         if (message instanceof NodeMessage.PrefixCacheEvents events) {
-            handlers.prefixCacheEvents().onPrefixCacheEvents(connection, events);
+            handlers.prefixCacheForwarder().onPrefixCacheEvents(connection, events);
         } else if (message instanceof NodeMessage.RegisterProtocol protocol) {
             handlers.register().onMessage(connection, protocol.message());
         } else if (message instanceof NodeMessage.Committed committed) {
@@ -87,7 +87,7 @@
         } else if (message instanceof NodeMessage.FetchConfiguration) {
             handlers.publisher().onFetchConfiguration(connection);
         } else if (message instanceof NodeMessage.ConfirmConfiguration confirm) {
-            handlers.confirmations().onRequest(connection, confirm.request());
+            handlers.confirmationService().onRequest(connection, confirm.request());
         } else if (message instanceof NodeMessage.InstancesAck ack) {
             handlers.publisher().onInstancesAck(connection, ack.revision());
         }
@@ -95,9 +95,9 @@
 
     private void onStatus(PeerConnection connection, ControllerStatus status) {
         handlers.register().quorumContact().onHeard(connection);
-        int knownBefore = advertisedAddresses().size();
+        int previousCount = advertisedAddresses().size();
         handlers.peers().addAddresses(status.controllers());
-        if (advertisedAddresses().size() != knownBefore) {
+        if (advertisedAddresses().size() != previousCount) {
             handlers.publisher().scheduleFleetUpdate(advertisedAddresses());
         }
         handlers.peers().onAcceptorStatus(connection, status.acceptorAbstains());
--- a/controller/src/main/java/burlarch/controller/api/ControlCallHandler.java
+++ b/controller/src/main/java/burlarch/controller/api/ControlCallHandler.java
@@ -5,20 +5,23 @@
 import org.eclipse.jetty.server.Response;
 import org.eclipse.jetty.util.Callback;
 
-/** Responds to each request at a control address exactly once. Runs on Jetty's threads and never blocks. */
+/**
+ * Base class of Jetty handlers that respond to each request at a control address exactly once. Runs on Jetty's threads
+ * and never blocks.
+ */
 abstract class ControlCallHandler extends Handler.Abstract.NonBlocking {
     private volatile boolean draining;
 
-    /** From now on each connection closes after its next response. */
+    /** Starts draining: from now on each connection closes after its next response. */
     final void drain() {
         draining = true;
     }
 
     @Override
     public final boolean handle(Request request, Response response, Callback callback) {
-        ControlExchange.Connection afterwards =
+        ControlExchange.Connection connectionAfterResponse =
                 draining ? ControlExchange.Connection.CLOSE : ControlExchange.Connection.KEEP_OPEN;
-        ControlExchange exchange = new ControlExchange(request, response, callback, afterwards);
+        ControlExchange exchange = new ControlExchange(request, response, callback, connectionAfterResponse);
         try {
             dispatch(request, exchange);
         } catch (RuntimeException failure) {
@@ -27,6 +30,9 @@
         return true;
     }
 
-    /** Sees to it that the exchange gets its response; what it throws is the response otherwise. */
+    /**
+     * Handles a request so that the exchange eventually gets a response. An exception that it throws is reported as the
+     * response.
+     */
     abstract void dispatch(Request request, ControlExchange exchange);
 }
--- a/controller/src/main/java/burlarch/controller/api/ControlExchange.java
+++ b/controller/src/main/java/burlarch/controller/api/ControlExchange.java
@@ -17,20 +17,20 @@
 import org.tinylog.Logger;
 
 /**
- * One HTTP request of the control API and its one response.
+ * One HTTP exchange of the control API: a request and its response.
  *
- * <p>Result, failure and timeout may come on different threads. Invariant <em>one response</em>: the first of them
- * writes the response, the others do nothing.
+ * <p>Result, failure and timeout may occur on different threads. Invariant <em>one response</em>: the first of them
+ * writes the response, the others have no effect.
  */
 final class ControlExchange {
     private static final int OK = 200;
-    /** The caller repeats the call at another address, with the same method and body. */
+    /** HTTP 307: the caller repeats the request at another address, with the same method and body. */
     private static final int TEMPORARY_REDIRECT = 307;
 
     private static final String JSON = "application/json";
     private static final byte[] EMPTY_OBJECT = {'{', '}'};
 
-    /** What becomes of the connection after the response. */
+    /** Treatment of the connection after the response. */
     enum Connection {
         KEEP_OPEN,
         CLOSE
@@ -39,19 +39,20 @@
     private final Request request;
     private final Response response;
     private final Callback callback;
-    private final Connection afterwards;
+    private final Connection connectionAfterResponse;
     private final AtomicBoolean responded = new AtomicBoolean();
 
-    /** An exchange without a response yet. */
-    ControlExchange(Request request, Response response, Callback callback, Connection afterwards) {
+    /** Creates an exchange that has no response yet. */
+    ControlExchange(Request request, Response response, Callback callback, Connection connectionAfterResponse) {
         this.request = request;
         this.response = response;
         this.callback = callback;
-        this.afterwards = afterwards;
+        this.connectionAfterResponse = connectionAfterResponse;
     }
 
     /**
-     * Responds with the service's result, bytes or nothing, or with 503 after the timeout, which cancels the result.
+     * Responds with the service's result once it completes: its bytes, or an empty JSON object if it has none. After
+     * the timeout it responds with 503 and cancels the result.
      */
     void respondWith(CompletableFuture<?> result, long timeoutMillis) {
         if (result.isDone()) {
@@ -86,7 +87,9 @@
         }
     }
 
-    /** Responds with the address at which the caller is to make the same call. */
+    /** Redirects the caller to the same call at another address.
+     *
+     * @param location absolute URL */
     void redirect(String location) {
         if (responded.compareAndSet(false, true)) {
             response.getHeaders().put(HttpHeader.LOCATION, location);
@@ -114,14 +117,16 @@
         while (cause instanceof CompletionException && cause.getCause() != null) {
             cause = cause.getCause();
         }
-        if (cause instanceof ControlException known) {
-            return known;
+        if (cause instanceof ControlException controlException) {
+            return controlException;
         }
         Logger.error(cause, "control call failed unexpectedly");
         return new ControlException(ErrorKind.UNCLEAR);
     }
 
-    /** The connection can't be used again after a response that leaves part of the request's body unread. */
+    /**
+     * Whether a failure of this kind may leave part of the request's body unread; the connection can't be reused then.
+     */
     private static boolean leavesBodyUnread(ErrorKind kind) {
         return switch (kind) {
             case TOO_LARGE, OVERLOADED, BROKEN_OFF -> true;
@@ -137,7 +142,7 @@
         response.setStatus(status);
         response.getHeaders().put(HttpHeader.CONTENT_TYPE, JSON);
         response.getHeaders().put(HttpHeader.CONTENT_LENGTH, body.length);
-        if (afterwards == Connection.CLOSE) {
+        if (connectionAfterResponse == Connection.CLOSE) {
             closeConnection();
         }
         response.write(true, ByteBuffer.wrap(body), callback);
--- a/controller/src/main/java/burlarch/controller/api/ControlHandler.java
+++ b/controller/src/main/java/burlarch/controller/api/ControlHandler.java
@@ -10,15 +10,15 @@
 import org.eclipse.jetty.server.Request;
 
 /**
- * Maps each request at the control address to a call of the {@link ControlService}. Runs on Jetty's threads and never
- * blocks.
+ * Request handler of the control API: maps each request to a call of the {@link ControlService}. Runs on Jetty's
+ * threads and never blocks.
  */
 final class ControlHandler extends ControlCallHandler {
-    private static final String CONFIGURATION = "/burlarch/config";
-    private static final String WEIGHTS = "/burlarch/version-put";
-    private static final String INSTANCES = "/burlarch/instances/";
+    private static final String CONFIGURATION_PATH = "/burlarch/config";
+    private static final String WEIGHTS_PATH = "/burlarch/version-put";
+    private static final String INSTANCES_PREFIX = "/burlarch/instances/";
     private static final int MAX_ID_LENGTH = 256;
-    /** Version that the first configuration builds on. */
+    /** Base version of the first configuration. */
     private static final long NO_VERSION = 0;
 
     private final ControlService service;
@@ -34,27 +34,27 @@
     @Override
     void dispatch(Request request, ControlExchange exchange) {
         String path = Request.getPathInContext(request);
-        if (path.equals(CONFIGURATION)) {
-            configuration(request, exchange);
-        } else if (path.equals(WEIGHTS)) {
-            weights(request, exchange);
-        } else if (path.startsWith(INSTANCES)) {
-            instance(request, exchange, path.substring(INSTANCES.length()));
+        if (path.equals(CONFIGURATION_PATH)) {
+            handleConfiguration(request, exchange);
+        } else if (path.equals(WEIGHTS_PATH)) {
+            handleWeights(request, exchange);
+        } else if (path.startsWith(INSTANCES_PREFIX)) {
+            handleInstance(request, exchange, path.substring(INSTANCES_PREFIX.length()));
         } else {
             throw new ControlException(ErrorKind.NOT_FOUND);
         }
     }
 
-    private void configuration(Request request, ControlExchange exchange) {
+    private void handleConfiguration(Request request, ControlExchange exchange) {
         switch (request.getMethod()) {
             case "GET" -> exchange.respondWith(service.readConfiguration(), callTimeoutMillis);
             case "PUT" -> {
-                long ifMatch = ifMatch(request);
+                long ifMatch = parseIfMatch(request);
                 new BodyCall(exchange, body -> service.putConfiguration(body, ifMatch))
                         .start(request, RequestBodyLimits.MAX_CONFIGURATION_BYTES);
             }
             case "PATCH" -> {
-                long ifMatch = ifMatch(request);
+                long ifMatch = parseIfMatch(request);
                 new BodyCall(exchange, body -> service.patchConfiguration(body, ifMatch))
                         .start(request, RequestBodyLimits.MAX_CONFIGURATION_BYTES);
             }
@@ -62,7 +62,7 @@
         }
     }
 
-    private void weights(Request request, ControlExchange exchange) {
+    private void handleWeights(Request request, ControlExchange exchange) {
         if (!request.getMethod().equals("POST")) {
             throw new ControlException(ErrorKind.METHOD);
         }
@@ -75,32 +75,35 @@
                 ControlJson.requiredText(json, "model"), ControlJson.wholeNumber(json, "config_version"));
     }
 
-    private void instance(Request request, ControlExchange exchange, String id) {
+    private void handleInstance(Request request, ControlExchange exchange, String id) {
         if (id.isEmpty() || id.length() > MAX_ID_LENGTH || id.indexOf('/') >= 0) {
             throw new ControlException(ErrorKind.NOT_FOUND);
         }
         switch (request.getMethod()) {
-            case "PUT" -> new BodyCall(exchange, body -> service.announce(InstanceAnnouncementParser.read(id, body)))
+            case "PUT" -> new BodyCall(exchange, body -> service.announce(InstanceAnnouncementParser.parse(id, body)))
                     .start(request, RequestBodyLimits.MAX_OTHER_BYTES);
             case "DELETE" -> exchange.respondWith(service.leave(id), callTimeoutMillis);
             default -> throw new ControlException(ErrorKind.METHOD);
         }
     }
 
-    /** The version that a change builds on, with or without quotes; 0 if the request names none. */
-    private static long ifMatch(Request request) {
+    /** Parses the If-Match header, the base version of a change, with or without quotes; 0 if it is absent. */
+    private static long parseIfMatch(Request request) {
         String text = request.getHeaders().get(HttpHeader.IF_MATCH);
         if (text == null || text.isBlank()) {
             return NO_VERSION;
         }
         try {
             return Long.parseLong(text.replace("\"", "").trim());
-        } catch (NumberFormatException notNumber) {
+        } catch (NumberFormatException notANumber) {
             throw new ControlException(ErrorKind.BAD_REQUEST, "If-Match", "must be a whole number");
         }
     }
 
-    /** Reads a request's body, then makes the call. The body's bytes stay reserved until the call has ended. */
+    /**
+     * A call with a request body: reads the body, then calls the service. The body's bytes stay reserved until the call
+     * has completed.
+     */
     private final class BodyCall implements RequestBodyReader.Listener {
         private final ControlExchange exchange;
         private final Function<byte[], CompletableFuture<Void>> call;
--- a/controller/src/main/java/burlarch/controller/api/ControlJson.java
+++ b/controller/src/main/java/burlarch/controller/api/ControlJson.java
@@ -11,7 +11,7 @@
 import java.io.IOException;
 import java.io.UncheckedIOException;
 
-/** Reads and writes the small JSON bodies of the control API. */
+/** Utility functions that read and write the small JSON bodies of the control API. */
 final class ControlJson {
     private static final ObjectMapper MAPPER = new ObjectMapper();
     private static final int MAX_PROBLEMS = 16;
@@ -20,7 +20,7 @@
     private ControlJson() {}
 
     /**
-     * The JSON object in a body.
+     * Parses a body as a JSON object.
      *
      * @throws ControlException if the body is not a JSON object
      */
@@ -28,7 +28,7 @@
         JsonNode tree;
         try {
             tree = MAPPER.readTree(body);
-        } catch (IOException broken) {
+        } catch (IOException malformed) {
             throw new ControlException(ErrorKind.BAD_REQUEST, "", "not JSON");
         }
         if (!tree.isObject()) {
@@ -38,7 +38,7 @@
     }
 
     /**
-     * A required text.
+     * Returns a required text field.
      *
      * @throws ControlException if it is absent, empty or too long
      */
@@ -51,7 +51,7 @@
     }
 
     /**
-     * An optional text, or a number as text; empty if it is absent.
+     * Returns an optional text field, or a number as text; empty if the field is absent.
      *
      * @throws ControlException if it is too long
      */
@@ -64,7 +64,7 @@
     }
 
     /**
-     * A required whole number.
+     * Returns a required whole number.
      *
      * @throws ControlException if it is absent or not a whole number
      */
@@ -76,7 +76,10 @@
         return node.asLong();
     }
 
-    /** The body of a failure: the code of its kind, and the first of its problems by field and reason. */
+    /**
+     * Encodes the body of a failure: the code of its kind, and its first {@value #MAX_PROBLEMS} problems with field and
+     * reason.
+     */
     static byte[] error(ControlException failure) {
         ObjectNode error = MAPPER.createObjectNode().put("error", failure.kind().code());
         ArrayNode problems = error.putArray("problems");
--- a/controller/src/main/java/burlarch/controller/api/ControlServer.java
+++ b/controller/src/main/java/burlarch/controller/api/ControlServer.java
@@ -16,8 +16,8 @@
 import org.eclipse.jetty.util.thread.QueuedThreadPool;
 
 /**
- * The HTTP server at the {@code control} address, for operators and instances. Methods may be called on any thread,
- * each at most once.
+ * HTTP server of the control API, which operators and instances call at the {@code control} address. Methods may be
+ * called on any thread, each at most once.
  */
 public final class ControlServer {
     private static final int MAX_THREADS = 6;
@@ -33,11 +33,11 @@
     private final ControlCallHandler handler;
 
     /**
-     * A server that is not started yet.
+     * Creates a server that is not started yet.
      *
      * @param address to listen on; port 0 for any free port
-     * @param callTimeoutMillis how long after the request's last byte a call may take before the response is 503; less
-     *     than the second after which callers give up
+     * @param callTimeoutMillis time after the request's last byte at which a pending call is answered with 503. Callers
+     *     time out after one second, so it must be less
      */
     public ControlServer(InetSocketAddress address, ControlService service, long callTimeoutMillis) {
         this(
@@ -47,10 +47,11 @@
     }
 
     /**
-     * A server that is not started yet and redirects each call.
+     * Creates a server that is not started yet and redirects each call.
      *
      * @param address to listen on; port 0 for any free port
-     * @param target names the control address, IP:PORT, to which one call is redirected; called on any thread
+     * @param target supplies the control address, IP:PORT, to which one call is redirected, or empty if none is known;
+     *     called on any thread
      */
     public static ControlServer redirecting(InetSocketAddress address, Supplier<Optional<String>> target) {
         return new ControlServer(address, new RedirectHandler(target));
@@ -81,7 +82,7 @@
     }
 
     /**
-     * Starts to listen.
+     * Starts the server.
      *
      * @throws Exception if the server can't listen on the address
      */
@@ -95,14 +96,14 @@
     }
 
     /**
-     * Stops accepting connections soon. Calls on open connections are served, and each connection closes after its next
-     * response.
+     * Initiates a graceful shutdown and returns: no new connections are accepted, calls on open connections are served,
+     * and each connection closes after its next response.
      */
     public void stopAccepting() {
         handler.drain();
         // Without acceptor threads, the connector's own close leaves the server socket open.
         IO.close((ServerSocketChannel) connector.getTransport());
-        // The socket listens until its selector runs once more, so wake the selector.
+        // The socket keeps listening until its selector runs once more, so wake the selector.
         for (ManagedSelector selector : connector.getContainedBeans(ManagedSelector.class)) {
             selector.submit(ignored -> {});
         }
@@ -111,7 +112,7 @@
     /**
      * Closes all connections and stops all threads.
      *
-     * @throws Exception if some component does not stop
+     * @throws Exception if a component does not stop
      */
     public void stop() throws Exception {
         server.stop();
--- a/controller/src/main/java/burlarch/controller/api/ControlService.java
+++ b/controller/src/main/java/burlarch/controller/api/ControlService.java
@@ -4,36 +4,37 @@
 import java.util.concurrent.CompletableFuture;
 
 /**
- * The calls of the control API. Calls come on any thread; no method blocks.
+ * The operations of the control API. Methods may be called on any thread and must not block.
  *
- * <p>A future fails with a {@link burlarch.controller.error.ControlException}; any other failure is reported as
- * {@link burlarch.controller.error.ErrorKind#UNCLEAR}. A future that isn't done within the API's timeout is cancelled,
- * and reported as unclear too.
+ * <p>A future fails with a {@link burlarch.controller.error.ControlException}; any other failure is reported as {@link
+ * burlarch.controller.error.ErrorKind#UNCLEAR}. A future that does not complete within the API's timeout is cancelled,
+ * and is reported as unclear too.
  */
 public interface ControlService {
     /**
-     * Replaces the configuration. Done once the configuration is in force, also if it was before.
+     * Replaces the configuration. The future completes once the configuration is in force, which it may have been
+     * before.
      *
      * @param body the JSON as received; the service owns it from now on
      * @param ifMatch the version that the configuration builds on, 0 for the first one
      */
     CompletableFuture<Void> putConfiguration(byte[] body, long ifMatch);
 
-    /** Changes named items of the configuration; otherwise as {@link #putConfiguration}. */
+    /** Applies a patch to the configuration; otherwise as {@link #putConfiguration}. */
     CompletableFuture<Void> patchConfiguration(byte[] body, long ifMatch);
 
-    /** The newest complete configuration as JSON, read from a quorum. Fails with NOT_FOUND while there is none. */
+    /** Reads the newest complete configuration from a quorum, as JSON. Fails with NOT_FOUND while there is none. */
     CompletableFuture<byte[]> readConfiguration();
 
-    /** Names a version of a model's weights. Done once the version is committed. */
+    /** Sets the target version of a model's weights. The future completes once the version is committed. */
     CompletableFuture<Void> nameWeights(String model, long version);
 
     /**
-     * An instance's heartbeat. Done once it may be acknowledged: for a draining instance, once the connected routers
-     * know of it.
+     * Handles an instance's heartbeat. The future completes once the heartbeat may be acknowledged; for a draining
+     * instance, that is once the connected routers know that it drains.
      */
     CompletableFuture<Void> announce(Instance instance);
 
-    /** An instance ends. Done once the connected routers know of it. */
+    /** Removes an instance that ends. The future completes once the connected routers know of it. */
     CompletableFuture<Void> leave(String id);
 }
--- a/controller/src/main/java/burlarch/controller/api/InstanceAnnouncementParser.java
+++ b/controller/src/main/java/burlarch/controller/api/InstanceAnnouncementParser.java
@@ -10,19 +10,19 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** Reads the body of an instance's heartbeat. Unknown fields are ignored. */
+/** Parser of the body of an instance's heartbeat. Unknown fields are ignored. */
 final class InstanceAnnouncementParser {
     private static final int MAX_MODELS = 64;
 
     private InstanceAnnouncementParser() {}
 
     /**
-     * The instance that a heartbeat describes.
+     * Parses the instance that a heartbeat describes.
      *
      * @throws ControlException if the body is not a JSON object, or if its service, address, state or sequence is
      *     missing or invalid
      */
-    static Instance read(String id, byte[] body) {
+    static Instance parse(String id, byte[] body) {
         JsonNode json = ControlJson.object(body);
         return new Instance(
                 id,
--- a/controller/src/main/java/burlarch/controller/api/RedirectHandler.java
+++ b/controller/src/main/java/burlarch/controller/api/RedirectHandler.java
@@ -9,14 +9,17 @@
 import org.eclipse.jetty.server.Request;
 
 /**
- * Answers each call with 307 and the same path at another control address, or with 503 if none is known. The body is
- * read and dropped first: a connection that is answered and closed before its caller has written everything is reset,
- * and the caller might never see the answer.
+ * Request handler that redirects each call with 307 to the same path at another control address, or responds with 503
+ * if none is known. It reads and discards the body first, because closing a connection with unread data resets it, and
+ * the caller might never receive the response.
  */
 final class RedirectHandler extends ControlCallHandler {
     private final Supplier<Optional<String>> target;
 
-    /** @param target names the control address, IP:PORT, for one call; called on any thread */
+    /**
+     * @param target supplies the control address, IP:PORT, for one call, or empty if none is known; called on any
+     *     thread
+     */
     RedirectHandler(Supplier<Optional<String>> target) {
         this.target = target;
     }
@@ -39,7 +42,7 @@
         }
     }
 
-    /** Reads a body to its end without keeping it. Jetty runs it again whenever more of the body has arrived. */
+    /** Reads and discards a body, then responds. Jetty runs it again whenever more of the body has arrived. */
     private final class BodyDiscarder implements Runnable {
         private final Request request;
         private final ControlExchange exchange;
--- a/controller/src/main/java/burlarch/controller/api/RequestBodyLimits.java
+++ b/controller/src/main/java/burlarch/controller/api/RequestBodyLimits.java
@@ -1,12 +1,12 @@
 package burlarch.controller.api;
 
-/** Limits of the request bodies of the control API, each and in total. */
+/** Size limits of the request bodies of the control API, for each body and in total. */
 final class RequestBodyLimits {
-    /** The longest body of a configuration. */
+    /** Limit of the body of a configuration or patch. */
     static final int MAX_CONFIGURATION_BYTES = 8 << 20;
-    /** The longest body of any other call. */
+    /** Limit of the body of any other call. */
     static final int MAX_OTHER_BYTES = 64 << 10;
-    /** The bytes that all open calls may hold in total. */
+    /** Limit of the bodies of all open calls in total. */
     static final long MAX_TOTAL_BYTES = 16 << 20;
 
     private RequestBodyLimits() {}
--- a/controller/src/main/java/burlarch/controller/api/RequestBodyReader.java
+++ b/controller/src/main/java/burlarch/controller/api/RequestBodyReader.java
@@ -9,19 +9,19 @@
 import org.eclipse.jetty.server.Request;
 
 /**
- * Reads the body of one request without blocking, within the budget that all calls share. Jetty runs it again whenever
+ * Non-blocking reader of one request body, within the memory budget that all calls share. Jetty runs it again whenever
  * more of the body has arrived, one run at a time.
  */
 final class RequestBodyReader implements Runnable {
     private static final int INITIAL_BYTES = 4 << 10;
     private static final int GROWTH_FACTOR = 2;
 
-    /** Notified once, on the thread that read the last bytes. */
+    /** Listener that is notified once, on the thread that read the last bytes. */
     interface Listener {
-        /** The complete body; its bytes stay reserved until {@link RequestBodyReader#release}. */
+        /** Called with the complete body; its bytes stay reserved until {@link RequestBodyReader#release}. */
         void onBody(byte[] body);
 
-        /** The body is too long, exceeds the budget or did not arrive completely; the rest is unread. */
+        /** Called if the body is too long, exceeds the budget or did not arrive completely; the rest is unread. */
         void onFailure(ControlException failure);
     }
 
@@ -32,7 +32,7 @@
     private byte[] bytes = new byte[0];
     private int length;
 
-    /** A reader that has not started. */
+    /** Creates a reader, which is started by {@link #run}. */
     RequestBodyReader(Request request, int maxBytes, RequestBodyBudget budget, Listener listener) {
         this.request = request;
         this.maxBytes = maxBytes;
@@ -40,7 +40,7 @@
         this.listener = listener;
     }
 
-    /** Reads what is available and asks to be run again when there is more. */
+    /** Reads the available bytes, and requests to be run again when there are more. */
     @Override
     public void run() {
         try {
@@ -57,14 +57,14 @@
         }
     }
 
-    /** Releases the reserved bytes. To be called once; nothing is read afterwards. */
+    /** Releases the reserved bytes. Must be called once, after which nothing is read. */
     void release() {
         budget.release(bytes.length);
         bytes = new byte[0];
         length = 0;
     }
 
-    /** Whether the body is complete. */
+    /** Reads the available bytes. Returns whether the body is complete. */
     private boolean readAvailable() {
         while (true) {
             Content.Chunk chunk = request.read();
@@ -72,7 +72,7 @@
                 return false;
             }
             if (Content.Chunk.isFailure(chunk)) {
-                // Not an invalid body: its sender may send the same call completely. Jetty reports a malformed chunk
+                // Retryable, because the sender may send the same body completely. Jetty reports a malformed chunk
                 // in the same way as a broken connection.
                 throw new ControlException(ErrorKind.BROKEN_OFF);
             }
--- a/controller/src/main/java/burlarch/controller/error/ErrorKind.java
+++ b/controller/src/main/java/burlarch/controller/error/ErrorKind.java
@@ -1,34 +1,35 @@
 package burlarch.controller.error;
 
 /**
- * Every way in which a call of the control API may fail, and how HTTP reports it.
+ * The kinds of failure of a control API call, with their HTTP status and retry delay.
  *
- * <p>An operator's client gives up at 400, 409, 412, 413 and 422. Invariant <em>final statuses are final</em>: these
- * statuses stand only for calls that no state will ever accept; whatever may still succeed is reported as 503.
+ * <p>An operator's client doesn't retry after 400, 409, 412, 413 and 422. Invariant <em>final statuses are final</em>:
+ * these statuses are used only for calls that no state will ever accept; a call that may still succeed is reported as
+ * 503.
  *
  * <table>
- * <caption>What the caller may do</caption>
+ * <caption>Meaning of each kind for the caller</caption>
  * <tr><th>kind</th><th>status</th><th>the change</th><th>the caller</th></tr>
- * <tr><td>NO_QUORUM, OVERLOADED, BROKEN_OFF, DRAINING</td><td>503</td><td>was not made by this call, or is not
- * known to be</td><td>retries, at any controller</td></tr>
+ * <tr><td>NO_QUORUM, OVERLOADED, BROKEN_OFF, DRAINING</td><td>503</td><td>was not made by this call, or it is unknown
+ * whether it was</td><td>retries, at any controller</td></tr>
  * <tr><td>UNCLEAR</td><td>503</td><td>may be in force, now or later</td><td>retries the same call; a change that was
  * applied is acknowledged again</td></tr>
- * <tr><td>CONFLICT</td><td>412</td><td>is not in force and never will be</td><td>builds on the current
+ * <tr><td>CONFLICT</td><td>412</td><td>is not in force and never will be</td><td>bases its change on the current
  * version</td></tr>
- * <tr><td>INVALID, BAD_REQUEST, TOO_LARGE, METHOD, NOT_FOUND</td><td>400, 413, 405, 404</td><td>is not in
- * force and never will be</td><td>corrects the call</td></tr>
+ * <tr><td>INVALID, BAD_REQUEST, TOO_LARGE, METHOD, NOT_FOUND</td><td>400, 413, 405, 404</td><td>is not in force and
+ * never will be</td><td>corrects the call</td></tr>
  * </table>
  */
 public enum ErrorKind {
-    /** No quorum of the acceptors responds: nothing was changed, or it isn't known to be. */
+    /** No quorum of the acceptors responds: nothing was changed, or it is unknown whether it was. */
     NO_QUORUM("NO_QUORUM", 503, 300),
     /** The call ended without a result: its change may be in force, now or later. */
     UNCLEAR("UNCLEAR", 503, 200),
-    /** The current version is another one than the version that the change builds on. */
+    /** The current version differs from the version that the change builds on. */
     CONFLICT("CONFLICT", 412, ErrorKind.NO_RETRY),
-    /** The content breaks a rule of what it describes. */
+    /** The content violates a validation rule. */
     INVALID("INVALID", 400, ErrorKind.NO_RETRY),
-    /** There is nothing under that path or name. */
+    /** There is no resource under that path or name. */
     NOT_FOUND("NOT_FOUND", 404, ErrorKind.NO_RETRY),
     /** The body is longer than the limit. */
     TOO_LARGE("TOO_LARGE", 413, ErrorKind.NO_RETRY),
@@ -56,7 +57,7 @@
         this.retryAfterMillis = retryAfterMillis;
     }
 
-    /** The code in the body of the response; part of the API, so it stays whatever the constant is called. */
+    /** The code in the body of the response. It is part of the API and must not change if the constant is renamed. */
     public String code() {
         return code;
     }
--- a/controller/src/main/java/burlarch/controller/redirect/ControlRedirectorProgram.java
+++ b/controller/src/main/java/burlarch/controller/redirect/ControlRedirectorProgram.java
@@ -16,19 +16,19 @@
 import org.tinylog.Logger;
 
 /**
- * The program at the control address of a machine without a disk: it answers each call with the address of a
- * controller. It joins the membership to learn which controllers there are.
+ * Entry point of the control redirector, which serves the control address of a machine without a disk: it redirects
+ * each call to a controller. It joins the membership to learn the controllers' addresses.
  */
 public final class ControlRedirectorProgram {
     private final RedirectTargets targets;
-    private final Object lock = new Object();
+    private final Object targetsLock = new Object();
 
     private ControlRedirectorProgram(int controlPort) {
         targets = new RedirectTargets(controlPort);
     }
 
     /**
-     * Starts the program, which keeps running on its own threads.
+     * Starts the program and returns; it keeps running on its own threads.
      *
      * @throws Exception if a port can't be bound
      */
@@ -38,9 +38,9 @@
 
     private void start(NodeSettings settings) throws Exception {
         onSettings(settings);
-        ControlServer server = ControlServer.redirecting(settings.listen().control(), this::choose);
+        ControlServer server = ControlServer.redirecting(settings.listen().control(), this::chooseTarget);
         server.start();
-        MembershipService membership = join(settings);
+        MembershipService membership = joinMembership(settings);
         SettingsFileWatcher.start(this::onSettings);
         RouterOnSameMachine router = new RouterOnSameMachine(settings);
         ShutdownHook.onSignal(() -> {
@@ -54,7 +54,7 @@
                 settings.listen().control());
     }
 
-    private MembershipService join(NodeSettings settings) throws Exception {
+    private MembershipService joinMembership(NodeSettings settings) throws Exception {
         MembershipService membership = new MembershipService(
                 new SelectorEventLoop("node"),
                 new MembershipService.Self(
@@ -66,7 +66,7 @@
                 NodeAddresses.seeds(settings),
                 SwimSettings.defaults());
         membership.addListener(changes -> {
-            synchronized (lock) {
+            synchronized (targetsLock) {
                 targets.onChanges(changes);
             }
         });
@@ -75,13 +75,13 @@
     }
 
     private void onSettings(NodeSettings settings) {
-        synchronized (lock) {
+        synchronized (targetsLock) {
             targets.onSeeds(settings.seeds());
         }
     }
 
-    private Optional<String> choose() {
-        synchronized (lock) {
+    private Optional<String> chooseTarget() {
+        synchronized (targetsLock) {
             return targets.choose(ThreadLocalRandom.current());
         }
     }
--- a/controller/src/main/java/burlarch/controller/redirect/RedirectTargets.java
+++ b/controller/src/main/java/burlarch/controller/redirect/RedirectTargets.java
@@ -13,11 +13,11 @@
 import java.util.random.RandomGenerator;
 
 /**
- * The controllers that callers may be redirected to. Members that are ALIVE come first, then members that are SUSPECT,
- * then the seeds, of which nothing else is known. Not thread-safe.
+ * The controllers to which callers may be redirected, in order of preference: members that are ALIVE, then members that
+ * are SUSPECT, then the seeds, whose state is unknown. Not thread-safe.
  */
 final class RedirectTargets {
-    /** The most controllers that are known at once; further ones are ignored until one of these has ended. */
+    /** Limit of known controllers; further ones are ignored until a known one has ended. */
     private static final int MAX_CONTROLLERS = 64;
 
     private final int controlPort;
@@ -31,7 +31,9 @@
         this.controlPort = controlPort;
     }
 
-    /** The control addresses, IP:PORT, that the settings name as seeds; they replace the former ones. */
+    /** Replaces the seeds.
+     *
+     * @param controlAddresses IP:PORT of the control API of each seed */
     void onSeeds(Collection<String> controlAddresses) {
         seeds = List.copyOf(controlAddresses);
     }
@@ -46,29 +48,32 @@
     }
 
     private void apply(MemberInfo member, MemberState state) {
-        KnownController known = controllers.get(member.name());
+        KnownController existing = controllers.get(member.name());
         if (state.isLive()) {
-            if (known != null || controllers.size() < MAX_CONTROLLERS) {
+            if (existing != null || controllers.size() < MAX_CONTROLLERS) {
                 controllers.put(member.name(), new KnownController(member, state));
             }
-        } else if (known != null && known.member().processId() == member.processId()) {
+        } else if (existing != null && existing.member().processId() == member.processId()) {
             controllers.remove(member.name());
         }
     }
 
-    /** The control address of one controller, IP:PORT, drawn from the best ones known; empty if none is known. */
+    /**
+     * Returns the control address, IP:PORT, of a random controller from the most preferred non-empty group; empty if
+     * none is known.
+     */
     Optional<String> choose(RandomGenerator random) {
-        List<String> best = withState(MemberState.ALIVE);
-        if (best.isEmpty()) {
-            best = withState(MemberState.SUSPECT);
+        List<String> candidates = addressesInState(MemberState.ALIVE);
+        if (candidates.isEmpty()) {
+            candidates = addressesInState(MemberState.SUSPECT);
         }
-        if (best.isEmpty()) {
-            best = seeds;
+        if (candidates.isEmpty()) {
+            candidates = seeds;
         }
-        return best.isEmpty() ? Optional.empty() : Optional.of(best.get(random.nextInt(best.size())));
+        return candidates.isEmpty() ? Optional.empty() : Optional.of(candidates.get(random.nextInt(candidates.size())));
     }
 
-    private List<String> withState(MemberState state) {
+    private List<String> addressesInState(MemberState state) {
         List<String> addresses = new ArrayList<>();
         for (KnownController controller : controllers.values()) {
             if (controller.state() == state) {
--- a/controller/src/main/java/burlarch/controller/redirect/package-info.java
+++ b/controller/src/main/java/burlarch/controller/redirect/package-info.java
@@ -1,8 +1,8 @@
 /**
- * The control address of machines without a disk: names a controller to each caller.
+ * The control redirector, which serves the control address of machines without a disk.
  *
  * <p>{@link burlarch.controller.redirect.ControlRedirectorProgram} starts the event loop, membership and the HTTP
- * server; {@code RedirectTargets} decides which controller is named. The program holds no state of the fleet and has
- * no vote; what it knows of controllers it learns from the seeds and from membership, and it forgets it when it ends.
+ * server; {@code RedirectTargets} selects the controller for each call. The program has no part of the replicated state
+ * and no vote. It learns the controllers from the seeds and from membership, in memory only.
  */
 package burlarch.controller.redirect;
