--- a/fleet/src/main/java/burlarch/fleet/Commands.java
+++ b/fleet/src/main/java/burlarch/fleet/Commands.java
@@ -13,17 +13,22 @@
 import org.kohsuke.args4j.spi.SubCommandHandler;
 import org.kohsuke.args4j.spi.SubCommands;
 
-/** What the command line can be asked for. Public, as args4j makes them. */
+/** The commands of the command line. They are public because args4j instantiates them. */
 public final class Commands {
     private Commands() {}
 
     /** One command with its arguments. */
     public interface Command {
-        /** Does it; returns at once where it lives on by its own threads. */
+        /**
+         * Executes the command. A command that starts a service returns at once; the service keeps running on its own
+         * threads.
+         *
+         * @param output where the command prints its result
+         */
         void run(PrintStream output) throws Exception;
     }
 
-    /** {@code router} */
+    /** {@code router}: runs a router. */
     public static final class Router implements Command {
         @Override
         public void run(PrintStream output) throws Exception {
@@ -34,8 +39,8 @@
     }
 
     /**
-     * {@code controller}: a controller where the machine has a disk for its acceptor; elsewhere, a redirector to the
-     * controllers, because a machine without a disk must not vote.
+     * {@code controller}: runs a controller if the settings name a data folder for its acceptor. Otherwise runs a
+     * redirector to the controllers, because a machine without a disk must not vote.
      */
     public static final class Controller implements Command {
         @Override
@@ -50,31 +55,31 @@
         }
     }
 
-    /** {@code rehearse}: the training run of the class archive; exits the process. */
+    /** {@code rehearse}: performs the training run of the class-data archive and exits the process. */
     public static final class ArchiveTraining implements Command {
-        private static final long LONGEST_MILLIS = 60_000;
+        private static final long TIMEOUT_MILLIS = 60_000;
 
         @Override
         public void run(PrintStream output) throws Exception {
-            Thread watch = new Thread(ArchiveTraining::haltLate, "watch");
-            watch.setDaemon(true);
-            watch.start();
+            Thread watchdog = new Thread(ArchiveTraining::haltAfterTimeout, "watch");
+            watchdog.setDaemon(true);
+            watchdog.start();
             ArchiveTrainingRun.run();
-            System.exit(Main.DONE);
+            System.exit(Main.EXIT_SUCCESS);
         }
 
-        /** A build must not hang. */
-        private static void haltLate() {
+        /** Halts the process after the timeout, so that a build does not hang. */
+        private static void haltAfterTimeout() {
             try {
-                Thread.sleep(LONGEST_MILLIS);
-                Runtime.getRuntime().halt(Main.FAILED);
+                Thread.sleep(TIMEOUT_MILLIS);
+                Runtime.getRuntime().halt(Main.EXIT_FAILURE);
             } catch (InterruptedException e) {
                 Thread.currentThread().interrupt();
             }
         }
     }
 
-    /** {@code config get|put|patch|validate} */
+    /** {@code config get|put|patch|validate}: reads, changes or validates a configuration. */
     public static final class Config implements Command {
         @Argument(metaVar = "get|put|patch|validate", required = true, handler = SubCommandHandler.class)
         @SubCommands({
@@ -91,7 +96,7 @@
         }
     }
 
-    /** {@code check-settings FILE} */
+    /** {@code check-settings FILE}: validates a settings file. */
     public static final class CheckSettings implements Command {
         @Argument(metaVar = "FILE", required = true, usage = "a file of settings")
         private Path file;
--- a/fleet/src/main/java/burlarch/fleet/Main.java
+++ b/fleet/src/main/java/burlarch/fleet/Main.java
@@ -19,14 +19,14 @@
 import org.kohsuke.args4j.spi.SubCommandHandler;
 import org.kohsuke.args4j.spi.SubCommands;
 
-/** The command line of the fleet's programs: finds the command and says how it ended. */
+/** Entry point of the fleet's command line: selects and runs the command, and maps its outcome to an exit code. */
 public final class Main {
-    /** It did what it was asked to. */
-    static final int DONE = 0;
-    /** It could not start, or met a fault of its own. */
-    static final int FAILED = 1;
-    /** Wrong arguments or settings. */
-    static final int COULD_NOT_RUN = 2;
+    /** Exit code: the command succeeded. */
+    static final int EXIT_SUCCESS = 0;
+    /** Exit code: the command could not start, or failed because of an internal error. */
+    static final int EXIT_FAILURE = 1;
+    /** Exit code: invalid arguments or settings. */
+    static final int EXIT_INVALID_INPUT = 2;
 
     private static final int USAGE_WIDTH = 100;
     private static final String HELP = "--help";
@@ -68,19 +68,19 @@
 
     public static void main(String[] arguments) {
         HangupSignal.install();
-        // The validator logs by this library: through tinylog, like all else.
+        // The validator logs through JBoss Logging; SLF4J routes it to tinylog like all other logs.
         System.setProperty("org.jboss.logging.provider", "slf4j");
         int code = execute(arguments, System.out, System.err);
-        if (code != DONE) {
+        if (code != EXIT_SUCCESS) {
             System.exit(code);
         }
     }
 
-    /** Runs one command line. Programs that were started live on by their own threads. */
+    /** Runs one command line and returns its exit code. Services that it started keep running on their own threads. */
     static int execute(String[] arguments, PrintStream output, PrintStream errors) {
         if (Arrays.asList(arguments).contains(HELP)) {
             output.println(USAGE);
-            return DONE;
+            return EXIT_SUCCESS;
         }
         try {
             Optional<Commands.Command> service = serviceWithoutArguments(arguments);
@@ -89,33 +89,34 @@
             } else {
                 parse(arguments).run(output);
             }
-            return DONE;
+            return EXIT_SUCCESS;
         } catch (CmdLineException e) {
             errors.println("burlarch: " + e.getMessage());
             errors.println(USAGE);
-            return COULD_NOT_RUN;
+            return EXIT_INVALID_INPUT;
         } catch (SettingsException e) {
             e.getMessage().lines().forEach(line -> errors.println("burlarch: " + line));
-            return COULD_NOT_RUN;
+            return EXIT_INVALID_INPUT;
         } catch (CommandFailure e) {
             e.getMessage().lines().forEach(line -> errors.println("burlarch: " + line));
             return e.exitCode();
         } catch (NoSuchFileException e) {
             errors.println("burlarch: no such file: " + e.getMessage());
-            return COULD_NOT_RUN;
+            return EXIT_INVALID_INPUT;
         } catch (IOException e) {
             errors.println("burlarch: " + e.getMessage());
-            return FAILED;
+            return EXIT_FAILURE;
         } catch (Exception | LinkageError e) {
             errors.println("burlarch: this is a fault of the program:");
             e.printStackTrace(errors);
-            return FAILED;
+            return EXIT_FAILURE;
         }
     }
 
     /**
-     * The router or the controller, if the command line names nothing else. They start without the parser: what it
-     * loads and generates to read its annotations takes a tenth of a start, and a fleet starts hundreds of them.
+     * Returns the router or controller command if it is the only argument. These start without the parser, because
+     * loading its classes and reading its annotations takes a tenth of a start, and a fleet starts hundreds of
+     * processes.
      */
     private static Optional<Commands.Command> serviceWithoutArguments(String[] arguments) {
         if (arguments.length != 1) {
--- a/fleet/src/main/java/burlarch/fleet/package-info.java
+++ b/fleet/src/main/java/burlarch/fleet/package-info.java
@@ -1,2 +1,2 @@
-/** The command line of the fleet: finds the command, runs it, and maps its outcome to an exit code. */
+/** The command line of the fleet: selects a command, runs it, and maps its outcome to an exit code. */
 package burlarch.fleet;
--- a/fleet/src/main/java/burlarch/fleet/training/ArchiveTrainingRun.java
+++ b/fleet/src/main/java/burlarch/fleet/training/ArchiveTrainingRun.java
@@ -10,14 +10,14 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * The training run of the class-data archive: starts two controllers and a router on loopback and takes each ordinary
- * code path at least once. The build runs it with {@code -XX:ArchiveClassesAtExit}, so every class that it loads is in
- * the archive that the roles start from. It is not part of the service.
+ * Training run for the JVM's class-data sharing (CDS) archive. It starts two controllers and a router on loopback and
+ * executes each ordinary code path at least once. The build runs it with {@code -XX:ArchiveClassesAtExit}, so every
+ * class that it loads is in the archive with which the router and the controller start. It is not part of the service.
  *
  * <p>Runs on the caller's thread; the programs that it starts run on their own threads until the process exits.
  */
 public final class ArchiveTrainingRun {
-    /** The weights version that the operator names and the stand-in engines must reach. */
+    /** Target version of the weights, which the stand-in engines must reach. */
     static final long NAMED_VERSION = 2;
 
     private static final long CONDITION_TIMEOUT_NANOS = TimeUnit.SECONDS.toNanos(15);
@@ -49,28 +49,29 @@
             + "\"api_keys\":[\"key-a\",\"key-%d\"],\"priority\":1,\"isolated\":true}]},\"delete\":{}}";
 
     private final LoopbackFleetSettings fleetSettings;
-    private final List<StandInEngine> standIns;
+    private final List<StandInEngine> engines;
     private InetSocketAddress controlAddress;
     private int sequence;
 
-    private ArchiveTrainingRun(LoopbackFleetSettings fleetSettings, List<StandInEngine> standIns) {
+    private ArchiveTrainingRun(LoopbackFleetSettings fleetSettings, List<StandInEngine> engines) {
         this.fleetSettings = fleetSettings;
-        this.standIns = standIns;
+        this.engines = engines;
     }
 
     /**
-     * Executes the run. The programs that it started keep running, so the caller must exit the process.
+     * Executes the training run. The programs that it started keep running, so the caller must exit the process.
      *
      * @throws IOException if a program does not reach an expected state in time
      */
     public static void run() throws Exception {
         LoopbackFleetSettings fleetSettings = new LoopbackFleetSettings();
         InetAddress loopback = InetAddress.getLoopbackAddress();
-        try (StandInEngine first = new StandInEngine(loopback);
-                StandInEngine second = new StandInEngine(loopback);
-                StandInEngine third = new StandInEngine(loopback);
-                StandInEngine fourth = new StandInEngine(loopback)) {
-            new ArchiveTrainingRun(fleetSettings, List.of(first, second, third, fourth)).execute();
+        try (StandInEngine firstEngine = new StandInEngine(loopback);
+                StandInEngine secondEngine = new StandInEngine(loopback);
+                StandInEngine thirdEngine = new StandInEngine(loopback);
+                StandInEngine fourthEngine = new StandInEngine(loopback)) {
+            new ArchiveTrainingRun(fleetSettings, List.of(firstEngine, secondEngine, thirdEngine, fourthEngine))
+                    .execute();
         } finally {
             fleetSettings.deleteFolder();
         }
@@ -105,46 +106,54 @@
 
     private boolean weightsLoaded() throws IOException {
         announceInstances("ready");
-        return standIns.get(0).version() == NAMED_VERSION && standIns.get(1).version() == NAMED_VERSION;
+        return engines.get(0).version() == NAMED_VERSION && engines.get(1).version() == NAMED_VERSION;
     }
 
     private void announceInstances(String state) throws IOException {
         sequence++;
-        announce("i-1", "engines", standIns.get(0), state);
-        announce("i-2", "engines", standIns.get(1), state);
-        announce("i-3", "plain", standIns.get(2), state);
-        announce("i-4", "plain", standIns.get(3), state);
+        announce("i-1", "engines", engines.get(0), state);
+        announce("i-2", "engines", engines.get(1), state);
+        announce("i-3", "plain", engines.get(2), state);
+        announce("i-4", "plain", engines.get(3), state);
     }
 
-    private void announce(String id, String service, StandInEngine at, String state) throws IOException {
+    private void announce(String id, String service, StandInEngine engine, String state) throws IOException {
         callController(
                 "PUT",
                 "/burlarch/instances/" + id,
                 "",
                 "{\"service\":\"" + service + "\",\"address\":\""
-                        + at.address() + "\",\"zone\":\"a\",\"config_version\":\"v1\",\"capacity\":8,\"state\":\""
+                        + engine.address() + "\",\"zone\":\"a\",\"config_version\":\"v1\",\"capacity\":8,\"state\":\""
                         + state + "\",\"warmup_left_ms\":0,\"stage\":\"hybrid\",\"models\":"
-                        + (service.equals("engines") ? at.models() : "[]") + ",\"sequence\":" + sequence + "}");
+                        + (service.equals("engines") ? engine.models() : "[]") + ",\"sequence\":" + sequence + "}");
     }
 
-    /** Sends streaming and plain requests over persistent connections, then requests that are rejected. */
+    /**
+     * Sends streaming and plain requests over persistent connections, then requests that are rejected, then one whose
+     * client disconnects before the response.
+     */
     private static void sendClientRequests(InetSocketAddress front) throws IOException {
-        try (BlockingHttpClient first = new BlockingHttpClient(front);
-                BlockingHttpClient second = new BlockingHttpClient(front)) {
+        try (BlockingHttpClient firstClient = new BlockingHttpClient(front);
+                BlockingHttpClient secondClient = new BlockingHttpClient(front)) {
             for (int round = 0; round < REQUESTS_PER_CLIENT; round++) {
-                String common = "X-Request-Id: r" + round + "\r\nX-Request-Deadline: 2000\r\n" + CREDENTIAL_HEADER;
-                first.call("POST", "/stream/a", common + PROMPT_HEADERS, "prompt");
-                second.call("POST", "/plain/a", common, "body");
+                String commonHeaders =
+                        "X-Request-Id: r" + round + "\r\nX-Request-Deadline: 2000\r\n" + CREDENTIAL_HEADER;
+                firstClient.call("POST", "/stream/a", commonHeaders + PROMPT_HEADERS, "prompt");
+                secondClient.call("POST", "/plain/a", commonHeaders, "body");
             }
-            first.call("POST", "/plain/a", "X-Request-Id: u\r\nX-Credential: unknown\r\n", "body");
-            first.call("POST", "/none/a", "X-Request-Id: n\r\n" + CREDENTIAL_HEADER, "body");
+            firstClient.call("POST", "/plain/a", "X-Request-Id: u\r\nX-Credential: unknown\r\n", "body");
+            firstClient.call("POST", "/none/a", "X-Request-Id: n\r\n" + CREDENTIAL_HEADER, "body");
         }
-        try (BlockingHttpClient leaving = new BlockingHttpClient(front)) {
-            leaving.send("POST", "/stream/a", "X-Request-Id: l\r\n" + CREDENTIAL_HEADER + PROMPT_HEADERS, "prompt");
+        try (BlockingHttpClient disconnectingClient = new BlockingHttpClient(front)) {
+            disconnectingClient.send(
+                    "POST", "/stream/a", "X-Request-Id: l\r\n" + CREDENTIAL_HEADER + PROMPT_HEADERS, "prompt");
         }
     }
 
-    /** Sends configuration changes that are accepted and changes that are rejected, then names new weights. */
+    /**
+     * Sends configuration changes that are accepted and changes that are rejected, then sets a new target version of
+     * the weights.
+     */
     private void sendOperatorChanges() throws Exception {
         callController("PATCH", "/burlarch/config", "If-Match: 3\r\n", PATCH.formatted(2, 2));
         callController("PATCH", "/burlarch/config", "If-Match: 2\r\n", PATCH.formatted(5, 5));
@@ -168,21 +177,22 @@
 
     private static int statusOf(InetSocketAddress address, String method, String target, String headers, String body)
             throws IOException {
-        try (BlockingHttpClient caller = new BlockingHttpClient(address)) {
-            return caller.call(method, target, headers, body).status();
+        try (BlockingHttpClient client = new BlockingHttpClient(address)) {
+            return client.call(method, target, headers, body).status();
         }
     }
 
-    /** A state that a program reaches after some time. */
+    /** A condition that holds after some time. */
     private interface Condition {
         boolean holds() throws IOException;
     }
 
-    private static void awaitCondition(String what, Condition condition) throws IOException, InterruptedException {
+    private static void awaitCondition(String description, Condition condition)
+            throws IOException, InterruptedException {
         long end = System.nanoTime() + CONDITION_TIMEOUT_NANOS;
         while (!holds(condition)) {
             if (System.nanoTime() - end > 0) {
-                throw new IOException("training run: time-out while waiting for " + what);
+                throw new IOException("training run: timed out waiting for " + description);
             }
             Thread.sleep(POLL_INTERVAL_MILLIS);
         }
--- a/fleet/src/main/java/burlarch/fleet/training/BlockingHttpClient.java
+++ b/fleet/src/main/java/burlarch/fleet/training/BlockingHttpClient.java
@@ -7,7 +7,7 @@
 import java.net.Socket;
 import java.nio.charset.StandardCharsets;
 
-/** A client or operator with one HTTP/1.1 connection. Calls block; not thread-safe. */
+/** Minimal HTTP/1.1 client with one persistent connection. Calls block; not thread-safe. */
 final class BlockingHttpClient implements AutoCloseable {
     private static final int TIMEOUT_MILLIS = 3000;
 
--- a/fleet/src/main/java/burlarch/fleet/training/HttpMessage.java
+++ b/fleet/src/main/java/burlarch/fleet/training/HttpMessage.java
@@ -8,18 +8,18 @@
 import java.util.Locale;
 
 /**
- * One HTTP/1.1 request or response, as far as the training run needs it.
+ * Parsed HTTP/1.1 request or response, limited to the features that the training run needs.
  *
  * @param head start line and header lines, without the empty line
- * @param body decoded from the chunked transfer coding where that was used
+ * @param body the body, with chunked transfer coding removed
  */
 record HttpMessage(String head, String body) {
-    private static final String END_OF_HEAD = "\r\n\r\n";
-    private static final int HEX = 16;
+    private static final String HEAD_TERMINATOR = "\r\n\r\n";
+    private static final int HEX_RADIX = 16;
 
     /** Reads the next message; returns null if the peer closed the connection instead. */
     static HttpMessage read(InputStream input) throws IOException {
-        String head = readUntil(END_OF_HEAD, input);
+        String head = readUntil(HEAD_TERMINATOR, input);
         if (head == null) {
             return null;
         }
@@ -44,13 +44,14 @@
 
     /** Value of the header of that lower-case name, or null if there is none. */
     String header(String name) {
-        int at = head.toLowerCase(Locale.ROOT).indexOf("\r\n" + name + ":");
-        if (at < 0) {
+        int headerStart = head.toLowerCase(Locale.ROOT).indexOf("\r\n" + name + ":");
+        if (headerStart < 0) {
             return null;
         }
-        int from = at + name.length() + 3;
-        int to = head.indexOf("\r\n", from);
-        return head.substring(from, to < 0 ? head.length() : to).strip();
+        int valueStart = headerStart + name.length() + 3;
+        int valueEnd = head.indexOf("\r\n", valueStart);
+        return head.substring(valueStart, valueEnd < 0 ? head.length() : valueEnd)
+                .strip();
     }
 
     private static String readChunks(InputStream input) throws IOException {
@@ -60,7 +61,7 @@
             if (size == null) {
                 throw new EOFException("connection closed inside a chunked body");
             }
-            int length = Integer.parseInt(size, HEX);
+            int length = Integer.parseInt(size, HEX_RADIX);
             body.append(new String(input.readNBytes(length), StandardCharsets.ISO_8859_1));
             readUntil("\r\n", input);
             if (length == 0) {
@@ -69,17 +70,17 @@
         }
     }
 
-    private static String readUntil(String end, InputStream input) throws IOException {
-        ByteArrayOutputStream text = new ByteArrayOutputStream();
+    private static String readUntil(String terminator, InputStream input) throws IOException {
+        ByteArrayOutputStream buffer = new ByteArrayOutputStream();
         int matched = 0;
-        while (matched < end.length()) {
+        while (matched < terminator.length()) {
             int next = input.read();
             if (next < 0) {
                 return null;
             }
-            text.write(next);
-            matched = next == end.charAt(matched) ? matched + 1 : next == end.charAt(0) ? 1 : 0;
+            buffer.write(next);
+            matched = next == terminator.charAt(matched) ? matched + 1 : next == terminator.charAt(0) ? 1 : 0;
         }
-        return text.toString(StandardCharsets.ISO_8859_1).substring(0, text.size() - end.length());
+        return buffer.toString(StandardCharsets.ISO_8859_1).substring(0, buffer.size() - terminator.length());
     }
 }
--- a/fleet/src/main/java/burlarch/fleet/training/LoopbackFleetSettings.java
+++ b/fleet/src/main/java/burlarch/fleet/training/LoopbackFleetSettings.java
@@ -11,16 +11,22 @@
 import java.util.concurrent.ThreadLocalRandom;
 import java.util.stream.Stream;
 
-/** Settings files, loopback addresses and data folders for the programs of one training run, in a temporary folder. */
+/**
+ * Generator of settings files, loopback addresses and data folders for the programs of one training run, in a temporary
+ * folder.
+ */
 final class LoopbackFleetSettings {
-    /** Each program has a loopback address of its own because the node port is the same on all machines. */
-    private static final String NETWORK = "127.0.0.";
+    /**
+     * Prefix of the loopback addresses. Each program has its own address, because the node port is the same on all
+     * machines.
+     */
+    private static final String LOOPBACK_PREFIX = "127.0.0.";
 
     static final int CONTROLLERS = 2;
     private static final int ROUTER = CONTROLLERS + 1;
-    private static final int FIRST_PORT = 20_000;
-    private static final int LAST_PORT = 32_000;
-    private static final int ATTEMPTS = 100;
+    private static final int MIN_PORT = 20_000;
+    private static final int PORT_BOUND = 32_000;
+    private static final int MAX_PORT_ATTEMPTS = 100;
 
     private final Path folder;
     private final int nodePort;
@@ -38,12 +44,12 @@
 
     /** Returns a port that is free on all addresses, below the range that the system uses for outgoing connections. */
     private static int freePort() throws IOException {
-        for (int attempt = 0; attempt < ATTEMPTS; attempt++) {
-            int port = ThreadLocalRandom.current().nextInt(FIRST_PORT, LAST_PORT);
+        for (int attempt = 0; attempt < MAX_PORT_ATTEMPTS; attempt++) {
+            int port = ThreadLocalRandom.current().nextInt(MIN_PORT, PORT_BOUND);
             try (ServerSocket free = new ServerSocket(port, 1)) {
                 return free.getLocalPort();
             } catch (BindException portInUse) {
-                // Another process has it: the next attempt draws another port.
+                // Another process uses the port: the next attempt draws another one.
             }
         }
         throw new IOException("training run: no port is free");
@@ -65,11 +71,11 @@
                 "router",
                 ROUTER,
                 "serves = [\"edge\"]\n",
-                "front = \"" + NETWORK + ROUTER + ":" + frontPort + "\"\nreadiness = \"" + NETWORK + ROUTER + ":"
-                        + readinessPort + "\"\n");
+                "front = \"" + LOOPBACK_PREFIX + ROUTER + ":" + frontPort + "\"\nreadiness = \"" + LOOPBACK_PREFIX
+                        + ROUTER + ":" + readinessPort + "\"\n");
     }
 
-    private NodeSettings load(String name, int number, String more, String listen)
+    private NodeSettings load(String name, int number, String roleSettings, String listenSettings)
             throws IOException, SettingsException {
         Path file = Files.writeString(
                 folder.resolve(name + ".toml"),
@@ -101,18 +107,18 @@
                 """
                         .formatted(
                                 name,
-                                NETWORK + number,
+                                LOOPBACK_PREFIX + number,
                                 nodePort,
                                 nodePort,
                                 controlAddress(1),
                                 controlAddress(2),
-                                more,
-                                listen));
+                                roleSettings,
+                                listenSettings));
         return NodeSettings.load(file);
     }
 
     private String controlAddress(int number) {
-        return NETWORK + number + ":" + controlPort;
+        return LOOPBACK_PREFIX + number + ":" + controlPort;
     }
 
     /** Deletes the temporary folder with all that the programs wrote. */
--- a/fleet/src/main/java/burlarch/fleet/training/StandInEngine.java
+++ b/fleet/src/main/java/burlarch/fleet/training/StandInEngine.java
@@ -10,16 +10,16 @@
 import java.util.concurrent.atomic.AtomicInteger;
 
 /**
- * A minimal engine and plain service for the training run. It accepts every request, speaks the forms of both, and
- * rejects some plain requests so that the router's retry path runs. One daemon thread per connection.
+ * Minimal HTTP server that acts as an engine and as a plain service in the training run. It rejects some plain
+ * requests, so that the router's retry path runs, and serves all others. It uses one daemon thread per connection.
  */
 final class StandInEngine implements AutoCloseable {
     private static final int BACKLOG = 50;
-    private static final long EVENTS_WAIT_MILLIS = 200;
-    private static final long EVENT_PAUSE_MILLIS = 5;
-    private static final int EVENTS = 4;
-    /** One of so many plain requests is rejected as not run. */
-    private static final int REJECT_EVERY = 5;
+    private static final long KV_EVENTS_DELAY_MILLIS = 200;
+    private static final long TOKEN_INTERVAL_MILLIS = 5;
+    private static final int TOKENS_PER_STREAM = 4;
+    /** One in this number of plain requests is rejected as not executed. */
+    private static final int REJECTION_INTERVAL = 5;
 
     private final ServerSocket listener;
     private final AtomicInteger plainRequests = new AtomicInteger();
@@ -31,12 +31,12 @@
         startDaemon(this::accept);
     }
 
-    /** IP:PORT. */
+    /** The address that it listens on, as IP:PORT. */
     String address() {
         return listener.getInetAddress().getHostAddress() + ":" + listener.getLocalPort();
     }
 
-    /** Weights version of the last order, or 1. */
+    /** Weights version of the last order; 1 before the first one. */
     long version() {
         return version;
     }
@@ -50,19 +50,19 @@
     private void accept() {
         try {
             while (true) {
-                Socket peer = listener.accept();
-                startDaemon(() -> serve(peer));
+                Socket connection = listener.accept();
+                startDaemon(() -> serve(connection));
             }
         } catch (IOException closed) {
-            // close() was called: the run is over.
+            // close() was called at the end of the run.
         }
     }
 
-    private void serve(Socket peer) {
-        try (peer) {
-            BufferedInputStream input = new BufferedInputStream(peer.getInputStream());
-            for (HttpMessage next = HttpMessage.read(input); next != null; next = HttpMessage.read(input)) {
-                respond(next, peer.getOutputStream());
+    private void serve(Socket connection) {
+        try (connection) {
+            BufferedInputStream input = new BufferedInputStream(connection.getInputStream());
+            for (HttpMessage request = HttpMessage.read(input); request != null; request = HttpMessage.read(input)) {
+                respond(request, connection.getOutputStream());
             }
         } catch (IOException closed) {
             // The router closed the connection.
@@ -72,7 +72,7 @@
     private void respond(HttpMessage request, OutputStream output) throws IOException {
         String target = request.target();
         if (target.startsWith("/burlarch/kv-events")) {
-            pause(EVENTS_WAIT_MILLIS);
+            pause(KV_EVENTS_DELAY_MILLIS);
             int number = kvEvents.incrementAndGet();
             write(
                     output,
@@ -97,14 +97,14 @@
             write(output, completeResponse(request, 202, "", "{}"));
         } else if (target.startsWith("/stream/")) {
             stream(request, output);
-        } else if (plainRequests.incrementAndGet() % REJECT_EVERY == 0) {
+        } else if (plainRequests.incrementAndGet() % REJECTION_INTERVAL == 0) {
             write(output, completeResponse(request, 503, "X-Not-Executed: full\r\n", ""));
         } else {
             write(output, completeResponse(request, 200, "X-Server-Load: 1,0,8\r\n", "done"));
         }
     }
 
-    /** JSON list of its models, as in heartbeats and reports. */
+    /** The JSON list of its models for heartbeats and reports. */
     String models() {
         return "[{\"name\":\"m\",\"config_version\":" + version + ",\"adapters\":[]}]";
     }
@@ -117,22 +117,22 @@
                         200,
                         "Content-Type: text/event-stream\r\nVersions: " + version
                                 + "\r\nTransfer-Encoding: chunked\r\n"));
-        for (int id = 1; id <= EVENTS; id++) {
-            pause(EVENT_PAUSE_MILLIS);
+        for (int id = 1; id <= TOKENS_PER_STREAM; id++) {
+            pause(TOKEN_INTERVAL_MILLIS);
             String event = "id: " + id + "\ndata: token\n\n";
             write(output, Integer.toHexString(event.length()) + "\r\n" + event + "\r\n");
         }
         write(output, "0\r\n\r\n");
     }
 
-    private static String completeResponse(HttpMessage request, int status, String moreHeaders, String body) {
-        return responseHead(request, status, moreHeaders + "Content-Length: " + body.length() + "\r\n") + body;
+    private static String completeResponse(HttpMessage request, int status, String extraHeaders, String body) {
+        return responseHead(request, status, extraHeaders + "Content-Length: " + body.length() + "\r\n") + body;
     }
 
-    private static String responseHead(HttpMessage request, int status, String moreHeaders) {
+    private static String responseHead(HttpMessage request, int status, String extraHeaders) {
         String id = request.header("x-request-id");
         return "HTTP/1.1 " + status + " Said\r\n" + (id == null ? "" : "X-Request-Id: " + id + "\r\n")
-                + "X-Response-Signature: stamp\r\nKeep-Alive: timeout=10\r\n" + moreHeaders + "\r\n";
+                + "X-Response-Signature: stamp\r\nKeep-Alive: timeout=10\r\n" + extraHeaders + "\r\n";
     }
 
     private static void write(OutputStream output, String text) throws IOException {
--- a/fleet/src/main/java/burlarch/fleet/training/package-info.java
+++ b/fleet/src/main/java/burlarch/fleet/training/package-info.java
@@ -1,5 +1,5 @@
 /**
- * The training run that produces the archive of classes which the roles start from, with its minimal client and engine.
- * Used by the build alone, never in service.
+ * The training run that produces the class-data archive with which the router and the controller start, with its
+ * minimal client and engine. Used only by the build.
  */
 package burlarch.fleet.training;
