--- a/controller/src/main/java/burlarch/controller/api/ControlExchange.java
+++ b/controller/src/main/java/burlarch/controller/api/ControlExchange.java
@@ -87,9 +87,11 @@
         }
     }
 
-    /** Redirects the caller to the same call at another address.
+    /**
+     * Redirects the caller to the same call at another address.
      *
-     * @param location absolute URL */
+     * @param location absolute URL
+     */
     void redirect(String location) {
         if (responded.compareAndSet(false, true)) {
             response.getHeaders().put(HttpHeader.LOCATION, location);
--- a/controller/src/main/java/burlarch/controller/api/ControlService.java
+++ b/controller/src/main/java/burlarch/controller/api/ControlService.java
@@ -6,9 +6,9 @@
 /**
  * The operations of the control API. Methods may be called on any thread and must not block.
  *
- * <p>A future fails with a {@link burlarch.controller.error.ControlException}; any other failure is reported as {@link
- * burlarch.controller.error.ErrorKind#UNCLEAR}. A future that does not complete within the API's timeout is cancelled,
- * and is reported as unclear too.
+ * <p>A future fails with a {@link burlarch.controller.error.ControlException}; any other failure is reported as
+ * {@link burlarch.controller.error.ErrorKind#UNCLEAR}. A future that does not complete within the API's timeout is
+ * cancelled, and is reported as unclear too.
  */
 public interface ControlService {
     /**
--- a/controller/src/main/java/burlarch/controller/distribution/RouterPublisher.java
+++ b/controller/src/main/java/burlarch/controller/distribution/RouterPublisher.java
@@ -83,8 +83,8 @@
     }
 
     /**
-     * Adds a newly connected router. It is sent the instances at once, and the configuration after {@link
-     * #onQuorumRead}.
+     * Adds a newly connected router. It is sent the instances at once, and the configuration after
+     * {@link #onQuorumRead}.
      */
     public void onRouterConnected(PeerConnection router, List<String> controllers) {
         routers.putIfAbsent(router, ConfigurationAccess.AWAITING_QUORUM_READ);
--- a/controller/src/main/java/burlarch/controller/redirect/RedirectTargets.java
+++ b/controller/src/main/java/burlarch/controller/redirect/RedirectTargets.java
@@ -31,9 +31,11 @@
         this.controlPort = controlPort;
     }
 
-    /** Replaces the seeds.
+    /**
+     * Replaces the seeds.
      *
-     * @param controlAddresses IP:PORT of the control API of each seed */
+     * @param controlAddresses IP:PORT of the control API of each seed
+     */
     void onSeeds(Collection<String> controlAddresses) {
         seeds = List.copyOf(controlAddresses);
     }
--- a/controller/src/main/java/burlarch/controller/register/AcceptorSetReconciler.java
+++ b/controller/src/main/java/burlarch/controller/register/AcceptorSetReconciler.java
@@ -25,7 +25,7 @@
  *
  * <p>Invariant <em>no unfinished write remains</em>. A set change that its proposer left unfinished at some acceptors
  * needs the quorums of both sets when a later proposal discovers it, possibly after the joining acceptors were lost.
- * Therefore, whenever an unfinished write may exist, a new value is chosen, which either excludes that write or
+ * Therefore, whenever an unfinished write may exist, a value is chosen again, which either excludes that write or
  * completes it.
  *
  * <table>
--- a/controller/src/main/java/burlarch/controller/state/AppliedChanges.java
+++ b/controller/src/main/java/burlarch/controller/state/AppliedChanges.java
@@ -12,9 +12,9 @@
  * Bounded, immutable history of the newest applied configuration changes, by which a repeated call is recognized.
  *
  * <p><b>Invariant: an applied change is recognized again.</b> Versions only increase along the values of the register,
- * and only the oldest change is ever removed. Therefore every change that was applied with a version above {@link
- * #forgottenVersion()} is here, and no change here has a lower version. For versions above it the result APPLIED or
- * NOT_APPLIED is certain; for lower versions nothing is known.
+ * and only the oldest change is ever removed. Therefore every change that was applied with a version above
+ * {@link #forgottenVersion()} is here, and no change here has a lower version. For versions above it the result APPLIED
+ * or NOT_APPLIED is certain; for lower versions nothing is known.
  *
  * <p>The encoding is one byte string: the forgotten version; then for each change the difference of its version from
  * the previous one, and the eight bytes of its fingerprint. Numbers are varints with seven bits per byte, least
