--- a/admission/src/main/java/burlarch/admission/LearnedCapacity.java
+++ b/admission/src/main/java/burlarch/admission/LearnedCapacity.java
@@ -59,7 +59,7 @@
     }
 
     /** Before the first cut, raises c above the offered rate, so that the throttle does not bind. */
-    public void keepAhead() {
+    public void growAheadOfOffers() {
         capacity = Math.max(capacity, ceiling == 0 ? throttle.offeredTotal() * MARGIN_FACTOR : 0);
     }
 
--- a/decisions/src/main/java/burlarch/decisions/Api.java
+++ b/decisions/src/main/java/burlarch/decisions/Api.java
@@ -213,7 +213,7 @@
         void timer(long delayNanos, long token);
 
         /** Closes the idle connections of this proxy to a server. */
-        void letGo(long server);
+        void closeIdleConnections(long server);
 
         /** From now on, closes connections of this proxy to a server once they have been idle that long. */
         void trim(long server, long idleNanos);
--- a/decisions/src/main/java/burlarch/decisions/CachePool.java
+++ b/decisions/src/main/java/burlarch/decisions/CachePool.java
@@ -320,7 +320,7 @@
         for (Node node : maxIdleNanos < settings.limits().idleCloseNanos() ? nodes.values() : List.<Node>of()) {
             if (node.hasConnection && node.inFlight == 0 && nowNanos - node.lastUsedNanos >= maxIdleNanos) {
                 node.hasConnection = false;
-                actions.letGo(node.id);
+                actions.closeIdleConnections(node.id);
             }
         }
     }
--- a/decisions/src/main/java/burlarch/decisions/Policy.java
+++ b/decisions/src/main/java/burlarch/decisions/Policy.java
@@ -310,7 +310,7 @@
     }
 
     /** Handles the disconnect of the client: the request needs no answer any more. */
-    public void onGone(long nowNanos, long id) {
+    public void onClientGone(long nowNanos, long id) {
         Pending pending = pendingRequests.get(id);
         if (pending != null) {
             complete(pending, nowNanos, false);
@@ -318,7 +318,7 @@
     }
 
     /** Handles the start of a streamed answer: the request gets no deadline or final answer from here on. */
-    public void onStarted(long nowNanos, long id) {
+    public void onResponseStarted(long nowNanos, long id) {
         Pending pending = pendingRequests.get(id);
         if (pending != null) {
             pending.inFlight = 0;
@@ -348,7 +348,7 @@
         int refusals = 0;
         if (pending.attempts.isEmpty()) {
             if (settings.proxies() < MANY_PROXIES) {
-                tier.keepAhead();
+                tier.growAheadOfOffers();
             }
             refusals = offer(tier, pending, nowNanos) ? 0 : 2;
             pending.withinShare = tier.throttle.wasWithinShare();
@@ -362,7 +362,7 @@
                 break;
             }
             pending.triedCaches.add(node);
-            node.capacity.keepAhead();
+            node.capacity.growAheadOfOffers();
             if (!offer(node.capacity, pending, nowNanos)) {
                 refusals++;
             } else if (send(pending, node, nowNanos)) {
--- a/overload/src/main/java/burlarch/overload/OwnLoad.java
+++ b/overload/src/main/java/burlarch/overload/LoadShedder.java
@@ -17,7 +17,7 @@
  * <p>State is a few numbers for each rank of worth, where rank 0 has the highest worth. Not thread-safe. Times are
  * nanoseconds of one clock.
  */
-public final class OwnLoad {
+public final class LoadShedder {
     /** Interval over which the minimum lag is taken: covers a CPU quota that stops the process in each 100 ms. */
     static final long INTERVAL_NANOS = 100_000_000L;
     /** Fewest beats in an interval: a single late beat may be caused by one pause and not by a standing queue. */
@@ -58,7 +58,7 @@
      * @param beatPeriodNanos period of the calls of {@link #beat}
      * @param worths worths of the request classes, in any order; a lower worth counts as the lowest of them
      */
-    public OwnLoad(long nowNanos, long beatPeriodNanos, double[] worths) {
+    public LoadShedder(long nowNanos, long beatPeriodNanos, double[] worths) {
         this.beatPeriodNanos = beatPeriodNanos;
         this.worthsByRank = Arrays.stream(worths).distinct().sorted().toArray();
         for (int i = 0, j = this.worthsByRank.length - 1; i < j; i++, j--) {
--- a/proxy/src/main/java/burlarch/proxy/RequestTable.java
+++ b/proxy/src/main/java/burlarch/proxy/RequestTable.java
@@ -258,7 +258,7 @@
         OpenRequest openRequest = openRequests.get(id);
         if (openRequest != null && !openRequest.finished) {
             finish(openRequest, () -> {});
-            notifyModule(nowNanos -> policy().onGone(nowNanos, id));
+            notifyModule(nowNanos -> policy().onClientGone(nowNanos, id));
         }
     }
 
@@ -266,7 +266,7 @@
     private void expire(OpenRequest openRequest) {
         if (!openRequest.finished) {
             finish(openRequest, () -> openRequest.exchange.failed(504));
-            notifyModule(nowNanos -> policy().onGone(nowNanos, openRequest.id));
+            notifyModule(nowNanos -> policy().onClientGone(nowNanos, openRequest.id));
         }
     }
 
@@ -376,7 +376,7 @@
     }
 
     @Override
-    public void letGo(long server) {
+    public void closeIdleConnections(long server) {
         nodePool.closeIdleConnections(server);
     }
 
--- a/proxy/src/main/java/burlarch/proxy/ownload/LoadGate.java
+++ b/proxy/src/main/java/burlarch/proxy/ownload/LoadGate.java
@@ -2,20 +2,20 @@
 
 import burlarch.decisions.Api.RequestClass;
 import burlarch.decisions.Api.Settings;
-import burlarch.overload.OwnLoad;
+import burlarch.overload.LoadShedder;
 import burlarch.proxy.Log;
 import burlarch.proxy.RequestTable;
 import java.util.concurrent.TimeUnit;
 import java.util.function.LongSupplier;
 
 /**
- * Admission control against the proxy's own CPU overload. It asks {@link OwnLoad} before a request is accepted; the
+ * Admission control against the proxy's own CPU overload. It asks {@link LoadShedder} before a request is accepted; the
  * port refuses a request that is not admitted at once. Used on the event loop only.
  */
 public final class LoadGate {
     private static final long LOG_INTERVAL_NANOS = TimeUnit.SECONDS.toNanos(10);
 
-    private final OwnLoad load;
+    private final LoadShedder load;
     private final Settings settings;
     private final LongSupplier lagNanos;
     private long lastLogNanos;
@@ -28,7 +28,7 @@
      * @param lagNanos how long data that is read now may have waited in its socket, in nanoseconds
      */
     public LoadGate(long nowNanos, long beatNanos, Settings settings, LongSupplier lagNanos) {
-        this.load = new OwnLoad(
+        this.load = new LoadShedder(
                 nowNanos,
                 beatNanos,
                 settings.classes().stream().mapToDouble(RequestClass::worth).toArray());
--- a/proxy/src/main/java/burlarch/wire/ReplyWriter.java
+++ b/proxy/src/main/java/burlarch/wire/ReplyWriter.java
@@ -78,7 +78,7 @@
     public void trim(long server, long idleNanos) {}
 
     @Override
-    public void letGo(long server) {
+    public void closeIdleConnections(long server) {
         writeAction("LET_GO", () -> generator.writeNumberField("node", server));
     }
 
--- a/proxy/src/main/java/burlarch/wire/WireHost.java
+++ b/proxy/src/main/java/burlarch/wire/WireHost.java
@@ -286,8 +286,8 @@
                                 event.complete,
                                 event.elapsedNanos));
             }
-            case "HEAD_RECEIVED" -> instance.policy.onStarted(nowNanos, event.requestId);
-            case "LEFT" -> instance.policy.onGone(nowNanos, event.requestId);
+            case "HEAD_RECEIVED" -> instance.policy.onResponseStarted(nowNanos, event.requestId);
+            case "LEFT" -> instance.policy.onClientGone(nowNanos, event.requestId);
             case "TIMEOUT_FIRED" -> instance.policy.onTimer(nowNanos, parseTimerToken(event.token));
             case "FLEET" -> deliverServerList(nowNanos, instance);
             default -> {}
--- a/routing/src/main/java/burlarch/routing/admission/CacheMissAdmission.java
+++ b/routing/src/main/java/burlarch/routing/admission/CacheMissAdmission.java
@@ -83,7 +83,7 @@
      */
     public boolean offer(RouteRequest request, double sustainablePerSecond, long nowNanos) {
         if (capacity.perSecond() < HEADROOM * sustainablePerSecond) {
-            capacity.keepAhead();
+            capacity.growAheadOfOffers();
         }
         return capacity.offer(indexOf(request.tenant()), windowSeconds(request.rank()), nowNanos);
     }
