--- a/router/src/main/java/burlarch/router/AttemptLog.java
+++ b/router/src/main/java/burlarch/router/AttemptLog.java
@@ -30,7 +30,7 @@
                 attempt.request().rank(),
                 attempt.instance(),
                 attempt.sameZone() ? "same" : "other",
-                attempt.fetch(),
+                attempt.cacheMiss(),
                 attempt.request().totalPromptTokens(),
                 attempt.request().sharedTokens(),
                 attempt.cachedTokens(),
--- a/router/src/main/java/burlarch/router/forwarding/AttemptSequence.java
+++ b/router/src/main/java/burlarch/router/forwarding/AttemptSequence.java
@@ -56,7 +56,7 @@
         boolean isResuming = exchange.state() == ExchangeState.RESPONDING;
         RouteRequest request = isResuming ? withResume(routedRequest) : routedRequest;
         Placement placement = context.planner().place(request, attemptCount);
-        if (placement instanceof Placement.Refuse refusal) {
+        if (placement instanceof Placement.Reject refusal) {
             exchange.perform(
                     exchange.state().withoutFurtherSend(), Headers.retryAfterSeconds(refusal.retryAfterMillis()));
             return;
--- a/routing/src/main/java/burlarch/routing/AttemptObserver.java
+++ b/routing/src/main/java/burlarch/routing/AttemptObserver.java
@@ -18,7 +18,7 @@
      * @param request as it was given to the planner
      * @param instance id of the instance that received it
      * @param sameZone whether the instance runs in the router's zone
-     * @param fetch whether it was offered to admission control as a cache miss
+     * @param cacheMiss whether it was offered to admission control as a cache miss
      * @param cachedTokens prompt tokens that the instance was assumed to cache
      * @param transferredTokens prompt tokens that a KV transfer was expected to deliver
      * @param prefillTokens prompt tokens that remained to be prefilled
@@ -34,7 +34,7 @@
             RouteRequest request,
             String instance,
             boolean sameZone,
-            boolean fetch,
+            boolean cacheMiss,
             int cachedTokens,
             int transferredTokens,
             int prefillTokens,
--- a/routing/src/main/java/burlarch/routing/Placement.java
+++ b/routing/src/main/java/burlarch/routing/Placement.java
@@ -33,5 +33,5 @@
      * @param retryAfterMillis time after which the client may retry
      * @param reason short phrase for operators
      */
-    record Refuse(long retryAfterMillis, String reason) implements Placement {}
+    record Reject(long retryAfterMillis, String reason) implements Placement {}
 }
--- a/routing/src/main/java/burlarch/routing/planner/Rejections.java
+++ b/routing/src/main/java/burlarch/routing/planner/Rejections.java
@@ -26,34 +26,34 @@
     private Rejections() {}
 
     /** Rejects because no instance of the service can receive the request. */
-    static Placement.Refuse withoutInstance(RouteRequest request, String reason, long nowNanos) {
+    static Placement.Reject withoutInstance(RouteRequest request, String reason, long nowNanos) {
         long waitMillis = (long) (NO_INSTANCE_RETRY_MILLIS * spread(request));
-        return new Placement.Refuse(boundedRetryAfterMillis(request, waitMillis, nowNanos), reason);
+        return new Placement.Reject(boundedRetryAfterMillis(request, waitMillis, nowNanos), reason);
     }
 
     /**
      * Rejects because the first event is expected too late, or in favour of more urgent requests. The queue needs
      * about half of the predicted time to become shorter.
      */
-    static Placement.Refuse overloaded(RouteRequest request, double predictedNanos, long nowNanos) {
+    static Placement.Reject overloaded(RouteRequest request, double predictedNanos, long nowNanos) {
         long waitMillis = (long) (predictedNanos * HALF_NANOS_TO_MILLIS * spread(request));
-        return new Placement.Refuse(boundedRetryAfterMillis(request, waitMillis, nowNanos), "service is overloaded");
+        return new Placement.Reject(boundedRetryAfterMillis(request, waitMillis, nowNanos), "service is overloaded");
     }
 
     /** Rejects a cache miss because its tenant has used up its quota share of cache misses. */
-    static Placement.Refuse overCacheMissQuota(RouteRequest request, CacheMissAdmission admission, long nowNanos) {
+    static Placement.Reject overCacheMissQuota(RouteRequest request, CacheMissAdmission admission, long nowNanos) {
         long waitMillis = admission.retryAfterMillis(request);
-        return new Placement.Refuse(boundedRetryAfterMillis(request, waitMillis, nowNanos), "cache miss quota used up");
+        return new Placement.Reject(boundedRetryAfterMillis(request, waitMillis, nowNanos), "cache miss quota used up");
     }
 
     /** Rejects a further attempt. */
-    static Placement.Refuse retryDenied(RetryPolicy.Decision decision) {
-        return new Placement.Refuse(DEFAULT_RETRY_MILLIS, decision.reason());
+    static Placement.Reject retryDenied(RetryPolicy.Decision decision) {
+        return new Placement.Reject(DEFAULT_RETRY_MILLIS, decision.reason());
     }
 
     /** Rejects because the client no longer waits. */
-    static Placement.Refuse deadlinePassed() {
-        return new Placement.Refuse(DEFAULT_RETRY_MILLIS, "deadline passed");
+    static Placement.Reject deadlinePassed() {
+        return new Placement.Reject(DEFAULT_RETRY_MILLIS, "deadline passed");
     }
 
     /** Returns a factor from 0.5 to 1.5 that depends on the request id. */
