--- a/fleet/src/main/java/burlarch/fleet/Main.java
+++ b/fleet/src/main/java/burlarch/fleet/Main.java
@@ -1,7 +1,7 @@
 package burlarch.fleet;
 
 import burlarch.node.HangupSignal;
-import burlarch.operator.CommandFailure;
+import burlarch.operator.CommandException;
 import burlarch.settings.SettingsException;
 import java.io.IOException;
 import java.io.InputStream;
@@ -97,7 +97,7 @@
         } catch (SettingsException e) {
             e.getMessage().lines().forEach(line -> errors.println("burlarch: " + line));
             return EXIT_INVALID_INPUT;
-        } catch (CommandFailure e) {
+        } catch (CommandException e) {
             e.getMessage().lines().forEach(line -> errors.println("burlarch: " + line));
             return e.exitCode();
         } catch (NoSuchFileException e) {
--- a/operator-cli/src/main/java/burlarch/operator/CommandFailure.java
+++ b/operator-cli/src/main/java/burlarch/operator/CommandException.java
@@ -1,7 +1,7 @@
 package burlarch.operator;
 
 /** A command failed for a reason that is reported to the operator. The exit code states what the operator may do. */
-public final class CommandFailure extends Exception {
+public final class CommandException extends Exception {
     /** No controller responded conclusively: a change may be in force or not. The same command may be repeated. */
     public static final int OUTCOME_UNKNOWN = 1;
     /** An argument is wrong, or a file cannot be read. */
@@ -19,7 +19,7 @@
      *
      * @param message the reasons, one per line
      */
-    public CommandFailure(int exitCode, String message) {
+    public CommandException(int exitCode, String message) {
         super(message, null, false, false);
         this.exitCode = exitCode;
     }
--- a/operator-cli/src/main/java/burlarch/operator/ConfigCommand.java
+++ b/operator-cli/src/main/java/burlarch/operator/ConfigCommand.java
@@ -27,7 +27,7 @@
          * Runs the subcommand.
          *
          * @param output receives the result for the operator
-         * @throws CommandFailure if the reason and the exit code are known
+         * @throws CommandException if the reason and the exit code are known
          */
         void run(PrintStream output) throws Exception;
     }
@@ -83,7 +83,7 @@
             try {
                 version = ConfigurationPatch.parse(json).version();
             } catch (InvalidConfigurationException e) {
-                throw RejectionMessages.toFailure(e);
+                throw RejectionMessages.toException(e);
             }
             sendChange("PATCH", createClient(controlAddresses), json, ifMatch);
             output.println("configuration " + version + " is acknowledged");
@@ -102,55 +102,55 @@
         }
     }
 
-    private static ConfigurationDocument parseValid(byte[] json) throws CommandFailure {
+    private static ConfigurationDocument parseValid(byte[] json) throws CommandException {
         try {
             return ConfigurationDocument.parse(json);
         } catch (InvalidConfigurationException e) {
-            throw RejectionMessages.toFailure(e);
+            throw RejectionMessages.toException(e);
         }
     }
 
-    private static ControlClient createClient(String controlAddresses) throws CommandFailure {
+    private static ControlClient createClient(String controlAddresses) throws CommandException {
         List<String> addresses = List.of(controlAddresses.split(","));
         for (String address : addresses) {
             if (!address.matches("[A-Za-z0-9.-]+:[0-9]{1,5}")) {
-                throw new CommandFailure(
-                        CommandFailure.INVALID_USAGE, address + " is not a valid control address, expected HOST:PORT");
+                throw new CommandException(
+                        CommandException.INVALID_USAGE, address + " is not a valid control address, expected HOST:PORT");
             }
         }
         return new ControlClient(addresses);
     }
 
     private static ControlClient.Response fetchConfiguration(ControlClient client)
-            throws CommandFailure, InterruptedException {
+            throws CommandException, InterruptedException {
         ControlClient.Response response = client.call("GET", CONFIGURATION_PATH, null, null);
         if (response.status() == NOT_FOUND) {
-            throw new CommandFailure(CommandFailure.OUTCOME_UNKNOWN, "there is no configuration yet");
+            throw new CommandException(CommandException.OUTCOME_UNKNOWN, "there is no configuration yet");
         }
         if (!response.isSuccess()) {
-            throw RejectionMessages.toFailure(response);
+            throw RejectionMessages.toException(response);
         }
         return response;
     }
 
     /** Sends a change that is based on the given version, or on the version in force if that is null. */
     private static void sendChange(String method, ControlClient client, byte[] json, Long ifMatch)
-            throws CommandFailure, InterruptedException, IOException {
+            throws CommandException, InterruptedException, IOException {
         long baseVersion = ifMatch != null ? ifMatch : versionInForce(client);
         ControlClient.Response response = client.call(method, CONFIGURATION_PATH, json, baseVersion);
         if (!response.isSuccess()) {
-            throw RejectionMessages.toFailure(response);
+            throw RejectionMessages.toException(response);
         }
     }
 
     /** Returns the version in force, 0 if there is no configuration yet. */
-    private static long versionInForce(ControlClient client) throws CommandFailure, InterruptedException, IOException {
+    private static long versionInForce(ControlClient client) throws CommandException, InterruptedException, IOException {
         ControlClient.Response response = client.call("GET", CONFIGURATION_PATH, null, null);
         if (response.status() == NOT_FOUND) {
             return 0;
         }
         if (!response.isSuccess()) {
-            throw RejectionMessages.toFailure(response);
+            throw RejectionMessages.toException(response);
         }
         return parseValid(response.body()).version();
     }
--- a/operator-cli/src/main/java/burlarch/operator/ControlClient.java
+++ b/operator-cli/src/main/java/burlarch/operator/ControlClient.java
@@ -52,9 +52,9 @@
      *
      * @param body the JSON body, null for none
      * @param ifMatch the expected version in force, null to send no If-Match header
-     * @throws CommandFailure if no controller responds conclusively in any round
+     * @throws CommandException if no controller responds conclusively in any round
      */
-    Response call(String method, String path, byte[] body, Long ifMatch) throws CommandFailure, InterruptedException {
+    Response call(String method, String path, byte[] body, Long ifMatch) throws CommandException, InterruptedException {
         String lastFailure = "";
         for (int round = 0; round < MAX_ROUNDS; round++) {
             for (String controller : controllers) {
@@ -72,8 +72,8 @@
             }
             Thread.sleep(RETRY_DELAY_MILLIS);
         }
-        throw new CommandFailure(
-                CommandFailure.OUTCOME_UNKNOWN,
+        throw new CommandException(
+                CommandException.OUTCOME_UNKNOWN,
                 "no controller responded conclusively; last response or error: " + lastFailure);
     }
 
--- a/operator-cli/src/main/java/burlarch/operator/RejectionMessages.java
+++ b/operator-cli/src/main/java/burlarch/operator/RejectionMessages.java
@@ -36,17 +36,17 @@
     }
 
     /** Returns the failure for an unsuccessful response. Every status other than 412 counts as invalid. */
-    static CommandFailure toFailure(ControlClient.Response response) {
+    static CommandException toException(ControlClient.Response response) {
         String reasons = reasons(response.body(), "status " + response.status());
         return response.status() == PRECONDITION_FAILED
-                ? new CommandFailure(CommandFailure.VERSION_CONFLICT, "another version is in place: " + reasons)
-                : new CommandFailure(CommandFailure.INVALID_CONFIGURATION, reasons);
+                ? new CommandException(CommandException.VERSION_CONFLICT, "another version is in place: " + reasons)
+                : new CommandException(CommandException.INVALID_CONFIGURATION, reasons);
     }
 
     /** Returns the failure for a configuration or patch that the local check found to be invalid. */
-    static CommandFailure toFailure(InvalidConfigurationException exception) {
+    static CommandException toException(InvalidConfigurationException exception) {
         List<String> lines = new ArrayList<>();
         exception.problems().forEach(problem -> lines.add(formatProblem(problem.field(), problem.reason())));
-        return new CommandFailure(CommandFailure.INVALID_CONFIGURATION, String.join(System.lineSeparator(), lines));
+        return new CommandException(CommandException.INVALID_CONFIGURATION, String.join(System.lineSeparator(), lines));
     }
 }
