--- a/proxy/src/main/java/burlarch/proxy/BodyBudget.java
+++ b/proxy/src/main/java/burlarch/proxy/BodyBudget.java
@@ -1,18 +1,18 @@
 package burlarch.proxy;
 
 /**
- * Memory budget that bodies of one kind share. The first {@link #ORDINARY} bytes of each body and the bytes
+ * Memory budget that bodies of one kind share. The first {@link #ORDINARY_BODY_BYTES} bytes of each body and the bytes
  * beyond them are bounded separately, so that a few long or endless bodies do not keep ordinary ones out. Not
  * thread-safe: used on the event loop only.
  */
 final class BodyBudget {
     /** Maximum length of a body in bytes according to the protocol; some sites have longer ones. */
-    static final int ORDINARY = 64 * 1024;
+    static final int ORDINARY_BODY_BYTES = 64 * 1024;
 
     /** Maximum length of a body in bytes. */
-    static final int LARGEST = 1 << 20;
-    /** Bound on the bytes beyond {@link #ORDINARY} in total: room for twenty of the longest bodies seen. */
-    static final int BEYOND_MOST = 4 << 20;
+    static final int MAX_BODY_BYTES = 1 << 20;
+    /** Bound on the bytes beyond {@link #ORDINARY_BODY_BYTES} in total: room for twenty of the longest bodies seen. */
+    static final int MAX_EXCESS_BYTES = 4 << 20;
 
     private final long maxOrdinaryBytes;
     private final long maxExcessBytes;
@@ -25,11 +25,11 @@
     }
 
     /**
-     * A budget that bounds only the bytes beyond {@link #ORDINARY} of each body, for bodies whose number is bounded
+     * A budget that bounds only the bytes beyond {@link #ORDINARY_BODY_BYTES} of each body, for bodies whose number is bounded
      * elsewhere.
      */
     static BodyBudget boundingExcessOnly() {
-        return new BodyBudget(Long.MAX_VALUE, BEYOND_MOST);
+        return new BodyBudget(Long.MAX_VALUE, MAX_EXCESS_BYTES);
     }
 
     /**
@@ -38,8 +38,8 @@
      * @return whether there was room
      */
     boolean grow(int fromBytes, int toBytes) {
-        long ordinaryIncrease = Math.min(toBytes, ORDINARY) - Math.min(fromBytes, ORDINARY);
-        long excessIncrease = beyond(toBytes) - beyond(fromBytes);
+        long ordinaryIncrease = Math.min(toBytes, ORDINARY_BODY_BYTES) - Math.min(fromBytes, ORDINARY_BODY_BYTES);
+        long excessIncrease = excessBytes(toBytes) - excessBytes(fromBytes);
         if (ordinaryIncrease > maxOrdinaryBytes - ordinaryBytes || excessIncrease > maxExcessBytes - excessBytes) {
             return false;
         }
@@ -50,28 +50,28 @@
 
     /** Adds a body of this length, whether or not there is room. */
     void take(int bytes) {
-        ordinaryBytes += Math.min(bytes, ORDINARY);
-        excessBytes += beyond(bytes);
+        ordinaryBytes += Math.min(bytes, ORDINARY_BODY_BYTES);
+        excessBytes += excessBytes(bytes);
     }
 
     /** Removes a body of this length. */
     void release(int bytes) {
-        ordinaryBytes -= Math.min(bytes, ORDINARY);
-        excessBytes -= beyond(bytes);
+        ordinaryBytes -= Math.min(bytes, ORDINARY_BODY_BYTES);
+        excessBytes -= excessBytes(bytes);
     }
 
     /** Whether there is room for a body of this length. */
     boolean hasRoomFor(int bytes) {
-        return Math.min(bytes, ORDINARY) <= maxOrdinaryBytes - ordinaryBytes
-                && beyond(bytes) <= maxExcessBytes - excessBytes;
+        return Math.min(bytes, ORDINARY_BODY_BYTES) <= maxOrdinaryBytes - ordinaryBytes
+                && excessBytes(bytes) <= maxExcessBytes - excessBytes;
     }
 
     long heldBytes() {
         return ordinaryBytes + excessBytes;
     }
 
-    /** The number of bytes beyond {@link #ORDINARY} in a body of this length. */
-    static int beyond(int bytes) {
-        return Math.max(0, bytes - ORDINARY);
+    /** The number of bytes beyond {@link #ORDINARY_BODY_BYTES} in a body of this length. */
+    static int excessBytes(int bytes) {
+        return Math.max(0, bytes - ORDINARY_BODY_BYTES);
     }
 }
--- a/proxy/src/main/java/burlarch/proxy/BodyCollector.java
+++ b/proxy/src/main/java/burlarch/proxy/BodyCollector.java
@@ -23,12 +23,12 @@
     private boolean discarding;
 
     BodyCollector(BodyBudget budget) {
-        super(BodyBudget.LARGEST);
+        super(BodyBudget.MAX_BODY_BYTES);
         this.budget = budget;
     }
 
     /** Called when the budget has no room for the rest of a body; what was received of it has been dropped. */
-    abstract void noRoom(ChannelHandlerContext context);
+    abstract void onBudgetExceeded(ChannelHandlerContext context);
 
     /** Whether a message head was received whose body is not complete. */
     final boolean inBody() {
@@ -55,7 +55,7 @@
         int grownBytes = incompleteBytes + content.content().readableBytes();
         if (!budget.grow(incompleteBytes, grownBytes)) {
             discard();
-            noRoom(context);
+            onBudgetExceeded(context);
             return;
         }
         incompleteBytes = grownBytes;
--- a/proxy/src/main/java/burlarch/proxy/Rehearsal.java
+++ b/proxy/src/main/java/burlarch/proxy/ClassLoadingWorkload.java
@@ -17,7 +17,7 @@
  * fake discovery service on loopback, and one client. Not used in production. It exercises every path that a
  * request can take at least once, as a class that is not loaded here is loaded later, while requests wait.
  */
-final class Rehearsal implements AutoCloseable {
+final class ClassLoadingWorkload implements AutoCloseable {
     /** Requests of each kind on one connection; few, as classes need to be loaded here, not compiled. */
     private static final int REQUESTS_PER_KIND = 40;
 
@@ -42,7 +42,7 @@
     private final List<ServerSocket> sockets = new ArrayList<>();
     private final String memberList;
 
-    private Rehearsal() throws IOException {
+    private ClassLoadingWorkload() throws IOException {
         StringBuilder instances = new StringBuilder();
         for (int i = 0; i < 3; i++) {
             boolean origin = i == 2;
@@ -63,8 +63,8 @@
     }
 
     /** Starts the fake nodes. */
-    static Rehearsal open() throws IOException {
-        return new Rehearsal();
+    static ClassLoadingWorkload open() throws IOException {
+        return new ClassLoadingWorkload();
     }
 
     /** Starts the fake discovery service and returns the configuration of a proxy that uses it. */
--- a/proxy/src/main/java/burlarch/proxy/MembershipWatch.java
+++ b/proxy/src/main/java/burlarch/proxy/MembershipWatch.java
@@ -97,7 +97,7 @@
     /** Null if there is none. */
     private Observer observer;
     /** Runs once, when a watch has delivered its first list. */
-    private Runnable whenListed = () -> {};
+    private Runnable onFirstList = () -> {};
 
     MembershipWatch(
             EventLoop loop,
@@ -118,8 +118,8 @@
     }
 
     /** @param action runs once, when a watch has delivered its first list */
-    void whenListed(Runnable action) {
-        whenListed = action;
+    void onFirstList(Runnable action) {
+        onFirstList = action;
     }
 
     /** Applies the list that the configuration contains, if any. */
@@ -238,8 +238,8 @@
         try {
             Json list = Json.parse(text.getBytes(StandardCharsets.UTF_8));
             apply(list, list.get("reset").flag(false) ? ListKind.REPLACE : ListKind.UPDATE);
-            Runnable action = whenListed;
-            whenListed = () -> {};
+            Runnable action = onFirstList;
+            onFirstList = () -> {};
             action.run();
         } catch (IOException | RuntimeException e) {
             logSkipped(String.valueOf(e.getMessage()).lines().findFirst().orElse(""));
--- a/proxy/src/main/java/burlarch/proxy/NodePool.java
+++ b/proxy/src/main/java/burlarch/proxy/NodePool.java
@@ -153,7 +153,7 @@
      * with no later call to start a connect, the last calls of a burst would wait for the responses to the
      * first ones.
      */
-    void connectOn() {
+    void connectEagerly() {
         connectsEagerly = true;
     }
 
--- a/proxy/src/main/java/burlarch/proxy/ProxyMain.java
+++ b/proxy/src/main/java/burlarch/proxy/ProxyMain.java
@@ -181,7 +181,7 @@
      * and verifying them again.
      */
     private static void rehearse(Features.Arguments arguments) throws IOException, InterruptedException {
-        try (Rehearsal rehearsal = Rehearsal.open()) {
+        try (ClassLoadingWorkload rehearsal = ClassLoadingWorkload.open()) {
             ProxyMain main = new ProxyMain(Features.load(arguments));
             InetSocketAddress address = (InetSocketAddress) main.start(rehearsal.config());
             rehearsal.play(address);
@@ -215,7 +215,7 @@
         NodePool nodePool =
                 new NodePool(loop, clock, Instance.settings(config.settings()).limits(), shares.nodes());
         if (features.multiGet().listen() != null) {
-            nodePool.connectOn();
+            nodePool.connectEagerly();
         }
         table = new RequestTable(loop, clock, nodePool, config.settings(), config.seed());
         if (features.hotList() != null) {
@@ -282,7 +282,7 @@
                 bind(config, plainHandler, bound);
             }
         };
-        membershipWatch.whenListed(bindOnce);
+        membershipWatch.onFirstList(bindOnce);
         loop.schedule(bindOnce, FIRST_LIST_TIMEOUT_MS, TimeUnit.MILLISECONDS);
     }
 
@@ -419,8 +419,8 @@
     }
 
     /** Number of requests that have not been answered yet. Callable from any thread but the event loop's. */
-    int owed() throws InterruptedException, ExecutionException {
-        return loop.submit(() -> table.owed()).get();
+    int openRequestCount() throws InterruptedException, ExecutionException {
+        return loop.submit(() -> table.openRequestCount()).get();
     }
 
     private void closeServers() {
@@ -474,7 +474,7 @@
         }
         DrainTimes times = DrainTimes.of(
                 TimeUnit.NANOSECONDS.toMillis(clientListener.reader().longestTimeoutNanos()));
-        Log.line("draining, " + table.owed() + " open requests");
+        Log.line("draining, " + table.openRequestCount() + " open requests");
         clientListener.startDrain(clock.nowNanos() + TimeUnit.MILLISECONDS.toNanos(times.answeredMs()));
         loop.schedule(this::closeServers, times.closeListenersMs(), TimeUnit.MILLISECONDS);
         loop.schedule(
--- a/proxy/src/main/java/burlarch/proxy/RequestCollector.java
+++ b/proxy/src/main/java/burlarch/proxy/RequestCollector.java
@@ -19,7 +19,7 @@
     }
 
     @Override
-    void noRoom(ChannelHandlerContext context) {
+    void onBudgetExceeded(ChannelHandlerContext context) {
         context.fireChannelRead(new Rejection(HttpResponseStatus.INSUFFICIENT_STORAGE));
     }
 
--- a/proxy/src/main/java/burlarch/proxy/RequestHandler.java
+++ b/proxy/src/main/java/burlarch/proxy/RequestHandler.java
@@ -9,7 +9,7 @@
 /** Handles the requests received on one of the client ports. Called on the event loop's thread. */
 public interface RequestHandler {
     /** Sends the response to one request. Exactly one of the methods is called, exactly once. */
-    interface Reply extends RequestTable.Exchange {
+    interface Reply extends RequestTable.ResponseHandler {
         /** Answers 200 with headers and a body specific to the port; the future completes when it has been written. */
         ChannelFuture answer(HttpHeaders headers, ByteBuf body);
     }
--- a/proxy/src/main/java/burlarch/proxy/RequestReader.java
+++ b/proxy/src/main/java/burlarch/proxy/RequestReader.java
@@ -73,7 +73,7 @@
      * @param readNanos when the request was read; its timeout counts from then
      * @throws Rejection if the path, the method or a header is invalid
      */
-    public RequestTable.Arrival arrival(FullHttpRequest request, long readNanos) throws Rejection {
+    public RequestTable.ClientRequest arrival(FullHttpRequest request, long readNanos) throws Rejection {
         String path = pathOf(request.uri());
         int classEnd = path.indexOf('/', 1);
         String className = !path.startsWith("/") ? "" : path.substring(1, classEnd < 0 ? path.length() : classEnd);
@@ -111,7 +111,7 @@
                 readNanos
                         + timeoutNanos
                         - Math.min(DEADLINE_MARGIN_NANOS + 2 * readDelayNanos.getAsLong(), timeoutNanos / 2));
-        return new RequestTable.Arrival(
+        return new RequestTable.ClientRequest(
                 requestClass,
                 Instance.number(instance.tenants, tenant),
                 !key.isEmpty(),
@@ -133,7 +133,7 @@
     }
 
     /** Whether the policy regards the request as expired, which it does one time quantum before the deadline. */
-    public boolean timeIsUp(RequestTable.Arrival arrival) {
+    public boolean timeIsUp(RequestTable.ClientRequest arrival) {
         return clock.nowNanos() >= arrival.deadlineNanos() - instance.settings.quantumNanos();
     }
 
--- a/proxy/src/main/java/burlarch/proxy/RequestTable.java
+++ b/proxy/src/main/java/burlarch/proxy/RequestTable.java
@@ -25,7 +25,7 @@
  */
 public final class RequestTable implements Api.Actions {
     /** Receives the final response to a request: exactly one of its methods is called, once per request. */
-    public interface Exchange {
+    public interface ResponseHandler {
         /** A node has answered with 200; {@code contentType} is null if its response named none. */
         void served(byte[] body, String contentType);
 
@@ -56,7 +56,7 @@
      * @param upstream the part that is forwarded to a node
      * @param timeoutMs how long the client waits, by its own statement
      */
-    public record Arrival(
+    public record ClientRequest(
             int requestClass,
             int tenant,
             boolean keyed,
@@ -71,10 +71,10 @@
     /** Listener for the table's events. Called on the event loop; must not change the table. */
     public interface Observer {
         /** A request has entered the table. */
-        default void taken(Arrival arrival) {}
+        default void requestAccepted(ClientRequest arrival) {}
 
         /** A request has had its final response, or its client has disconnected. */
-        default void answered(int requestClass) {}
+        default void requestFinished(int requestClass) {}
 
         /** An attempt at a node has ended. */
         default void attemptEnded(long server, Outcome outcome) {}
@@ -86,7 +86,7 @@
         final int requestClass;
         final UpstreamRequest upstream;
         final long deadlineNanos;
-        final Exchange exchange;
+        final ResponseHandler responseHandler;
         /** The attempts by number; null for one that was never sent. */
         final List<Attempt> attempts = new ArrayList<>(2);
 
@@ -98,12 +98,12 @@
 
         ScheduledFuture<?> deadlineTimer;
 
-        OpenRequest(long id, Arrival arrival, Exchange exchange) {
+        OpenRequest(long id, ClientRequest arrival, ResponseHandler responseHandler) {
             this.id = id;
             this.requestClass = arrival.requestClass();
             this.upstream = arrival.upstream();
             this.deadlineNanos = arrival.deadlineNanos();
-            this.exchange = exchange;
+            this.responseHandler = responseHandler;
         }
     }
 
@@ -175,12 +175,12 @@
     }
 
     /** Whether the body of one more request fits the budget; bodies of ordinary length always do. */
-    boolean hasRoomFor(Arrival arrival) {
+    boolean hasRoomFor(ClientRequest arrival) {
         return requestBodies.hasRoomFor(arrival.upstream().body().length);
     }
 
     /** The number of requests without a final response. */
-    int owed() {
+    int openRequestCount() {
         return unfinishedCount;
     }
 
@@ -219,16 +219,16 @@
     /**
      * Enters a request into the table and passes it to the module.
      *
-     * @return the request's number, for {@link #gone}
+     * @return the request's number, for {@link #clientDisconnected}
      */
-    public long take(Arrival arrival, Exchange exchange) {
+    public long take(ClientRequest arrival, ResponseHandler responseHandler) {
         long id = ++lastId;
-        OpenRequest openRequest = new OpenRequest(id, arrival, exchange);
+        OpenRequest openRequest = new OpenRequest(id, arrival, responseHandler);
         openRequests.put(id, openRequest);
         requestBodies.take(openRequest.upstream.body().length);
         openClientIds.add(arrival.upstream().requestId());
         unfinishedCount++;
-        observers.forEach(observer -> observer.taken(arrival));
+        observers.forEach(observer -> observer.requestAccepted(arrival));
         openRequest.deadlineTimer = loop.schedule(
                 () -> expire(openRequest), arrival.deadlineNanos() - clock.nowNanos(), TimeUnit.NANOSECONDS);
         boolean write = !arrival.upstream().method().name().equals("GET");
@@ -247,14 +247,14 @@
             } catch (RuntimeException e) {
                 // Not a refusal: that would promise the client that nothing has run.
                 Log.line("decision module failed on a request: " + e);
-                finish(openRequest, () -> exchange.failed(500));
+                finish(openRequest, () -> responseHandler.failed(500));
             }
         });
         return id;
     }
 
     /** The client has disconnected: the request ends without a response. */
-    public void gone(long id) {
+    public void clientDisconnected(long id) {
         OpenRequest openRequest = openRequests.get(id);
         if (openRequest != null && !openRequest.finished) {
             finish(openRequest, () -> {});
@@ -265,7 +265,7 @@
     /** Ends a request with 504 if the module has not ended it by its deadline. */
     private void expire(OpenRequest openRequest) {
         if (!openRequest.finished) {
-            finish(openRequest, () -> openRequest.exchange.failed(504));
+            finish(openRequest, () -> openRequest.responseHandler.failed(504));
             notifyModule(nowNanos -> policy().onClientGone(nowNanos, openRequest.id));
         }
     }
@@ -279,7 +279,7 @@
         openRequest.deadlineTimer.cancel(false);
         removeIfDone(openRequest);
         unfinishedCount--;
-        observers.forEach(observer -> observer.answered(openRequest.requestClass));
+        observers.forEach(observer -> observer.requestFinished(openRequest.requestClass));
         respond.run();
         // Attempts that still wait for a connection must not be sent now: nobody waits for their responses.
         for (int i = 0; openRequest.attemptsInFlight > 0 && i < openRequest.attempts.size(); i++) {
@@ -302,7 +302,7 @@
         openRequest.unanswered = outcome == Outcome.LATE || outcome == Outcome.CXL;
         observers.forEach(observer -> observer.attemptEnded(attempt.server, outcome));
         if (outcome == Outcome.GOOD) {
-            finish(openRequest, () -> openRequest.exchange.served(body, contentType));
+            finish(openRequest, () -> openRequest.responseHandler.served(body, contentType));
         }
         removeIfDone(openRequest);
         notifyAttemptEnded(
@@ -357,7 +357,7 @@
         OpenRequest openRequest = openRequests.get(request);
         if (openRequest != null) {
             boolean unanswered = openRequest.attemptsInFlight > 0 || openRequest.unanswered;
-            finish(openRequest, () -> openRequest.exchange.refused(retryAfterNanos, unanswered));
+            finish(openRequest, () -> openRequest.responseHandler.refused(retryAfterNanos, unanswered));
         }
     }
 
@@ -365,7 +365,7 @@
     public void fail(long request) {
         OpenRequest openRequest = openRequests.get(request);
         if (openRequest != null) {
-            finish(openRequest, () -> openRequest.exchange.failed(502));
+            finish(openRequest, () -> openRequest.responseHandler.failed(502));
         }
     }
 
--- a/proxy/src/main/java/burlarch/proxy/ResponseCollector.java
+++ b/proxy/src/main/java/burlarch/proxy/ResponseCollector.java
@@ -12,7 +12,7 @@
     }
 
     @Override
-    void noRoom(ChannelHandlerContext context) {
+    void onBudgetExceeded(ChannelHandlerContext context) {
         context.close();
     }
 
--- a/proxy/src/main/java/burlarch/proxy/SingleRequests.java
+++ b/proxy/src/main/java/burlarch/proxy/SingleRequests.java
@@ -24,7 +24,7 @@
 
     @Override
     public Runnable handle(FullHttpRequest request, long readNanos, Reply reply) throws Rejection {
-        RequestTable.Arrival arrival = reader.arrival(request, readNanos);
+        RequestTable.ClientRequest arrival = reader.arrival(request, readNanos);
         if (table.isOpen(arrival.upstream().requestId())) {
             throw new Rejection(HttpResponseStatus.CONFLICT);
         }
@@ -37,6 +37,6 @@
             return () -> {};
         }
         long id = table.take(arrival, reply);
-        return () -> table.gone(id);
+        return () -> table.clientDisconnected(id);
     }
 }
--- a/proxy/src/main/java/burlarch/proxy/hotlist/HotList.java
+++ b/proxy/src/main/java/burlarch/proxy/hotlist/HotList.java
@@ -35,7 +35,7 @@
 
     /** Counts an accepted request; requests without a key are not counted. */
     @Override
-    public void taken(RequestTable.Arrival arrival) {
+    public void requestAccepted(RequestTable.ClientRequest arrival) {
         if (arrival.keyed()) {
             summaries
                     .get(arrival.requestClass())
--- a/proxy/src/main/java/burlarch/proxy/multiget/Batch.java
+++ b/proxy/src/main/java/burlarch/proxy/multiget/Batch.java
@@ -17,13 +17,13 @@
 final class Batch {
     private static final byte[] NO_BODY = {};
 
-    private final class BatchRequest implements RequestTable.Exchange {
-        final RequestTable.Arrival arrival;
+    private final class BatchRequest implements RequestTable.ResponseHandler {
+        final RequestTable.ClientRequest arrival;
         long requestNumber;
         int status;
         byte[] body = NO_BODY;
 
-        BatchRequest(RequestTable.Arrival arrival) {
+        BatchRequest(RequestTable.ClientRequest arrival) {
             this.arrival = arrival;
         }
 
@@ -61,7 +61,7 @@
     }
 
     private final ResponseByteBudget byteBudget;
-    private final Predicate<RequestTable.Arrival> isTimeUp;
+    private final Predicate<RequestTable.ClientRequest> isTimeUp;
     private final Consumer<Batch> onComplete;
     private final List<BatchRequest> requests = new ArrayList<>();
     /** Number of requests without a final status. */
@@ -72,9 +72,9 @@
     private int reservedBytes;
 
     Batch(
-            List<RequestTable.Arrival> arrivals,
+            List<RequestTable.ClientRequest> arrivals,
             ResponseByteBudget byteBudget,
-            Predicate<RequestTable.Arrival> isTimeUp,
+            Predicate<RequestTable.ClientRequest> isTimeUp,
             Consumer<Batch> onComplete) {
         this.byteBudget = byteBudget;
         this.isTimeUp = isTimeUp;
@@ -93,7 +93,7 @@
 
     /** Abandons all requests, after the client has disconnected. */
     void abandon(RequestTable table) {
-        requests.forEach(request -> table.gone(request.requestNumber));
+        requests.forEach(request -> table.clientDisconnected(request.requestNumber));
         release();
     }
 
--- a/proxy/src/main/java/burlarch/proxy/multiget/MultiGet.java
+++ b/proxy/src/main/java/burlarch/proxy/multiget/MultiGet.java
@@ -62,7 +62,7 @@
         if (!request.method().equals(HttpMethod.POST)) {
             throw new Rejection(HttpResponseStatus.METHOD_NOT_ALLOWED);
         }
-        List<RequestTable.Arrival> arrivals = new ArrayList<>();
+        List<RequestTable.ClientRequest> arrivals = new ArrayList<>();
         for (KeyRequest keyRequest :
                 KeyRequest.parse(request.content().toString(StandardCharsets.ISO_8859_1), maxKeys)) {
             if (table.isOpen(keyRequest.id())) {
--- a/proxy/src/main/java/burlarch/proxy/ownload/LoadGate.java
+++ b/proxy/src/main/java/burlarch/proxy/ownload/LoadGate.java
@@ -49,7 +49,7 @@
     }
 
     /** Returns whether the request is admitted; if not, the caller refuses it at once. */
-    public boolean admits(RequestTable.Arrival arrival) {
+    public boolean admits(RequestTable.ClientRequest arrival) {
         return load.admits(
                 settings.classes().get(arrival.requestClass()).worth(),
                 lagNanos.getAsLong(),
--- a/proxy/src/main/java/burlarch/proxy/status/StatusBoard.java
+++ b/proxy/src/main/java/burlarch/proxy/status/StatusBoard.java
@@ -58,14 +58,14 @@
     }
 
     @Override
-    public void taken(RequestTable.Arrival arrival) {
+    public void requestAccepted(RequestTable.ClientRequest arrival) {
         ClassCounts counts = classCounts.get(arrival.requestClass());
         counts.inFlight++;
         counts.requestsSinceSnapshot++;
     }
 
     @Override
-    public void answered(int requestClass) {
+    public void requestFinished(int requestClass) {
         classCounts.get(requestClass).inFlight--;
     }
 
--- a/proxy/src/main/java/burlarch/proxy/trace/TraceRecorder.java
+++ b/proxy/src/main/java/burlarch/proxy/trace/TraceRecorder.java
@@ -112,7 +112,7 @@
     }
 
     @Override
-    public void taken(RequestTable.Arrival arrival) {
+    public void requestAccepted(RequestTable.ClientRequest arrival) {
         if (ended) {
             return;
         }
