--- a/proxy/src/main/java/burlarch/proxy/ProxyMain.java
+++ b/proxy/src/main/java/burlarch/proxy/ProxyMain.java
@@ -5,7 +5,7 @@
 import burlarch.proxy.hotlist.HotList;
 import burlarch.proxy.multiget.MultiGet;
 import burlarch.proxy.ownload.LoadGate;
-import burlarch.proxy.status.StatusBoard;
+import burlarch.proxy.status.StatusCollector;
 import burlarch.proxy.status.StatusPage;
 import burlarch.proxy.tls.TlsPort;
 import burlarch.proxy.trace.TraceRecorder;
@@ -232,7 +232,7 @@
                 table,
                 nodePool);
         if (features.status().port() != null) {
-            StatusBoard statusBoard = new StatusBoard(
+            StatusCollector statusBoard = new StatusCollector(
                     StatusPage.version(), requestClassNames(), clock::nowNanos, System::currentTimeMillis);
             table.observe(statusBoard);
             membershipWatch.observe(statusBoard);
--- a/proxy/src/main/java/burlarch/proxy/status/StatusBoard.java
+++ b/proxy/src/main/java/burlarch/proxy/status/StatusCollector.java
@@ -16,7 +16,7 @@
 import java.util.function.LongSupplier;
 
 /** Collects the data of the status page on the event loop: servers, their last errors, and load by request class. */
-public final class StatusBoard implements RequestTable.Observer, MembershipWatch.Observer {
+public final class StatusCollector implements RequestTable.Observer, MembershipWatch.Observer {
     private static final int MAX_ERRORS_PER_SERVER = 3;
     private static final DateTimeFormatter TIME_FORMAT =
             DateTimeFormatter.ofPattern("HH:mm:ss").withZone(ZoneOffset.UTC);
@@ -48,7 +48,7 @@
 
     private long snapshotNanos;
 
-    public StatusBoard(String version, List<String> classes, LongSupplier clockNanos, LongSupplier wallClockMs) {
+    public StatusCollector(String version, List<String> classes, LongSupplier clockNanos, LongSupplier wallClockMs) {
         this.version = version;
         this.clockNanos = clockNanos;
         this.wallClockMs = wallClockMs;
--- a/proxy/src/main/java/burlarch/proxy/status/StatusPage.java
+++ b/proxy/src/main/java/burlarch/proxy/status/StatusPage.java
@@ -37,7 +37,7 @@
             new MultiThreadIoEventLoopGroup(1, new DefaultThreadFactory("status", true), NioIoHandler.newFactory());
     private final EventLoop eventLoop = group.next();
     private final Executor requestLoop;
-    private final StatusBoard board;
+    private final StatusCollector collector;
     private final AtomicBoolean snapshotPending = new AtomicBoolean();
     /** Replaced as a whole, so that a response shows the state of one moment. */
     private volatile RenderedStatus renderedStatus;
@@ -48,13 +48,13 @@
     /**
      * Creates the server; call on the event loop.
      *
-     * @param requestLoop the event loop of the proxied requests, which owns the board
+     * @param requestLoop the event loop of the proxied requests, which owns the collector
      */
-    public StatusPage(StatusBoard board, Executor requestLoop) {
-        this.board = board;
+    public StatusPage(StatusCollector collector, Executor requestLoop) {
+        this.collector = collector;
         this.requestLoop = requestLoop;
         // Only this first snapshot is rendered on the event loop, which is idle then. Shown until the first refresh.
-        this.renderedStatus = RenderedStatus.of(board.snapshot());
+        this.renderedStatus = RenderedStatus.of(collector.snapshot());
     }
 
     /** Returns the program version that the build wrote into {@code version.properties}. */
@@ -107,7 +107,7 @@
         }
         try {
             requestLoop.execute(() -> {
-                Snapshot snapshot = board.snapshot();
+                Snapshot snapshot = collector.snapshot();
                 snapshotPending.set(false);
                 eventLoop.execute(() -> renderedStatus = RenderedStatus.of(snapshot));
             });
