--- a/proxy/src/main/java/burlarch/proxy/ClassLoadingWorkload.java
+++ b/proxy/src/main/java/burlarch/proxy/ClassLoadingWorkload.java
@@ -79,7 +79,7 @@
                 new InetSocketAddress(loopback, 0),
                 (InetSocketAddress) discovery.getLocalSocketAddress(),
                 1,
-                ProxyConfig.SOCKETS_LEAST,
+                ProxyConfig.MIN_SOCKETS,
                 Json.parse(memberList.getBytes(StandardCharsets.UTF_8)),
                 Json.parse(SETTINGS.getBytes(StandardCharsets.UTF_8)));
     }
--- a/proxy/src/main/java/burlarch/proxy/ClientConnection.java
+++ b/proxy/src/main/java/burlarch/proxy/ClientConnection.java
@@ -223,7 +223,7 @@
     public void refused(long retryAfterNanos, boolean unanswered) {
         FullHttpResponse response = newResponse(HttpResponseStatus.TOO_MANY_REQUESTS, Unpooled.EMPTY_BUFFER);
         if (retryAfterNanos > 0) {
-            response.headers().set(HttpHeaderNames.RETRY_AFTER, Headers.seconds(retryAfterNanos));
+            response.headers().set(HttpHeaderNames.RETRY_AFTER, Headers.formatSeconds(retryAfterNanos));
         }
         writeResponse(response);
     }
@@ -232,7 +232,7 @@
     public void failed(int status) {
         FullHttpResponse response = newResponse(HttpResponseStatus.valueOf(status), Unpooled.EMPTY_BUFFER);
         if (status == HttpResponseStatus.METHOD_NOT_ALLOWED.code()) {
-            response.headers().set(HttpHeaderNames.ALLOW, handler.allow());
+            response.headers().set(HttpHeaderNames.ALLOW, handler.allowedMethods());
         }
         writeResponse(response);
     }
--- a/proxy/src/main/java/burlarch/proxy/Headers.java
+++ b/proxy/src/main/java/burlarch/proxy/Headers.java
@@ -18,7 +18,7 @@
      * Formats a time as a Retry-After value: decimal seconds, rounded to the millisecond. Does not use a
      * formatter, which would load locale data when the first overload begins.
      */
-    public static String seconds(long nanos) {
+    public static String formatSeconds(long nanos) {
         long millis = (nanos + 500_000) / 1_000_000;
         String fraction = Long.toString(1000 + millis % 1000);
         return millis / 1000 + "." + fraction.substring(1);
--- a/proxy/src/main/java/burlarch/proxy/EntryFramer.java
+++ b/proxy/src/main/java/burlarch/proxy/JsonObjectFramer.java
@@ -8,14 +8,14 @@
  * its end is found by counting the braces and brackets outside strings, so that it is delivered with its last
  * byte. A truncated object is discarded when the next complete list on a single line arrives.
  */
-final class EntryFramer {
+final class JsonObjectFramer {
     /** Receives the contents of the stream, in order. */
     interface Sink {
         /** A complete JSON object. */
         void object(String text);
 
         /** An empty line, which discovery sends as a heartbeat: nothing has changed. */
-        void beat();
+        void heartbeat();
 
         /** Text that is not an object, or a truncated object. */
         void malformed();
@@ -39,7 +39,7 @@
     private boolean inString;
     private boolean escaped;
 
-    EntryFramer(int maxBytes, Sink sink) {
+    JsonObjectFramer(int maxBytes, Sink sink) {
         this.maxBytes = maxBytes;
         this.sink = sink;
     }
@@ -93,7 +93,7 @@
         inString = false;
         escaped = false;
         if (length == 0 && !lineHasText) {
-            sink.beat();
+            sink.heartbeat();
         } else if (length > 0 && depth <= 0) {
             sink.malformed();
             clear();
--- a/proxy/src/main/java/burlarch/proxy/Log.java
+++ b/proxy/src/main/java/burlarch/proxy/Log.java
@@ -65,7 +65,7 @@
      *
      * @return false if the text was dropped because the queue is full
      */
-    public static synchronized boolean block(Supplier<String> text) {
+    public static synchronized boolean enqueue(Supplier<String> text) {
         boolean queued = writer.offer(text);
         dropped += queued ? 0 : 1;
         return queued;
--- a/proxy/src/main/java/burlarch/proxy/MembershipWatch.java
+++ b/proxy/src/main/java/burlarch/proxy/MembershipWatch.java
@@ -221,8 +221,8 @@
                 Math.max(1e-9, entry.get("weight").number(1)),
                 (int) entry.get("cell").integer(0),
                 stage,
-                Instance.number(instance.models, entry.get("machineType").text(null)),
-                Instance.number(instance.zones, entry.get("zone").text(null)));
+                Instance.indexOf(instance.models, entry.get("machineType").text(null)),
+                Instance.indexOf(instance.zones, entry.get("zone").text(null)));
     }
 
     private static InetSocketAddress address(Json entry) throws IOException {
@@ -367,8 +367,8 @@
         }
 
         /** Splits the body into lists and heartbeats, and handles them in their order. */
-        private final class ListReader extends SimpleChannelInboundHandler<ByteBuf> implements EntryFramer.Sink {
-            private final EntryFramer framer = new EntryFramer(MAX_LIST_BYTES, this);
+        private final class ListReader extends SimpleChannelInboundHandler<ByteBuf> implements JsonObjectFramer.Sink {
+            private final JsonObjectFramer framer = new JsonObjectFramer(MAX_LIST_BYTES, this);
 
             @Override
             protected void channelRead0(ChannelHandlerContext context, ByteBuf bytes) {
@@ -382,11 +382,11 @@
             @Override
             public void object(String text) {
                 applyUpdate(text);
-                beat();
+                heartbeat();
             }
 
             @Override
-            public void beat() {
+            public void heartbeat() {
                 recordActivity();
                 if (observer != null) {
                     observer.discoveryAnswered();
--- a/proxy/src/main/java/burlarch/proxy/NodeIds.java
+++ b/proxy/src/main/java/burlarch/proxy/NodeIds.java
@@ -1,6 +1,6 @@
 package burlarch.proxy;
 
-import burlarch.wire.WireHost;
+import burlarch.wire.SimulatorAdapter;
 import java.util.HashMap;
 import java.util.Map;
 import java.util.function.LongPredicate;
@@ -16,7 +16,7 @@
     /** The id of the node with this name; assigned on first use. */
     long of(String name) {
         return ids.computeIfAbsent(name, newName -> {
-            long id = WireHost.digest(newName);
+            long id = SimulatorAdapter.digest(newName);
             while (names.putIfAbsent(id, newName) != null) {
                 id++;
             }
--- a/proxy/src/main/java/burlarch/proxy/ProxyConfig.java
+++ b/proxy/src/main/java/burlarch/proxy/ProxyConfig.java
@@ -2,7 +2,7 @@
 
 import burlarch.settings.LiteralAddresses;
 import burlarch.wire.Json;
-import burlarch.wire.WireHost;
+import burlarch.wire.SimulatorAdapter;
 import java.io.IOException;
 import java.net.InetSocketAddress;
 import java.nio.file.Files;
@@ -29,7 +29,7 @@
         Json known,
         Json settings) {
     /** Minimum number of file descriptors granted by the platform; the default for {@code sockets}. */
-    static final int SOCKETS_LEAST = 256;
+    static final int MIN_SOCKETS = 256;
 
     /** The configuration is missing or invalid; the message is meant for the operator. */
     static final class ConfigException extends Exception {
@@ -67,8 +67,8 @@
                 json.get("name").text(environment.getOrDefault("EDGE_NAME", "proxy")),
                 address(file, json, "listen", environment.get("EDGE_LISTEN")),
                 address(file, json, "discovery", environment.get("EDGE_DISCOVERY")),
-                WireHost.digest(json.get("seed").text("")),
-                (int) json.get("limits").get("sockets").integer(SOCKETS_LEAST),
+                SimulatorAdapter.digest(json.get("seed").text("")),
+                (int) json.get("limits").get("sockets").integer(MIN_SOCKETS),
                 json.get("known"),
                 settings);
     }
--- a/proxy/src/main/java/burlarch/proxy/ProxyMain.java
+++ b/proxy/src/main/java/burlarch/proxy/ProxyMain.java
@@ -11,7 +11,7 @@
 import burlarch.proxy.trace.TraceRecorder;
 import burlarch.settings.SettingsException;
 import burlarch.wire.Instance;
-import burlarch.wire.WireHost;
+import burlarch.wire.SimulatorAdapter;
 import io.netty.channel.ChannelFuture;
 import io.netty.channel.EventLoop;
 import io.netty.channel.EventLoopGroup;
@@ -124,7 +124,7 @@
     /** Runs the subcommand named by the first argument; exits with status 2 if the arguments are invalid. */
     public static void main(String[] args) throws IOException, InterruptedException {
         if (args.length == 1 && args[0].equals("drill")) {
-            WireHost.main(args);
+            SimulatorAdapter.main(args);
         } else if (args.length > 0 && args[0].equals("serve") && Features.Arguments.parse(args) != null) {
             serve(Features.Arguments.parse(args));
         } else if (args.length > 0 && args[0].equals("rehearse") && Features.Arguments.parse(args) != null) {
@@ -261,7 +261,7 @@
         clientListener =
                 new ClientListener(loop, clock, table, () -> ready, eventLoopLag::readDelayNanos, shares.clients());
         io.netty.util.concurrent.Promise<SocketAddress> bound = loop.newPromise();
-        SingleRequests plainHandler = new SingleRequests(clientListener.reader(), table, loadGate);
+        SingleRequestHandler plainHandler = new SingleRequestHandler(clientListener.reader(), table, loadGate);
         if (table.instance().settings.asksForList()) {
             bind(config, plainHandler, bound);
         } else {
--- a/proxy/src/main/java/burlarch/proxy/RequestHandler.java
+++ b/proxy/src/main/java/burlarch/proxy/RequestHandler.java
@@ -21,7 +21,7 @@
     }
 
     /** The HTTP methods that the port supports, for the Allow header of a 405 response. */
-    String allow();
+    String allowedMethods();
 
     /**
      * Handles one request. The caller owns the request and releases it after the call. The reply may be sent
--- a/proxy/src/main/java/burlarch/proxy/RequestReader.java
+++ b/proxy/src/main/java/burlarch/proxy/RequestReader.java
@@ -2,7 +2,7 @@
 
 import burlarch.decisions.Api.Repeat;
 import burlarch.wire.Instance;
-import burlarch.wire.WireHost;
+import burlarch.wire.SimulatorAdapter;
 import io.netty.buffer.ByteBufUtil;
 import io.netty.handler.codec.DecoderResult;
 import io.netty.handler.codec.http.FullHttpRequest;
@@ -73,13 +73,13 @@
      * @param readNanos when the request was read; its timeout counts from then
      * @throws Rejection if the path, the method or a header is invalid
      */
-    public RequestTable.ClientRequest arrival(FullHttpRequest request, long readNanos) throws Rejection {
+    public RequestTable.ClientRequest parse(FullHttpRequest request, long readNanos) throws Rejection {
         String path = pathOf(request.uri());
         int classEnd = path.indexOf('/', 1);
         String className = !path.startsWith("/") ? "" : path.substring(1, classEnd < 0 ? path.length() : classEnd);
         String key = classEnd < 0 ? "" : path.substring(path.lastIndexOf('/') + 1);
         String headerClassName = request.headers().get(Headers.CLASS);
-        int requestClass = Instance.number(instance.classes, className);
+        int requestClass = Instance.indexOf(instance.classes, className);
         // The class is given in the path and, optionally, in a header. If they differ, the path does not exist.
         if (requestClass < 0 || headerClassName != null && !className.equals(headerClassName)) {
             throw new Rejection(HttpResponseStatus.NOT_FOUND);
@@ -113,9 +113,9 @@
                         - Math.min(DEADLINE_MARGIN_NANOS + 2 * readDelayNanos.getAsLong(), timeoutNanos / 2));
         return new RequestTable.ClientRequest(
                 requestClass,
-                Instance.number(instance.tenants, tenant),
+                Instance.indexOf(instance.tenants, tenant),
                 !key.isEmpty(),
-                key.isEmpty() ? 0 : WireHost.digest(key),
+                key.isEmpty() ? 0 : SimulatorAdapter.digest(key),
                 deadlineNanos,
                 TimeUnit.MICROSECONDS.toNanos(costMicros),
                 tenant == null ? "" : tenant,
@@ -127,7 +127,7 @@
 
     /** Whether the settings have a class of that name whose requests have no side effects and may be repeated. */
     public boolean isPure(String className) {
-        int requestClass = Instance.number(instance.classes, className);
+        int requestClass = Instance.indexOf(instance.classes, className);
         return requestClass >= 0
                 && instance.settings.classes().get(requestClass).repeat() == Repeat.PURE;
     }
--- a/proxy/src/main/java/burlarch/proxy/SingleRequests.java
+++ b/proxy/src/main/java/burlarch/proxy/SingleRequestHandler.java
@@ -5,26 +5,26 @@
 import io.netty.handler.codec.http.HttpResponseStatus;
 
 /** Request handler of the plain port: passes each client request to the request table as one request. */
-final class SingleRequests implements RequestHandler {
+final class SingleRequestHandler implements RequestHandler {
     private final RequestReader reader;
     private final RequestTable table;
     /** Sheds requests when the proxy itself is overloaded; null if that feature is disabled. */
     private final LoadGate loadGate;
 
-    SingleRequests(RequestReader reader, RequestTable table, LoadGate loadGate) {
+    SingleRequestHandler(RequestReader reader, RequestTable table, LoadGate loadGate) {
         this.reader = reader;
         this.table = table;
         this.loadGate = loadGate;
     }
 
     @Override
-    public String allow() {
+    public String allowedMethods() {
         return "GET, PUT";
     }
 
     @Override
     public Runnable handle(FullHttpRequest request, long readNanos, Reply reply) throws Rejection {
-        RequestTable.ClientRequest arrival = reader.arrival(request, readNanos);
+        RequestTable.ClientRequest arrival = reader.parse(request, readNanos);
         if (table.isOpen(arrival.upstream().requestId())) {
             throw new Rejection(HttpResponseStatus.CONFLICT);
         }
--- a/proxy/src/main/java/burlarch/proxy/WarmUp.java
+++ b/proxy/src/main/java/burlarch/proxy/WarmUp.java
@@ -92,8 +92,8 @@
         warmUp.open(channel -> {
             warmUp.client = channel;
             SelfConnection.of(channel).onOwnBytesRead(warmUp::onResponse);
-            SingleRequests requestHandler =
-                    new SingleRequests(warmUp.clientListener.reader(), warmUp.requestTable, null);
+            SingleRequestHandler requestHandler =
+                    new SingleRequestHandler(warmUp.clientListener.reader(), warmUp.requestTable, null);
             warmUp.clientListener.install(channel, openedChannel -> requestHandler);
         });
         return warmUp.result;
--- a/proxy/src/main/java/burlarch/proxy/hotlist/HotList.java
+++ b/proxy/src/main/java/burlarch/proxy/hotlist/HotList.java
@@ -63,7 +63,7 @@
         try {
             eventLoop.execute(() -> {
                 List<HotListReport.Row> rows = currentRows();
-                boolean accepted = Log.block(() -> {
+                boolean accepted = Log.enqueue(() -> {
                     writing.set(false);
                     return HotListReport.format(rows, settings.maxRows());
                 });
--- a/proxy/src/main/java/burlarch/proxy/multiget/MultiGet.java
+++ b/proxy/src/main/java/burlarch/proxy/multiget/MultiGet.java
@@ -47,7 +47,7 @@
     }
 
     @Override
-    public String allow() {
+    public String allowedMethods() {
         return "POST";
     }
 
@@ -68,7 +68,7 @@
             if (table.isOpen(keyRequest.id())) {
                 throw new Rejection(HttpResponseStatus.BAD_REQUEST);
             }
-            arrivals.add(reader.arrival(singleRequest(request, requestClass, keyRequest), readNanos));
+            arrivals.add(reader.parse(singleRequest(request, requestClass, keyRequest), readNanos));
         }
         Batch batch = new Batch(arrivals, byteBudget, reader::timeIsUp, complete -> answer(complete, reply));
         batch.send(table);
@@ -96,7 +96,7 @@
             headers.set(PARTIAL, "1");
         }
         if (batch.retryAfterNanos() > 0) {
-            headers.set(HttpHeaderNames.RETRY_AFTER, Headers.seconds(batch.retryAfterNanos()));
+            headers.set(HttpHeaderNames.RETRY_AFTER, Headers.formatSeconds(batch.retryAfterNanos()));
         }
         // If the client does not read, its connection is closed, which also completes this write.
         reply.answer(headers, batch.responseBody()).addListener(written -> batch.release());
--- a/proxy/src/main/java/burlarch/proxy/tls/ClientCertificateLogger.java
+++ b/proxy/src/main/java/burlarch/proxy/tls/ClientCertificateLogger.java
@@ -25,8 +25,8 @@
     }
 
     @Override
-    public String allow() {
-        return delegate.allow();
+    public String allowedMethods() {
+        return delegate.allowedMethods();
     }
 
     @Override
@@ -38,7 +38,7 @@
         }
         if (!subject.isEmpty()) {
             String clientSubject = subject;
-            Log.block(() -> logLine(id, clientSubject));
+            Log.enqueue(() -> logLine(id, clientSubject));
         }
         return abandon;
     }
--- a/proxy/src/main/java/burlarch/wire/Instance.java
+++ b/proxy/src/main/java/burlarch/wire/Instance.java
@@ -45,7 +45,7 @@
     }
 
     /** The number of a name, or {@link Api#UNKNOWN} if the settings do not contain it or it is null. */
-    public static int number(Map<String, Integer> index, String name) {
+    public static int indexOf(Map<String, Integer> index, String name) {
         Integer number = name == null ? null : index.get(name);
         return number == null ? Api.UNKNOWN : number;
     }
--- a/proxy/src/main/java/burlarch/wire/WireHost.java
+++ b/proxy/src/main/java/burlarch/wire/SimulatorAdapter.java
@@ -1,6 +1,6 @@
 package burlarch.wire;
 
-import static burlarch.wire.Instance.number;
+import static burlarch.wire.Instance.indexOf;
 
 import burlarch.decisions.Api.Ended;
 import burlarch.decisions.Api.ListKind;
@@ -25,7 +25,7 @@
  * Adapter between the simulator and the decision policy. Hosts any number of policy instances; for each line of
  * events (a batch, one JSON object) it writes one line with the actions that they cause. Single-threaded.
  */
-public final class WireHost {
+public final class SimulatorAdapter {
     /** Bit of {@code state_bits}: the request's {@code effort_ns} is known. */
     private static final int KNOWN_WORK_BIT = 1;
     /** Bit of {@code state_bits}: the request is a write. */
@@ -85,7 +85,7 @@
             System.exit(2);
         }
         try {
-            new WireHost().run(System.in, System.out);
+            new SimulatorAdapter().run(System.in, System.out);
         } catch (WireException e) {
             System.err.println("burlarch: " + e.getMessage());
             System.exit(1);
@@ -267,8 +267,8 @@
                     nowNanos,
                     new Request(
                             event.requestId,
-                            number(instance.classes, event.requestClassName),
-                            number(instance.tenants, event.tenant),
+                            indexOf(instance.classes, event.requestClassName),
+                            indexOf(instance.tenants, event.tenant),
                             event.key != null,
                             event.key == null ? 0 : digest(event.key),
                             event.deadlineNanos,
@@ -334,8 +334,8 @@
                         server.size,
                         server.cell,
                         server.stage,
-                        number(instance.models, server.model),
-                        number(instance.zones, server.zone)));
+                        indexOf(instance.models, server.model),
+                        indexOf(instance.zones, server.zone)));
             }
         }
         instance.policy.onList(nowNanos, kind, servers);
