--- a/operator-cli/src/main/java/burlarch/operator/ConfigCommand.java
+++ b/operator-cli/src/main/java/burlarch/operator/ConfigCommand.java
@@ -115,7 +115,8 @@
         for (String address : addresses) {
             if (!address.matches("[A-Za-z0-9.-]+:[0-9]{1,5}")) {
                 throw new CommandException(
-                        CommandException.INVALID_USAGE, address + " is not a valid control address, expected HOST:PORT");
+                        CommandException.INVALID_USAGE,
+                        address + " is not a valid control address, expected HOST:PORT");
             }
         }
         return new ControlClient(addresses);
@@ -144,7 +145,8 @@
     }
 
     /** Returns the version in force, 0 if there is no configuration yet. */
-    private static long versionInForce(ControlClient client) throws CommandException, InterruptedException, IOException {
+    private static long versionInForce(ControlClient client)
+            throws CommandException, InterruptedException, IOException {
         ControlClient.Response response = client.call("GET", CONFIGURATION_PATH, null, null);
         if (response.status() == NOT_FOUND) {
             return 0;
--- a/proxy/src/main/java/burlarch/proxy/ClientListener.java
+++ b/proxy/src/main/java/burlarch/proxy/ClientListener.java
@@ -37,7 +37,8 @@
     private final RequestReader reader;
     private final BooleanSupplier ready;
     private final int maxConnections;
-    private final BodyBudget requestBudget = new BodyBudget(RequestCollector.MAX_HELD_BYTES, BodyBudget.MAX_EXCESS_BYTES);
+    private final BodyBudget requestBudget =
+            new BodyBudget(RequestCollector.MAX_HELD_BYTES, BodyBudget.MAX_EXCESS_BYTES);
     private final BodyBudget responseBudget;
     /** Open connections, in the order in which they were opened. */
     private final Set<ClientConnection> connections = new LinkedHashSet<>();
