--- a/audit/src/main/java/burlarch/audit/Attempt.java
+++ b/audit/src/main/java/burlarch/audit/Attempt.java
@@ -1,52 +1,60 @@
 package burlarch.audit;
 
 /**
- * One attempt as the node saw it, on the clock of {@link Asked}.
+ * The record of one attempt of a request as the node saw it. Times are on the clock of {@link Asked}.
  *
- * @param proxy           the vantage it came by; empty where the node can't tell
- * @param firstByteNanos  when its first byte came
- * @param wholeNanos      when its last byte came; 0 where it never did: then it does not count
- * @param endedNanos      when it was over at the node: its answer written, or its connection ended; 0 while
- *                        it is out
- * @param workNanos       the work that it put on the node, in time on a standard core
- * @param bodyDigest      of the answer's body, see {@link Digest}
+ * @param id             the request's id
+ * @param node           id of the node that received the attempt
+ * @param proxy          name of the proxy that sent it; empty if the node cannot tell
+ * @param firstByteNanos when the first byte was received
+ * @param lastByteNanos  when the last byte was received; 0 if it never was: then the attempt does not count
+ * @param endedNanos     when the response was written or the connection ended; 0 while the attempt is in flight
+ * @param fate           how the attempt ended
+ * @param workNanos      work that the attempt put on the node, in nanoseconds on a standard core
+ * @param bodyDigest     {@link Digest} of the response's body
  */
 public record Attempt(
         String id,
         String node,
         String proxy,
         long firstByteNanos,
-        long wholeNanos,
+        long lastByteNanos,
         long endedNanos,
         Fate fate,
         long workNanos,
         long bodyDigest)
         implements AuditRecord {
-    /** What became of it. */
+    /** How an attempt ended at its node. */
     public enum Fate {
+        /** Response with the value. */
         SERVED(true),
+        /** The cache did not hold the key. */
         MISS(false),
+        /** Error response. */
         ERROR(true),
+        /** Rejected before execution. */
         TURNED_AWAY(false),
+        /** The node reset the connection. */
         RESET(true),
-        /** Its proxy closed the connection. */
+        /** The proxy closed the connection before a response. */
         GIVEN_UP(true),
-        /** Never answered: the node was hung, vanished or killed. */
+        /** Never answered: the node was hung, unreachable or killed. */
         SILENT(true);
 
-        private final boolean mayHaveRun;
+        private final boolean mayHaveExecuted;
 
-        Fate(boolean mayHaveRun) {
-            this.mayHaveRun = mayHaveRun;
+        Fate(boolean mayHaveExecuted) {
+            this.mayHaveExecuted = mayHaveExecuted;
         }
 
-        /** As far as its proxy can tell. */
-        public boolean mayHaveRun() {
-            return mayHaveRun;
+        /** Whether the request may have been executed, as far as the proxy can tell. */
+        public boolean mayHaveExecuted() {
+            return mayHaveExecuted;
         }
     }
 
-    boolean whole() {
-        return wholeNanos != 0;
+    /** Whether the node received the complete request. */
+    boolean isComplete() {
+        return lastByteNanos != 0;
     }
 }
--- a/audit/src/main/java/burlarch/audit/AuditRecord.java
+++ b/audit/src/main/java/burlarch/audit/AuditRecord.java
@@ -1,4 +1,4 @@
 package burlarch.audit;
 
-/** Something that one party of a run saw. All parties of one machine share the clock of {@link Asked}. */
-public sealed interface AuditRecord permits Asked, Attempt, Told, Started, Ran {}
+/** An event recorded by one party of a run. All parties on one machine use the clock of {@link Asked}. */
+public sealed interface AuditRecord permits Asked, Attempt, MembershipUpdate, NodeStart, Ran {}
--- a/audit/src/main/java/burlarch/audit/Records.java
+++ b/audit/src/main/java/burlarch/audit/Records.java
@@ -3,29 +3,34 @@
 import java.util.List;
 
 /**
- * All that was written down in one run.
+ * All records of one run, by kind.
  *
- * @param leftOut records that a party could not keep: an audit with gaps finds nothing wrong too easily
+ * @param asked             requests as their clients saw them
+ * @param attempts          attempts as the nodes saw them
+ * @param membershipUpdates membership updates that proxies received
+ * @param nodeStarts        cold starts of nodes
+ * @param proxyRuns         runs of proxy processes
+ * @param droppedRecords    number of records that were dropped: with gaps the audit can miss violations
  */
 public record Records(
         List<Asked> asked,
         List<Attempt> attempts,
-        List<Told> told,
-        List<Started> started,
-        List<Ran> ran,
-        long leftOut) {
-    /** Sorts records by their kind, each kind in the order given. */
-    static Records of(List<AuditRecord> records, long leftOut) {
+        List<MembershipUpdate> membershipUpdates,
+        List<NodeStart> nodeStarts,
+        List<Ran> proxyRuns,
+        long droppedRecords) {
+    /** Groups records by kind; the order within a kind is kept. */
+    static Records of(List<AuditRecord> records, long droppedRecords) {
         return new Records(
-                only(Asked.class, records),
-                only(Attempt.class, records),
-                only(Told.class, records),
-                only(Started.class, records),
-                only(Ran.class, records),
-                leftOut);
+                ofKind(Asked.class, records),
+                ofKind(Attempt.class, records),
+                ofKind(MembershipUpdate.class, records),
+                ofKind(NodeStart.class, records),
+                ofKind(Ran.class, records),
+                droppedRecords);
     }
 
-    private static <T extends AuditRecord> List<T> only(Class<T> kind, List<AuditRecord> records) {
+    private static <T extends AuditRecord> List<T> ofKind(Class<T> kind, List<AuditRecord> records) {
         return records.stream().filter(kind::isInstance).map(kind::cast).toList();
     }
 }
--- a/standins/src/main/java/burlarch/standins/fleet/Discovery.java
+++ b/standins/src/main/java/burlarch/standins/fleet/Discovery.java
@@ -1,7 +1,7 @@
 package burlarch.standins.fleet;
 
+import burlarch.audit.MembershipUpdate;
 import burlarch.audit.Sink;
-import burlarch.audit.Told;
 import burlarch.standins.model.Catalog;
 import burlarch.standins.model.Catalog.Lifecycle;
 import burlarch.standins.model.Catalog.Member;
@@ -250,19 +250,20 @@
         Set<String> listed = new HashSet<>();
         for (Member member : update.members()) {
             listed.add(member.id());
-            Told.Stage stage =
+            MembershipUpdate.Stage stage =
                     switch (member.lifecycle()) {
-                        case SERVING -> Told.Stage.SERVING;
-                        case DRAINING -> Told.Stage.DRAINING;
-                        case DELETED -> Told.Stage.GONE;
+                        case SERVING -> MembershipUpdate.Stage.SERVING;
+                        case DRAINING -> MembershipUpdate.Stage.DRAINING;
+                        case DELETED -> MembershipUpdate.Stage.GONE;
                     };
-            sink.write(new Told(
+            sink.write(new MembershipUpdate(
                     vantage.name(), member.id(), stage, nowNanos, TimeUnit.MILLISECONDS.toNanos(member.startedAtMs())));
         }
         if (update.reset()) {
             known.stream()
                     .filter(id -> !listed.contains(id))
-                    .forEach(id -> sink.write(new Told(vantage.name(), id, Told.Stage.GONE, nowNanos, 0)));
+                    .forEach(id -> sink.write(
+                            new MembershipUpdate(vantage.name(), id, MembershipUpdate.Stage.GONE, nowNanos, 0)));
             known.clear();
         }
         known.addAll(listed);
--- a/standins/src/main/java/burlarch/standins/fleet/NodeServer.java
+++ b/standins/src/main/java/burlarch/standins/fleet/NodeServer.java
@@ -1,7 +1,7 @@
 package burlarch.standins.fleet;
 
 import burlarch.audit.Attempt.Fate;
-import burlarch.audit.Started;
+import burlarch.audit.NodeStart;
 import burlarch.standins.fleet.NodeCondition.Mode;
 import burlarch.standins.net.Transport;
 import io.netty.channel.Channel;
@@ -166,7 +166,7 @@
         listeners.open(newAddresses);
         startedAtMs = System.currentTimeMillis();
         context.sink()
-                .write(new Started(
+                .write(new NodeStart(
                         plan.id(),
                         System.nanoTime(),
                         plan.kind().capacity(),
