--- a/trace/src/main/java/burlarch/trace/TraceReader.java
+++ b/trace/src/main/java/burlarch/trace/TraceReader.java
@@ -13,201 +13,222 @@
 import java.util.zip.Inflater;
 
 /**
- * Reads a trace, one record after another, a block in memory at a time. A file that is cut or altered ends in
- * a {@link TraceException} with the offset, never in a trace that is silently short.
+ * Reads the records of a trace file in order and keeps one block in memory at a time. A truncated or altered file
+ * always causes a {@link TraceException} with the offset; it is never read as a shorter trace. Not thread-safe.
  */
 public final class TraceReader implements AutoCloseable {
     private final String name;
-    private final DataInputStream in;
+    private final DataInputStream input;
     private final long startedAtMs;
     private long offset;
     private byte[] block = new byte[0];
-    private int at;
+    private int position;
     private long blockOffset;
-    private String[] texts = {};
-    private int leftInBlock;
+    private String[] strings = {};
+    private int recordsLeftInBlock;
     private long lastNanos;
-    private long read;
+    private long readRecords;
     private boolean ended;
 
-    /** @throws TraceException where it is no trace of this version */
+    /**
+     * Opens a trace file and checks its header.
+     *
+     * @throws TraceException if the file is not a trace of the supported version
+     */
     public TraceReader(Path file) throws IOException {
         this(file.toString(), Files.newInputStream(file));
     }
 
     TraceReader(String name, InputStream file) throws IOException {
         this.name = name;
-        this.in = new DataInputStream(new BufferedInputStream(file, 1 << 16));
+        this.input = new DataInputStream(new BufferedInputStream(file, 1 << 16));
         try {
-            byte[] head = bytes(Format.MAGIC.length + 2 + 8, "the head");
-            if (!Arrays.equals(Arrays.copyOf(head, Format.MAGIC.length), Format.MAGIC)) {
-                throw new TraceException(name, 0, "this is no trace");
+            byte[] header = readBytes(Format.MAGIC.length + 2 + 8, "the file header");
+            if (!Arrays.equals(Arrays.copyOf(header, Format.MAGIC.length), Format.MAGIC)) {
+                throw new TraceException(name, 0, "not a trace file");
             }
-            int version = (head[8] & 0xff) << 8 | head[9] & 0xff;
+            int version = (header[8] & 0xff) << 8 | header[9] & 0xff;
             if (version != Format.VERSION) {
                 throw new TraceException(
-                        name, 8, "a trace of version " + version + ", and this reads " + Format.VERSION);
+                        name, 8, "unsupported trace version " + version + ", expected " + Format.VERSION);
             }
-            startedAtMs = java.nio.ByteBuffer.wrap(head, 10, 8).getLong();
-            check(Format.crc(head, 0, head.length), integer(bytes(4, "the head"), 0), 0, "the head");
+            startedAtMs = java.nio.ByteBuffer.wrap(header, 10, 8).getLong();
+            verifyChecksum(
+                    Format.crc(header, 0, header.length),
+                    readInt(readBytes(4, "the file header"), 0),
+                    0,
+                    "the file header");
         } catch (IOException | RuntimeException e) {
-            in.close();
+            input.close();
             throw e;
         }
     }
 
-    /** Unix time at which it begins; 0 where it has none. */
+    /** Unix time in milliseconds at which the trace begins; 0 if it has none. */
     public long startedAtMs() {
         return startedAtMs;
     }
 
-    /** @return the next record; null at the end that the writer wrote */
+    /**
+     * Returns the next record, or null after the end mark.
+     *
+     * @throws TraceException if the file is truncated or damaged
+     */
     public TraceRecord next() throws IOException {
-        while (leftInBlock == 0) {
+        while (recordsLeftInBlock == 0) {
             if (ended || !nextBlock()) {
                 return null;
             }
         }
         try {
-            leftInBlock--;
-            long dueNanos = lastNanos + number();
-            String requestClass = text();
-            String tenant = text();
-            String key = text();
-            int flags = block[at++];
-            int timeoutMs = (int) number();
+            recordsLeftInBlock--;
+            long dueNanos = lastNanos + readVarint();
+            String requestClass = readString();
+            String tenant = readString();
+            String key = readString();
+            int flags = block[position++];
+            int timeoutMs = (int) readVarint();
             TraceRecord record = new TraceRecord(
-                    dueNanos, requestClass, tenant, key, (flags & Format.FLAG_WRITE) != 0, timeoutMs, number(), (int)
-                            number());
+                    dueNanos,
+                    requestClass,
+                    tenant,
+                    key,
+                    (flags & Format.WRITE_FLAG) != 0,
+                    timeoutMs,
+                    readVarint(),
+                    (int) readVarint());
             if (dueNanos < lastNanos) {
-                throw new TraceException(name, blockOffset, "a record that is due before the one before it");
+                throw new TraceException(name, blockOffset, "a record is due before its predecessor");
             }
             lastNanos = dueNanos;
-            read++;
-            if (leftInBlock == 0 && at != block.length) {
-                throw new TraceException(name, blockOffset, "a block with more than its records");
+            readRecords++;
+            if (recordsLeftInBlock == 0 && position != block.length) {
+                throw new TraceException(name, blockOffset, "a block has bytes after its last record");
             }
             return record;
         } catch (IndexOutOfBoundsException e) {
-            throw new TraceException(name, blockOffset, "a block whose records do not fit it");
+            throw new TraceException(name, blockOffset, "a record exceeds its block");
         }
     }
 
+    /** Reads the next block; returns false at the end mark. */
     private boolean nextBlock() throws IOException {
         long start = offset;
-        int kind = bytes(1, "the next block or the end mark")[0];
-        if (kind == Format.END) {
+        int mark = readBytes(1, "the next block or the end mark")[0];
+        if (mark == Format.END_MARK) {
             byte[] end = new byte[9];
-            end[0] = Format.END;
-            System.arraycopy(bytes(8, "the end mark"), 0, end, 1, 8);
-            check(Format.crc(end, 0, 9), integer(bytes(4, "the end mark"), 0), start, "the end mark");
+            end[0] = Format.END_MARK;
+            System.arraycopy(readBytes(8, "the end mark"), 0, end, 1, 8);
+            verifyChecksum(Format.crc(end, 0, 9), readInt(readBytes(4, "the end mark"), 0), start, "the end mark");
             long count = java.nio.ByteBuffer.wrap(end, 1, 8).getLong();
-            if (count != read) {
-                throw new TraceException(name, start, count + " records were written, " + read + " are here");
+            if (count != readRecords) {
+                throw new TraceException(name, start, count + " records were written, " + readRecords + " were read");
             }
-            if (in.read() >= 0) {
-                throw new TraceException(name, offset, "more behind the end mark");
+            if (input.read() >= 0) {
+                throw new TraceException(name, offset, "bytes behind the end mark");
             }
             ended = true;
             return false;
         }
-        if (kind != Format.BLOCK) {
-            throw new TraceException(name, start, "no block begins here");
+        if (mark != Format.BLOCK_MARK) {
+            throw new TraceException(name, start, "expected a block or the end mark");
         }
-        byte[] head = bytes(16, "a block's head");
-        int plainLength = integer(head, 4);
-        int packedLength = integer(head, 8);
-        leftInBlock = integer(head, 0);
-        if (leftInBlock <= 0
-                || leftInBlock > Format.BLOCK_RECORDS
+        byte[] header = readBytes(16, "a block header");
+        int plainLength = readInt(header, 4);
+        int compressedLength = readInt(header, 8);
+        recordsLeftInBlock = readInt(header, 0);
+        if (recordsLeftInBlock <= 0
+                || recordsLeftInBlock > Format.MAX_BLOCK_RECORDS
                 || plainLength <= 0
-                || plainLength > Format.BLOCK_BYTES_MOST
-                || packedLength <= 0
-                || packedLength > Format.BLOCK_BYTES_MOST) {
-            throw new TraceException(name, start, "a block whose head is damaged");
+                || plainLength > Format.MAX_BLOCK_BYTES
+                || compressedLength <= 0
+                || compressedLength > Format.MAX_BLOCK_BYTES) {
+            throw new TraceException(name, start, "a block header is damaged");
         }
-        byte[] packed = bytes(packedLength, "a block");
-        check(Format.crc(packed, 0, packed.length), integer(head, 12), start, "a block");
-        block = unpack(packed, plainLength, start);
+        byte[] compressed = readBytes(compressedLength, "a block");
+        verifyChecksum(Format.crc(compressed, 0, compressed.length), readInt(header, 12), start, "a block");
+        block = decompress(compressed, plainLength, start);
         blockOffset = start;
-        at = 0;
+        position = 0;
         try {
-            lastNanos = number();
-            texts = new String[(int) Math.min(number(), plainLength)];
-            for (int i = 0; i < texts.length; i++) {
-                int length = (int) number();
-                texts[i] = new String(block, at, length, StandardCharsets.UTF_8);
-                at += length;
+            lastNanos = readVarint();
+            strings = new String[(int) Math.min(readVarint(), plainLength)];
+            for (int i = 0; i < strings.length; i++) {
+                int length = (int) readVarint();
+                strings[i] = new String(block, position, length, StandardCharsets.UTF_8);
+                position += length;
             }
         } catch (IndexOutOfBoundsException e) {
-            throw new TraceException(name, start, "a block whose texts do not fit it");
+            throw new TraceException(name, start, "a string table exceeds its block");
         }
         return true;
     }
 
-    private byte[] unpack(byte[] packed, int length, long start) throws TraceException {
+    private byte[] decompress(byte[] compressed, int length, long start) throws TraceException {
         Inflater inflater = new Inflater(true);
         try {
-            inflater.setInput(packed);
+            inflater.setInput(compressed);
             byte[] plain = new byte[length];
-            int got = 0;
-            while (got < length) {
-                int more = inflater.inflate(plain, got, length - got);
-                if (more == 0) {
+            int filled = 0;
+            while (filled < length) {
+                int inflated = inflater.inflate(plain, filled, length - filled);
+                if (inflated == 0) {
                     break;
                 }
-                got += more;
+                filled += inflated;
             }
-            if (got != length) {
-                throw new TraceException(name, start, "a block that is shorter than it says");
+            if (filled != length) {
+                throw new TraceException(name, start, "a block is shorter than its header says");
             }
             return plain;
         } catch (DataFormatException e) {
-            throw new TraceException(name, start, "a block that can't be unpacked");
+            throw new TraceException(name, start, "a block cannot be decompressed");
         } finally {
             inflater.end();
         }
     }
 
-    private byte[] bytes(int count, String what) throws IOException {
+    /** Reads exactly {@code count} bytes; {@code part} names them in the error message. */
+    private byte[] readBytes(int count, String part) throws IOException {
         byte[] bytes = new byte[count];
         try {
-            in.readFully(bytes);
+            input.readFully(bytes);
         } catch (EOFException e) {
-            throw new TraceException(name, offset, "the file is cut in " + what);
+            throw new TraceException(name, offset, "the file is truncated in " + part);
         }
         offset += count;
         return bytes;
     }
 
-    private void check(int expected, int found, long start, String what) throws TraceException {
-        if (expected != found) {
-            throw new TraceException(name, start, what + " is damaged: its checksum is wrong");
+    private void verifyChecksum(int expected, int actual, long start, String part) throws TraceException {
+        if (expected != actual) {
+            throw new TraceException(name, start, part + " is damaged: checksum mismatch");
         }
     }
 
-    private static int integer(byte[] bytes, int from) {
+    private static int readInt(byte[] bytes, int from) {
         return java.nio.ByteBuffer.wrap(bytes, from, 4).getInt();
     }
 
-    private long number() {
+    /** Reads an unsigned LEB128 integer from the block. */
+    private long readVarint() {
         long value = 0;
         for (int shift = 0; shift < 64; shift += 7) {
-            byte b = block[at++];
-            value |= (long) (b & 0x7f) << shift;
-            if (b >= 0) {
+            byte next = block[position++];
+            value |= (long) (next & 0x7f) << shift;
+            if (next >= 0) {
                 return value;
             }
         }
-        throw new IndexOutOfBoundsException("a number without end");
+        throw new IndexOutOfBoundsException("variable-length integer exceeds 64 bits");
     }
 
-    private String text() {
-        return texts[(int) number()];
+    private String readString() {
+        return strings[(int) readVarint()];
     }
 
     @Override
     public void close() throws IOException {
-        in.close();
+        input.close();
     }
 }
--- a/trace/src/main/java/burlarch/trace/TraceRecord.java
+++ b/trace/src/main/java/burlarch/trace/TraceRecord.java
@@ -3,11 +3,14 @@
 /**
  * One request of a trace.
  *
- * @param dueNanos   when it came, from the trace's start; never less than the record's before it
- * @param key        what it was about; empty for nothing
- * @param timeoutMs  what its client waits
- * @param costMicros the client's guess at the work; 0 for none
- * @param bodyBytes  of its body
+ * @param dueNanos     arrival time since the start of the trace; never less than the previous record's
+ * @param requestClass name of the request's class
+ * @param tenant       name of the tenant
+ * @param key          the requested key; empty if none
+ * @param write        whether the request is a write
+ * @param timeoutMs    the client's timeout
+ * @param costMicros   the client's estimate of the work; 0 if none
+ * @param bodyBytes    size of the request body
  */
 public record TraceRecord(
         long dueNanos,
@@ -18,6 +21,7 @@
         int timeoutMs,
         long costMicros,
         int bodyBytes) {
+    /** Returns a copy with another arrival time. */
     public TraceRecord at(long nanos) {
         return new TraceRecord(nanos, requestClass, tenant, key, write, timeoutMs, costMicros, bodyBytes);
     }
--- a/trace/src/main/java/burlarch/trace/TraceWriter.java
+++ b/trace/src/main/java/burlarch/trace/TraceWriter.java
@@ -10,136 +10,146 @@
 import java.util.zip.Deflater;
 
 /**
- * Writes a trace, block by block: what a cut file has lost is at most the block that was open. One thread's.
+ * Writes a trace file block by block, so that an interrupted write loses at most the open block. Not thread-safe.
  */
 public final class TraceWriter implements AutoCloseable {
-    private final DataOutputStream out;
-    private final Map<String, Integer> texts = new LinkedHashMap<>();
-    private final ByteArrayOutputStream raw = new ByteArrayOutputStream(1 << 16);
+    private final DataOutputStream output;
+    private final Map<String, Integer> strings = new LinkedHashMap<>();
+    private final ByteArrayOutputStream blockRecords = new ByteArrayOutputStream(1 << 16);
     private final Deflater deflater = new Deflater(Deflater.BEST_SPEED, true);
-    private int inBlock;
+    private int recordsInBlock;
     private long written;
     private long lastNanos;
     private long blockStartNanos;
     private boolean closed;
 
-    /** @param startedAtMs Unix time at which the trace begins; 0 where it has none */
+    /**
+     * Writes the file header.
+     *
+     * @param startedAtMs Unix time in milliseconds at which the trace begins; 0 if it has none
+     */
     public TraceWriter(OutputStream file, long startedAtMs) throws IOException {
-        out = new DataOutputStream(file);
-        ByteArrayOutputStream head = new ByteArrayOutputStream();
-        DataOutputStream fields = new DataOutputStream(head);
+        output = new DataOutputStream(file);
+        ByteArrayOutputStream header = new ByteArrayOutputStream();
+        DataOutputStream fields = new DataOutputStream(header);
         fields.write(Format.MAGIC);
         fields.writeShort(Format.VERSION);
         fields.writeLong(startedAtMs);
-        byte[] bytes = head.toByteArray();
-        out.write(bytes);
-        out.writeInt(Format.crc(bytes, 0, bytes.length));
+        byte[] bytes = header.toByteArray();
+        output.write(bytes);
+        output.writeInt(Format.crc(bytes, 0, bytes.length));
     }
 
-    /** @throws IllegalArgumentException where it is due before the one before it, or a text is too long */
+    /**
+     * Appends a record.
+     *
+     * @throws IllegalArgumentException if the record is due before its predecessor, or one of its strings is too long
+     */
     public void write(TraceRecord record) throws IOException {
         if (record.dueNanos() < lastNanos) {
             throw new IllegalArgumentException(
-                    "a record due at " + record.dueNanos() + " behind one due at " + lastNanos);
+                    "a record due at " + record.dueNanos() + " ns after one due at " + lastNanos);
         }
-        if (inBlock == 0) {
+        if (recordsInBlock == 0) {
             blockStartNanos = lastNanos;
         }
-        int requestClass = text(record.requestClass());
-        int tenant = text(record.tenant());
-        int key = text(record.key());
-        number(raw, record.dueNanos() - lastNanos);
-        number(raw, requestClass);
-        number(raw, tenant);
-        number(raw, key);
-        raw.write(record.write() ? Format.FLAG_WRITE : 0);
-        number(raw, record.timeoutMs());
-        number(raw, record.costMicros());
-        number(raw, record.bodyBytes());
+        int requestClass = stringIndex(record.requestClass());
+        int tenant = stringIndex(record.tenant());
+        int key = stringIndex(record.key());
+        writeVarint(blockRecords, record.dueNanos() - lastNanos);
+        writeVarint(blockRecords, requestClass);
+        writeVarint(blockRecords, tenant);
+        writeVarint(blockRecords, key);
+        blockRecords.write(record.write() ? Format.WRITE_FLAG : 0);
+        writeVarint(blockRecords, record.timeoutMs());
+        writeVarint(blockRecords, record.costMicros());
+        writeVarint(blockRecords, record.bodyBytes());
         lastNanos = record.dueNanos();
         written++;
-        if (++inBlock == Format.BLOCK_RECORDS) {
+        if (++recordsInBlock == Format.MAX_BLOCK_RECORDS) {
             flush();
         }
     }
 
-    private int text(String text) {
-        if (text.length() > Format.TEXT_MOST) {
-            throw new IllegalArgumentException("a text of " + text.length() + " characters");
+    /** Returns the index of a string in the block's string table, and adds it if absent. */
+    private int stringIndex(String text) {
+        if (text.length() > Format.MAX_STRING_LENGTH) {
+            throw new IllegalArgumentException("a string is too long: " + text.length() + " characters");
         }
-        Integer known = texts.putIfAbsent(text, texts.size());
-        return known == null ? texts.size() - 1 : known;
+        Integer existingIndex = strings.putIfAbsent(text, strings.size());
+        return existingIndex == null ? strings.size() - 1 : existingIndex;
     }
 
-    /** Ends the open block: what was written until now is safe from a cut behind it. */
+    /** Ends and writes the open block, so that its records survive a later truncation of the file. */
     public void flush() throws IOException {
-        if (inBlock == 0) {
+        if (recordsInBlock == 0) {
             return;
         }
-        ByteArrayOutputStream block = new ByteArrayOutputStream(raw.size() + 1024);
-        number(block, blockStartNanos);
-        number(block, texts.size());
-        for (String text : texts.keySet()) {
+        ByteArrayOutputStream block = new ByteArrayOutputStream(blockRecords.size() + 1024);
+        writeVarint(block, blockStartNanos);
+        writeVarint(block, strings.size());
+        for (String text : strings.keySet()) {
             byte[] bytes = text.getBytes(StandardCharsets.UTF_8);
-            number(block, bytes.length);
+            writeVarint(block, bytes.length);
             block.writeBytes(bytes);
         }
-        raw.writeTo(block);
+        blockRecords.writeTo(block);
         byte[] plain = block.toByteArray();
-        byte[] packed = pack(plain);
-        out.writeByte(Format.BLOCK);
-        out.writeInt(inBlock);
-        out.writeInt(plain.length);
-        out.writeInt(packed.length);
-        out.writeInt(Format.crc(packed, 0, packed.length));
-        out.write(packed);
-        out.flush();
-        inBlock = 0;
-        texts.clear();
-        raw.reset();
+        byte[] compressed = compress(plain);
+        output.writeByte(Format.BLOCK_MARK);
+        output.writeInt(recordsInBlock);
+        output.writeInt(plain.length);
+        output.writeInt(compressed.length);
+        output.writeInt(Format.crc(compressed, 0, compressed.length));
+        output.write(compressed);
+        output.flush();
+        recordsInBlock = 0;
+        strings.clear();
+        blockRecords.reset();
     }
 
-    private byte[] pack(byte[] plain) {
+    private byte[] compress(byte[] plain) {
         deflater.reset();
         deflater.setInput(plain);
         deflater.finish();
-        ByteArrayOutputStream packed = new ByteArrayOutputStream(plain.length / 2 + 64);
+        ByteArrayOutputStream compressed = new ByteArrayOutputStream(plain.length / 2 + 64);
         byte[] buffer = new byte[8192];
         while (!deflater.finished()) {
-            packed.write(buffer, 0, deflater.deflate(buffer));
+            compressed.write(buffer, 0, deflater.deflate(buffer));
         }
-        return packed.toByteArray();
+        return compressed.toByteArray();
     }
 
-    /** Seven bits a byte, the low ones first, the top bit where more follow. */
-    private static void number(ByteArrayOutputStream to, long value) {
-        long left = value;
-        while ((left & ~0x7fL) != 0) {
-            to.write((int) (left & 0x7f | 0x80));
-            left >>>= 7;
+    /** Writes an unsigned LEB128 integer: seven bits a byte, low bits first; the top bit marks a following byte. */
+    private static void writeVarint(ByteArrayOutputStream output, long value) {
+        long remaining = value;
+        while ((remaining & ~0x7fL) != 0) {
+            output.write((int) (remaining & 0x7f | 0x80));
+            remaining >>>= 7;
         }
-        to.write((int) left);
+        output.write((int) remaining);
     }
 
+    /** Number of records written so far. */
     public long written() {
         return written;
     }
 
-    /** Writes the end mark, without which a reader takes the file for cut. */
+    /** Writes the end mark; without it, readers treat the file as truncated. */
     @Override
     public void close() throws IOException {
         if (closed) {
             return;
         }
         closed = true;
-        try (out) {
+        try (output) {
             flush();
             ByteArrayOutputStream end = new ByteArrayOutputStream(9);
             DataOutputStream fields = new DataOutputStream(end);
-            fields.writeByte(Format.END);
+            fields.writeByte(Format.END_MARK);
             fields.writeLong(written);
-            out.write(end.toByteArray());
-            out.writeInt(Format.crc(end.toByteArray(), 0, 9));
+            output.write(end.toByteArray());
+            output.writeInt(Format.crc(end.toByteArray(), 0, 9));
         } finally {
             deflater.end();
         }
--- a/trace/src/main/java/burlarch/trace/Traces.java
+++ b/trace/src/main/java/burlarch/trace/Traces.java
@@ -11,16 +11,24 @@
 import java.util.PriorityQueue;
 import java.util.TreeMap;
 
-/**
- * What can be done with traces. Everything streams: a trace of any length passes through a block at a time.
- */
+/** Operations on trace files. All of them stream block by block, so traces may be of any length. */
 public final class Traces {
-    /** Distinct keys that a summary counts; from there on it says "at least". */
-    private static final int KEYS_MOST = 1_000_000;
+    /** Maximum number of distinct keys that a summary counts; at this value the count is a lower bound. */
+    private static final int MAX_COUNTED_KEYS = 1_000_000;
 
     private Traces() {}
 
-    /** What a trace holds. */
+    /**
+     * Totals of a trace.
+     *
+     * @param records       number of records
+     * @param spanNanos     time from the first to the last record
+     * @param byClass       number of records by request class
+     * @param byTenant      number of records by tenant
+     * @param keys          number of distinct keys, at most 1,000,000
+     * @param writes        number of writes
+     * @param busiestSecond most records within one second of the trace's clock
+     */
     public record Summary(
             long records,
             long spanNanos,
@@ -30,38 +38,43 @@
             long writes,
             long busiestSecond) {}
 
-    /** Counts the records of a trace by class and tenant. Reads the file once, record by record. */
+    /** Computes the totals of a trace in one pass over the file. */
     public static Summary summary(Path file) throws IOException {
         Map<String, Long> byClass = new TreeMap<>();
         Map<String, Long> byTenant = new TreeMap<>();
         Map<String, Boolean> keys = new HashMap<>();
         long records = 0;
         long writes = 0;
-        long first = 0;
-        long last = 0;
-        long second = -1;
-        long inSecond = 0;
-        long busiest = 0;
+        long firstNanos = 0;
+        long lastNanos = 0;
+        long currentSecond = -1;
+        long recordsInSecond = 0;
+        long busiestSecond = 0;
         try (TraceReader reader = new TraceReader(file)) {
             for (TraceRecord r = reader.next(); r != null; r = reader.next()) {
                 byClass.merge(r.requestClass(), 1L, Long::sum);
                 byTenant.merge(r.tenant(), 1L, Long::sum);
-                if (keys.size() < KEYS_MOST) {
+                if (keys.size() < MAX_COUNTED_KEYS) {
                     keys.put(r.key(), true);
                 }
-                first = records == 0 ? r.dueNanos() : first;
-                last = r.dueNanos();
+                firstNanos = records == 0 ? r.dueNanos() : firstNanos;
+                lastNanos = r.dueNanos();
                 records++;
                 writes += r.write() ? 1 : 0;
-                inSecond = r.dueNanos() / 1_000_000_000L == second ? inSecond + 1 : 1;
-                second = r.dueNanos() / 1_000_000_000L;
-                busiest = Math.max(busiest, inSecond);
+                recordsInSecond = r.dueNanos() / 1_000_000_000L == currentSecond ? recordsInSecond + 1 : 1;
+                currentSecond = r.dueNanos() / 1_000_000_000L;
+                busiestSecond = Math.max(busiestSecond, recordsInSecond);
             }
         }
-        return new Summary(records, last - first, byClass, byTenant, keys.size(), writes, busiest);
+        return new Summary(records, lastNanos - firstNanos, byClass, byTenant, keys.size(), writes, busiestSecond);
     }
 
-    /** Keeps what is due from one time to before another, which then begins at 0. @return how many */
+    /**
+     * Copies the records due from {@code fromNanos} (inclusive) to {@code untilNanos} (exclusive), and shifts their
+     * times so that {@code fromNanos} becomes 0.
+     *
+     * @return the number of records written
+     */
     public static long cut(Path from, Path to, long fromNanos, long untilNanos) throws IOException {
         try (TraceReader reader = new TraceReader(from);
                 TraceWriter writer = writer(to, reader)) {
@@ -75,18 +88,19 @@
     }
 
     /**
-     * Stretches the time, and takes each record so many times on the average: evenly, so that 1.5 takes every
-     * other one twice. Copies come at the same time; their order is the trace's.
+     * Multiplies all times by {@code time} and repeats or drops records so that each is written {@code rate} times
+     * on average. Repeats are spread evenly: with 1.5 every other record is written twice. Copies of a record are due
+     * at the same time; the order of records is kept.
      *
-     * @return how many
+     * @return the number of records written
      */
     public static long scale(Path from, Path to, double time, double rate) throws IOException {
-        double due = 0;
+        double owedCopies = 0;
         try (TraceReader reader = new TraceReader(from);
                 TraceWriter writer = writer(to, reader)) {
             for (TraceRecord r = reader.next(); r != null; r = reader.next()) {
-                due += rate;
-                for (; due >= 1; due--) {
+                owedCopies += rate;
+                for (; owedCopies >= 1; owedCopies--) {
                     writer.write(r.at((long) (r.dueNanos() * time)));
                 }
             }
@@ -94,11 +108,15 @@
         }
     }
 
-    private static TraceWriter writer(Path to, TraceReader like) throws IOException {
-        return new TraceWriter(Files.newOutputStream(to), like.startedAtMs());
+    private static TraceWriter writer(Path to, TraceReader template) throws IOException {
+        return new TraceWriter(Files.newOutputStream(to), template.startedAtMs());
     }
 
-    /** Puts traces on top of each other, each from its own start. @return how many records */
+    /**
+     * Merges traces by time since the start of each; records due at the same time keep the order of {@code from}.
+     *
+     * @return the number of records written
+     */
     public static long merge(List<Path> from, Path to) throws IOException {
         record Head(TraceRecord record, int source) {}
 
