--- a/standins/src/main/java/burlarch/standins/fleet/CatalogJson.java
+++ b/standins/src/main/java/burlarch/standins/fleet/CatalogJson.java
@@ -8,13 +8,17 @@
 import java.io.UncheckedIOException;
 import java.util.function.Function;
 
-/** Discovery's answers, in the protocol's form. */
+/** Encodes discovery's member list as JSON, in the form of the protocol. */
 final class CatalogJson {
     private static final JsonFactory FACTORY = new JsonFactory();
 
     private CatalogJson() {}
 
-    /** @param address of a member, as the asker reaches it */
+    /**
+     * Returns the JSON object of an update.
+     *
+     * @param address gives a member's host and port, by member id, as the receiving proxy reaches it
+     */
     static String of(Catalog.Update update, Function<String, String> address) {
         StringWriter text = new StringWriter(256);
         try (JsonGenerator json = FACTORY.createGenerator(text)) {
--- a/standins/src/main/java/burlarch/standins/fleet/FleetContext.java
+++ b/standins/src/main/java/burlarch/standins/fleet/FleetContext.java
@@ -5,15 +5,19 @@
 import java.util.function.Consumer;
 
 /**
- * What all nodes of a fleet share.
+ * State that all nodes of a fleet share.
  *
- * @param classes by name
- * @param written is told of each key that a write has changed
+ * @param plan         the fleet's plan
+ * @param classes      request classes by name
+ * @param sink         receives the audit records
+ * @param ledgerValues the ledger's values
+ * @param misses       caches to fill when the ledger answers
+ * @param onWrite      called with each key that a write has changed
  */
 record FleetContext(
         FleetPlan plan,
         Map<String, FleetPlan.RequestKind> classes,
         Sink sink,
-        Values values,
+        LedgerValues ledgerValues,
         PendingMisses misses,
-        Consumer<String> written) {}
+        Consumer<String> onWrite) {}
--- a/standins/src/main/java/burlarch/standins/model/Job.java
+++ b/standins/src/main/java/burlarch/standins/model/Job.java
@@ -1,29 +1,35 @@
 package burlarch.standins.model;
 
-/** A request at a server: the work that is left of it, on a standard core. One server's, and one thread's. */
+/**
+ * A request at a server and its remaining work, on a standard core. Belongs to one {@link ServiceModel}; not
+ * thread-safe.
+ */
 public class Job {
     final long workNanos;
-    double leftNanos;
-    /** Where it stands; the server's to change. */
+    double remainingNanos;
+    /** Changed by the {@link ServiceModel} only. */
     State state = State.NEW;
 
+    /** State of a job at its server. */
     enum State {
         NEW,
         WAITING,
         RUNNING,
-        OVER
+        ENDED
     }
 
+    /** Creates a job of this much work, in nanoseconds on a standard core. */
     public Job(long workNanos) {
         this.workNanos = workNanos;
-        this.leftNanos = workNanos;
+        this.remainingNanos = workNanos;
     }
 
-    /** @return whether no server has it yet, or ever had */
+    /** Whether the job was never offered to a server. */
     public boolean isNew() {
         return state == State.NEW;
     }
 
+    /** Total work of the job. */
     public long workNanos() {
         return workNanos;
     }
--- a/standins/src/main/java/burlarch/standins/model/MachineKind.java
+++ b/standins/src/main/java/burlarch/standins/model/MachineKind.java
@@ -1,22 +1,23 @@
 package burlarch.standins.model;
 
 /**
- * What a server of one kind can do.
+ * The performance characteristics of a kind of server.
  *
- * @param speed            work done by a core in a second, in seconds on a standard core
- * @param slots            requests in work at once; beyond the cores they share them
- * @param queue            requests that may wait; beyond, they are turned away
- * @param connections      that it accepts at once
- * @param coldShare        of its capacity right after a start ...
- * @param coldNanos        ... from which it rises evenly over this time
- * @param memoryBytes      of kept objects
- * @param errorShare       of requests that end in an error
- * @param handshakeNanos   work that a new connection costs, on a standard core, and the wait of its first
- *                         request
- * @param idleCloseNanos   after which it closes a connection
- * @param fallMultiple     sent over so many times its present capacity while it is cold ...
- * @param fallNanos        ... for this time, it falls over
- * @param fallenNanos      and is out for this long
+ * @param name                the kind's name
+ * @param cores               number of cores
+ * @param speed               speed of a core relative to a standard core
+ * @param slots               requests processed concurrently; more slots than cores share the cores
+ * @param queue               requests that may wait; further ones are rejected
+ * @param connections         maximum number of open connections
+ * @param coldShare           fraction of the capacity available right after a start
+ * @param coldNanos           time over which the capacity then rises linearly to the full one
+ * @param memoryBytes         size of the object cache
+ * @param errorShare          fraction of requests that end with an error
+ * @param handshakeNanos      work of a new connection, on a standard core, and delay of its first request
+ * @param idleCloseNanos      idle time after which the server closes a connection
+ * @param overloadMultiple    a cold server fails if it is sent more than this multiple of its present capacity ...
+ * @param overloadWindowNanos ... within a window of this length
+ * @param failureNanos        how long the server then resets all requests
  */
 public record MachineKind(
         String name,
@@ -31,10 +32,10 @@
         double errorShare,
         long handshakeNanos,
         long idleCloseNanos,
-        double fallMultiple,
-        long fallNanos,
-        long fallenNanos) {
-    /** @return standard cores, when warm */
+        double overloadMultiple,
+        long overloadWindowNanos,
+        long failureNanos) {
+    /** Returns the capacity when warm, in standard cores. */
     public double capacity() {
         return cores * speed;
     }
