--- a/proxy/src/main/java/burlarch/proxy/ownload/LoadGate.java
+++ b/proxy/src/main/java/burlarch/proxy/ownload/LoadGate.java
@@ -15,7 +15,7 @@
 public final class LoadGate {
     private static final long LOG_INTERVAL_NANOS = TimeUnit.SECONDS.toNanos(10);
 
-    private final OwnLoad load;
+    private final OwnLoad ownLoad;
     private final Settings settings;
     private final LongSupplier lagNanos;
     private long lastLogNanos;
@@ -28,7 +28,7 @@
      * @param lagNanos how long data that is read now may have waited in its socket, in nanoseconds
      */
     public LoadGate(long nowNanos, long beatNanos, Settings settings, LongSupplier lagNanos) {
-        this.load = new OwnLoad(
+        this.ownLoad = new OwnLoad(
                 nowNanos,
                 beatNanos,
                 settings.classes().stream().mapToDouble(RequestClass::worth).toArray());
@@ -39,18 +39,18 @@
 
     /** Updates the load estimate; called by the event loop periodically. Logs refusals at most every 10 s. */
     public void beat(long nowNanos) {
-        load.beat(nowNanos);
-        if (load.refused() > loggedRefused && nowNanos - lastLogNanos >= LOG_INTERVAL_NANOS) {
-            Log.line("CPU overload: the event loop is " + TimeUnit.NANOSECONDS.toMillis(load.standingLagNanos())
-                    + " ms behind, " + (load.refused() - loggedRefused) + " requests refused");
+        ownLoad.beat(nowNanos);
+        if (ownLoad.refused() > loggedRefused && nowNanos - lastLogNanos >= LOG_INTERVAL_NANOS) {
+            Log.line("CPU overload: the event loop is " + TimeUnit.NANOSECONDS.toMillis(ownLoad.standingLagNanos())
+                    + " ms behind, " + (ownLoad.refused() - loggedRefused) + " requests refused");
             lastLogNanos = nowNanos;
-            loggedRefused = load.refused();
+            loggedRefused = ownLoad.refused();
         }
     }
 
     /** Returns whether the request is admitted; if not, the caller refuses it at once. */
     public boolean admits(RequestTable.Arrival arrival) {
-        return load.admits(
+        return ownLoad.admits(
                 settings.classes().get(arrival.requestClass()).worth(),
                 lagNanos.getAsLong(),
                 TimeUnit.MILLISECONDS.toNanos(arrival.timeoutMs()));
@@ -59,7 +59,7 @@
     /** Returns the retry delay for a request that was just refused; 0 if the settings disable retry advice. */
     public long retryAfterNanos() {
         return settings.limits().retryAfter()
-                ? Math.min(settings.limits().maxRetryAfterNanos(), load.retryAfterNanos())
+                ? Math.min(settings.limits().maxRetryAfterNanos(), ownLoad.retryAfterNanos())
                 : 0;
     }
 }
--- a/proxy/src/main/java/burlarch/proxy/status/RenderedStatus.java
+++ b/proxy/src/main/java/burlarch/proxy/status/RenderedStatus.java
@@ -48,7 +48,7 @@
             }
             json.writeEndArray();
             json.writeArrayFieldStart("load");
-            for (Snapshot.ClassLoad classLoad : snapshot.load()) {
+            for (Snapshot.RequestClassLoad classLoad : snapshot.load()) {
                 json.writeStartObject();
                 json.writeStringField("class", classLoad.className());
                 json.writeNumberField("requests_per_s", roundToTenth(classLoad.requestsPerSecond()));
@@ -72,7 +72,7 @@
                 .append(snapshot.uptimeSeconds())
                 .append(" s</p>\n<h2>Load</h2>\n<table border=\"1\">\n"
                         + "<tr><th>class</th><th>requests per second</th><th>in flight</th></tr>\n");
-        for (Snapshot.ClassLoad classLoad : snapshot.load()) {
+        for (Snapshot.RequestClassLoad classLoad : snapshot.load()) {
             appendRow(
                     text,
                     classLoad.className(),
--- a/proxy/src/main/java/burlarch/proxy/status/Snapshot.java
+++ b/proxy/src/main/java/burlarch/proxy/status/Snapshot.java
@@ -7,7 +7,7 @@
  *
  * @param stale whether discovery has not answered yet; the list of servers is empty then
  */
-record Snapshot(String version, long uptimeSeconds, boolean stale, List<Server> servers, List<ClassLoad> load) {
+record Snapshot(String version, long uptimeSeconds, boolean stale, List<Server> servers, List<RequestClassLoad> load) {
     /**
      * One server as discovery lists it.
      *
@@ -16,5 +16,5 @@
     record Server(String instanceId, String hostPort, String lifecycle, List<String> errors) {}
 
     /** Load of one request class. */
-    record ClassLoad(String className, double requestsPerSecond, int inFlight) {}
+    record RequestClassLoad(String className, double requestsPerSecond, int inFlight) {}
 }
--- a/proxy/src/main/java/burlarch/proxy/status/StatusBoard.java
+++ b/proxy/src/main/java/burlarch/proxy/status/StatusBoard.java
@@ -119,9 +119,10 @@
         long nowNanos = clockNanos.getAsLong();
         double seconds = Math.max(1e-3, (nowNanos - snapshotNanos) * 1e-9);
         snapshotNanos = nowNanos;
-        List<Snapshot.ClassLoad> load = new ArrayList<>();
+        List<Snapshot.RequestClassLoad> load = new ArrayList<>();
         for (ClassCounts counts : classCounts) {
-            load.add(new Snapshot.ClassLoad(counts.className, counts.requestsSinceSnapshot / seconds, counts.inFlight));
+            load.add(new Snapshot.RequestClassLoad(
+                    counts.className, counts.requestsSinceSnapshot / seconds, counts.inFlight));
             counts.requestsSinceSnapshot = 0;
         }
         // Until discovery answers, only the servers of the configuration are known, and they may be outdated.
