--- a/controller/src/main/java/burlarch/controller/instances/InstanceReplicator.java
+++ b/controller/src/main/java/burlarch/controller/instances/InstanceReplicator.java
@@ -81,7 +81,7 @@
         heartbeats = new ArrayList<>();
     }
 
-    /** Handles an instance's announcement, at this controller, that it ends. */
+    /** Handles an instance's announcement of its end at this controller. */
     public void onLeft(String id) {
         Instance left = registry.leave(id, loop.nanoTime());
         peers.sendAll(new NodeMessage.InstanceAnnouncements(List.of(left)));
@@ -120,8 +120,8 @@
     }
 
     /**
-     * Expires the instances whose heartbeats are overdue. Called also before a router is sent the instances, so that a
-     * pause of this process is noticed first.
+     * Expires the instances whose heartbeats are overdue, and detects a pause of this process. Called also before a
+     * router is sent the instances, so that a pause is detected first.
      */
     public void expireOverdue() {
         long now = loop.nanoTime();
