--- a/controller/src/main/java/burlarch/controller/api/ControlHandler.java
+++ b/controller/src/main/java/burlarch/controller/api/ControlHandler.java
@@ -66,12 +66,12 @@
         if (!request.getMethod().equals("POST")) {
             throw new ControlException(ErrorKind.METHOD);
         }
-        new BodyCall(exchange, this::nameWeights).start(request, RequestBodyLimits.MAX_OTHER_BYTES);
+        new BodyCall(exchange, this::setWeightsVersion).start(request, RequestBodyLimits.MAX_OTHER_BYTES);
     }
 
-    private CompletableFuture<Void> nameWeights(byte[] body) {
+    private CompletableFuture<Void> setWeightsVersion(byte[] body) {
         JsonNode json = ControlJson.object(body);
-        return service.nameWeights(
+        return service.setWeightsVersion(
                 ControlJson.requiredText(json, "model"), ControlJson.wholeNumber(json, "config_version"));
     }
 
--- a/controller/src/main/java/burlarch/controller/api/ControlService.java
+++ b/controller/src/main/java/burlarch/controller/api/ControlService.java
@@ -27,7 +27,7 @@
     CompletableFuture<byte[]> readConfiguration();
 
     /** Sets the target version of a model's weights. The future completes once the version is committed. */
-    CompletableFuture<Void> nameWeights(String model, long version);
+    CompletableFuture<Void> setWeightsVersion(String model, long version);
 
     /**
      * Handles an instance's heartbeat. The future completes once the heartbeat may be acknowledged; for a draining
--- a/controller/src/main/java/burlarch/controller/api/OperatorService.java
+++ b/controller/src/main/java/burlarch/controller/api/OperatorService.java
@@ -112,9 +112,9 @@
     }
 
     @Override
-    public CompletableFuture<Void> nameWeights(String model, long version) {
+    public CompletableFuture<Void> setWeightsVersion(String model, long version) {
         return change(
-                "name weights " + model + " " + version, state -> StateChanges.nameWeights(state, model, version));
+                "name weights " + model + " " + version, state -> StateChanges.setWeightsVersion(state, model, version));
     }
 
     private CompletableFuture<Void> changeConfiguration(
--- a/controller/src/main/java/burlarch/controller/state/StateChanges.java
+++ b/controller/src/main/java/burlarch/controller/state/StateChanges.java
@@ -100,7 +100,7 @@
      * Sets the target version of a model's weights. A version that isn't above the model's current target changes
      * nothing.
      */
-    public static ChangeResult nameWeights(SystemState state, String model, long version) {
+    public static ChangeResult setWeightsVersion(SystemState state, String model, long version) {
         if (!isValidName(model)) {
             return Unchanged.invalid("model", "must be a name");
         }
--- a/emulator/src/main/java/burlarch/emulator/demo/DemoOperator.java
+++ b/emulator/src/main/java/burlarch/emulator/demo/DemoOperator.java
@@ -37,7 +37,7 @@
     }
 
     /** Announces new weights; returns whether that was acknowledged. */
-    boolean nameWeights(long version) throws InterruptedException {
+    boolean setWeightsVersion(long version) throws InterruptedException {
         return calls.call(
                         "POST",
                         "/burlarch/version-put",
--- a/emulator/src/main/java/burlarch/emulator/demo/FleetDemo.java
+++ b/emulator/src/main/java/burlarch/emulator/demo/FleetDemo.java
@@ -161,7 +161,7 @@
         print("controller 2 starts again");
         report.step("drain acknowledged", replaced.get());
         until(start, 8);
-        report.step("new weights acknowledged", operator.nameWeights(2));
+        report.step("new weights acknowledged", operator.setWeightsVersion(2));
         print("weights 2 are named");
         until(start, 12);
         report.step("last change acknowledged", operator.changeConfiguration(12, DemoConfiguration.SHOP_NEW));
--- a/simulation/src/main/java/burlarch/simulation/coordination/node/ControlEndpoint.java
+++ b/simulation/src/main/java/burlarch/simulation/coordination/node/ControlEndpoint.java
@@ -73,7 +73,7 @@
         } else if (action instanceof ControlAction.Patch patch) {
             return service.patchConfiguration(patch.body(), patch.ifMatch());
         } else if (action instanceof ControlAction.NameWeights weights) {
-            return service.nameWeights(weights.model(), weights.version());
+            return service.setWeightsVersion(weights.model(), weights.version());
         } else if (action instanceof ControlAction.Announce announce) {
             return service.announce(announce.instance());
         } else if (action instanceof ControlAction.Leave leave) {
