--- a/experiments/baseline.sh
+++ b/experiments/baseline.sh
@@ -1,6 +1,6 @@
 #!/bin/sh
-# Plays the baseline at several rates, numbers of nodes and of connections, and prints a line for each:
-# what 'measurements.md' calls the baseline. Usage: experiments/baseline.sh FOLDER [CORE]
+# Runs the baseline experiment at several request rates, node counts and connection counts, and prints one line of
+# results per run. These are the baseline figures in 'measurements.md'. Usage: experiments/baseline.sh FOLDER [CORE]
 set -e
 here="$(cd "$(dirname "$0")" && pwd)"
 out="${1:?usage: baseline.sh FOLDER [CORE]}"
@@ -11,7 +11,7 @@
     sed -n "s/^ *\"$2\" : \([-0-9.eE]*\),*$/\1/p" "$out/$1/summary.json" | head -1
 }
 
-# play NAME RATE NODES CONNECTIONS HEAP_MB DIRECT
+# Usage: play NAME RATE NODES CONNECTIONS HEAP_MB DIRECT. Runs one experiment; DIRECT=true runs it without a proxy.
 play() {
     sed -e "s/^to = .*/to = $2/" -e "s/^count = 12/count = $3/" -e "s/^connections = 200\$/connections = $4\nopen_first = $4/" \
         "$here/baseline.toml" > "$out/$1.toml"
