--- a/cli/src/main/java/burlarch/cli/AuditCommand.java
+++ b/cli/src/main/java/burlarch/cli/AuditCommand.java
@@ -15,6 +15,7 @@
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Parameters;
 
+/** Command that checks the records of a run against the rules; exits with 1 if a rule is violated. */
 @Command(
         name = "audit",
         mixinStandardHelpOptions = true,
@@ -28,12 +29,12 @@
     private Path fleet;
 
     @Parameters(paramLabel = "RECORDS", arity = "1..*")
-    private List<Path> files;
+    private List<Path> recordFiles;
 
     @Override
     public Integer call() throws IOException, SettingsException {
         Rules rules = Rules.standard(FleetPlan.read(SettingsFile.load(fleet)).repeats());
-        Verdict verdict = Audit.of(RecordFile.read(files), rules);
+        Verdict verdict = Audit.of(RecordFile.read(recordFiles), rules);
         System.out.println(verdict.summary());
         verdict.breaches().forEach(System.out::println);
         return verdict.passed() ? 0 : 1;
--- a/cli/src/main/java/burlarch/cli/CompareCommand.java
+++ b/cli/src/main/java/burlarch/cli/CompareCommand.java
@@ -1,12 +1,13 @@
 package burlarch.cli;
 
-import burlarch.lab.report.Compare;
+import burlarch.lab.report.RunComparison;
 import java.io.IOException;
 import java.nio.file.Path;
 import java.util.concurrent.Callable;
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Parameters;
 
+/** Command that compares the repeats of two experiments. */
 @Command(
         name = "compare",
         mixinStandardHelpOptions = true,
@@ -23,8 +24,8 @@
 
     @Override
     public Integer call() throws IOException {
-        for (Compare.Line line : Compare.of(before, after)) {
-            System.out.println(line);
+        for (RunComparison.FigureComparison comparison : RunComparison.of(before, after)) {
+            System.out.println(comparison);
         }
         return 0;
     }
--- a/cli/src/main/java/burlarch/cli/DemoCommand.java
+++ b/cli/src/main/java/burlarch/cli/DemoCommand.java
@@ -8,6 +8,7 @@
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
 
+/** Command that runs the demo experiment. */
 @Command(
         name = "demo",
         mixinStandardHelpOptions = true,
@@ -18,7 +19,7 @@
 
     @Override
     public Integer call() throws IOException, InterruptedException, SettingsException {
-        Path to = folder != null ? folder : Files.createTempDirectory("burlarch-demo");
-        return ExperimentCommand.run(Main.home().resolve(Path.of("experiments", "demo.toml")), to, 1, false);
+        Path outputFolder = folder != null ? folder : Files.createTempDirectory("burlarch-demo");
+        return ExperimentCommand.run(Main.home().resolve(Path.of("experiments", "demo.toml")), outputFolder, 1, false);
     }
 }
--- a/cli/src/main/java/burlarch/cli/ExperimentCommand.java
+++ b/cli/src/main/java/burlarch/cli/ExperimentCommand.java
@@ -2,7 +2,7 @@
 
 import burlarch.lab.experiment.Experiment;
 import burlarch.lab.experiment.ExperimentPlan;
-import burlarch.lab.experiment.Outcome;
+import burlarch.lab.experiment.ExperimentResult;
 import burlarch.lab.report.Report;
 import burlarch.settings.SettingsException;
 import java.io.IOException;
@@ -13,6 +13,7 @@
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Parameters;
 
+/** Command that runs an experiment and writes its report. */
 @Command(
         name = "experiment",
         mixinStandardHelpOptions = true,
@@ -49,17 +50,17 @@
             throws IOException, InterruptedException, SettingsException {
         ExperimentPlan plan = ExperimentPlan.read(file);
         Path jar = Main.proxyJar();
-        if (!plan.proxies().proxyless() && !Files.exists(jar)) {
+        if (!plan.proxies().directToNode() && !Files.exists(jar)) {
             throw new IOException(jar + ": the proxy is not built yet: run 'mvn -q -DskipTests package'");
         }
         int status = 0;
         for (int i = 1; i <= repeats; i++) {
-            Path run = repeats == 1 ? folder : folder.resolve("run-" + i);
-            Outcome outcome = Experiment.run(plan, run, jar, quiet ? line -> {} : System.err::println);
-            Report.write(outcome, run);
-            System.out.print(Report.text(outcome));
-            System.out.println("  report " + run.resolve("report.html"));
-            status = Math.max(status, outcome.status());
+            Path runFolder = repeats == 1 ? folder : folder.resolve("run-" + i);
+            ExperimentResult result = Experiment.run(plan, runFolder, jar, quiet ? line -> {} : System.err::println);
+            Report.write(result, runFolder);
+            System.out.print(Report.textSummary(result));
+            System.out.println("  report " + runFolder.resolve("report.html"));
+            status = Math.max(status, result.status());
         }
         return status;
     }
--- a/cli/src/main/java/burlarch/cli/FleetCommand.java
+++ b/cli/src/main/java/burlarch/cli/FleetCommand.java
@@ -15,6 +15,7 @@
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Parameters;
 
+/** Command that runs the fleet stand-ins until it is interrupted. */
 @Command(
         name = "fleet",
         mixinStandardHelpOptions = true,
--- a/cli/src/main/java/burlarch/cli/LoadCommand.java
+++ b/cli/src/main/java/burlarch/cli/LoadCommand.java
@@ -2,7 +2,7 @@
 
 import burlarch.audit.FileSink;
 import burlarch.audit.Sink;
-import burlarch.lab.load.Generator;
+import burlarch.lab.load.LoadGenerator;
 import burlarch.lab.load.LoadPlan;
 import burlarch.lab.load.LoadResult;
 import burlarch.settings.LiteralAddresses;
@@ -21,6 +21,7 @@
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Parameters;
 
+/** Command that sends an open-loop load to proxies on loopback. */
 @Command(
         name = "load",
         mixinStandardHelpOptions = true,
@@ -52,24 +53,24 @@
     public Integer call() throws Exception {
         SettingsFile settings = SettingsFile.load(file);
         LoadPlan plan = LoadPlan.read(settings, FleetPlan.read(settings));
-        Generator.warmUp(plan);
+        LoadGenerator.warmUp(plan);
         FileSink sink = records == null ? null : new FileSink(records);
         LoadResult result;
-        try (Generator generator = Generator.start(plan, addresses(), sink == null ? Sink.NONE : sink)) {
+        try (LoadGenerator generator = LoadGenerator.start(plan, parseTargets(), sink == null ? Sink.NONE : sink)) {
             Runtime.getRuntime().addShutdownHook(new Thread(generator::stop, "burlarch-cleanup"));
             while (!generator.await(1, TimeUnit.SECONDS)) {
-                System.err.println(generator.result().line());
+                System.err.println(generator.result().progressLine());
             }
             result = generator.result();
         }
         if (sink != null) {
             sink.close();
         }
-        System.out.println(result.line());
+        System.out.println(result.progressLine());
         if (json != null) {
-            try (JsonGenerator out = new JsonFactory().createGenerator(Files.newBufferedWriter(json))) {
-                out.useDefaultPrettyPrinter();
-                result.write(out);
+            try (JsonGenerator jsonGenerator = new JsonFactory().createGenerator(Files.newBufferedWriter(json))) {
+                jsonGenerator.useDefaultPrettyPrinter();
+                result.write(jsonGenerator);
             }
         }
         if (histogramLog != null) {
@@ -81,16 +82,17 @@
         return result.valid() ? 0 : 1;
     }
 
-    private List<Generator.Target> addresses() {
-        List<Generator.Target> found = new ArrayList<>();
+    private List<LoadGenerator.Target> parseTargets() {
+        List<LoadGenerator.Target> parsedTargets = new ArrayList<>();
         for (String text : targets) {
             int equals = text.indexOf('=');
             InetSocketAddress address = LiteralAddresses.parse(text.substring(equals + 1));
             if (!address.getAddress().isLoopbackAddress()) {
                 throw new IllegalArgumentException("--target " + text + ": only loopback addresses are loaded");
             }
-            found.add(new Generator.Target(equals < 0 ? "n" + found.size() : text.substring(0, equals), address));
+            parsedTargets.add(new LoadGenerator.Target(
+                    equals < 0 ? "n" + parsedTargets.size() : text.substring(0, equals), address));
         }
-        return found;
+        return parsedTargets;
     }
 }
--- a/cli/src/main/java/burlarch/cli/Main.java
+++ b/cli/src/main/java/burlarch/cli/Main.java
@@ -10,7 +10,10 @@
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Unmatched;
 
-/** The command line. What a command does is its own class's; this says what there is and how things end. */
+/**
+ * Entry point of the command line: it declares the commands and maps errors to exit codes. Each command has a
+ * class of its own.
+ */
 @Command(
         name = "burlarch",
         version = "burlarch 0.2.0",
@@ -44,30 +47,32 @@
             "  router, controller, check-settings, config, fleet-demo"
         })
 public final class Main {
-    /** How a command ends that could not run. */
+    /** Exit code of a command that could not run. */
     static final int COULD_NOT_RUN = CommandLine.ExitCode.USAGE;
 
     private Main() {}
 
     public static void main(String[] args) {
-        System.exit(line().execute(args));
+        System.exit(commandLine().execute(args));
     }
 
-    static CommandLine line() {
-        CommandLine line = new CommandLine(new Main());
-        line.setExecutionExceptionHandler((e, command, parsed) -> {
-            if (e instanceof IOException || e instanceof SettingsException || e instanceof IllegalArgumentException) {
-                command.getErr().println("burlarch: " + e.getMessage());
+    static CommandLine commandLine() {
+        CommandLine commandLine = new CommandLine(new Main());
+        commandLine.setExecutionExceptionHandler((exception, command, parseResult) -> {
+            if (exception instanceof IOException
+                    || exception instanceof SettingsException
+                    || exception instanceof IllegalArgumentException) {
+                command.getErr().println("burlarch: " + exception.getMessage());
             } else {
                 command.getErr().println("burlarch: this is a fault of the program:");
-                e.printStackTrace(command.getErr());
+                exception.printStackTrace(command.getErr());
             }
             return COULD_NOT_RUN;
         });
-        return line;
+        return commandLine;
     }
 
-    /** Where the checkout is, for the proxy's jar and the shelf of experiments. */
+    /** Root of the checkout, which holds the proxy's jar and the experiments. */
     static Path home() {
         return Path.of(System.getProperty("burlarch.home", "."));
     }
@@ -76,8 +81,11 @@
         return home().resolve(Path.of("proxy", "target", "burlarch.jar")).toAbsolutePath();
     }
 
-    /** A command of the proxy's own, which reads its arguments itself: its jar has no library for that. */
-    abstract static class OfTheProxy implements Runnable {
+    /**
+     * A command implemented by the proxy's own main class, which parses its arguments without a library. {@code
+     * serve} blocks until it is interrupted.
+     */
+    abstract static class ProxyCommand implements Runnable {
         @Unmatched
         private List<String> arguments;
 
@@ -86,33 +94,33 @@
 
         @Override
         public void run() {
-            List<String> words = new java.util.ArrayList<>(List.of(spec.name()));
+            List<String> proxyArguments = new java.util.ArrayList<>(List.of(spec.name()));
             if (arguments != null) {
-                words.addAll(arguments);
+                proxyArguments.addAll(arguments);
             }
             try {
-                ProxyMain.main(words.toArray(String[]::new));
+                ProxyMain.main(proxyArguments.toArray(String[]::new));
                 Thread.currentThread().join(spec.name().equals("serve") ? 0 : 1);
-            } catch (IOException e) {
-                throw new java.io.UncheckedIOException(e);
-            } catch (InterruptedException e) {
+            } catch (IOException exception) {
+                throw new java.io.UncheckedIOException(exception);
+            } catch (InterruptedException exception) {
                 Thread.currentThread().interrupt();
             }
         }
     }
 
     @Command(name = "serve", description = "Runs one proxy: [--hot-list] [--config FILE], set up by EDGE_CONFIG.")
-    static final class Serve extends OfTheProxy {}
+    static final class Serve extends ProxyCommand {}
 
     @Command(name = "rehearse", description = "Starts one proxy on loopback and ends: loads what serve needs.")
-    static final class Rehearse extends OfTheProxy {}
+    static final class Rehearse extends ProxyCommand {}
 
     @Command(name = "drill", description = "Reads the simulator's events on standard input, writes actions.")
-    static final class Drill extends OfTheProxy {}
+    static final class Drill extends ProxyCommand {}
 
     @Command(name = "hot-list", description = "Has a proxy write its hot list: --pid PID.")
-    static final class HotListCommand extends OfTheProxy {}
+    static final class HotListCommand extends ProxyCommand {}
 
     @Command(name = "tls-reload", description = "Has a proxy read its certificates again: --pid PID.")
-    static final class TlsReload extends OfTheProxy {}
+    static final class TlsReload extends ProxyCommand {}
 }
--- a/cli/src/main/java/burlarch/cli/NullServerCommand.java
+++ b/cli/src/main/java/burlarch/cli/NullServerCommand.java
@@ -5,6 +5,7 @@
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
 
+/** Command that runs the null server until it is interrupted. */
 @Command(
         name = "null-server",
         mixinStandardHelpOptions = true,
--- a/cli/src/main/java/burlarch/cli/TraceCommand.java
+++ b/cli/src/main/java/burlarch/cli/TraceCommand.java
@@ -1,6 +1,6 @@
 package burlarch.cli;
 
-import burlarch.lab.load.Generator;
+import burlarch.lab.load.LoadGenerator;
 import burlarch.lab.load.LoadPlan;
 import burlarch.settings.SettingsException;
 import burlarch.settings.SettingsFile;
@@ -16,6 +16,7 @@
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Parameters;
 
+/** Command group that records, shows and edits traces. */
 @Command(
         name = "trace",
         mixinStandardHelpOptions = true,
@@ -28,7 +29,7 @@
             @Parameters(paramLabel = "TRACE") Path trace)
             throws IOException, SettingsException {
         SettingsFile settings = SettingsFile.load(file);
-        Generator.record(LoadPlan.read(settings, FleetPlan.read(settings)), trace);
+        LoadGenerator.record(LoadPlan.read(settings, FleetPlan.read(settings)), trace);
         return show(trace, 0);
     }
 
@@ -38,33 +39,33 @@
             @Option(names = "--first", paramLabel = "N", defaultValue = "0", description = "The first records too.")
                     int first)
             throws IOException {
-        Traces.Summary s = Traces.summary(trace);
+        Traces.Summary summary = Traces.summary(trace);
         System.out.printf(
                 Locale.ROOT,
                 "%s: %d requests in %.3f s, %d of them writes, %d keys, " + "at most %d in a " + "second%n",
                 trace,
-                s.records(),
-                s.spanNanos() / 1e9,
-                s.writes(),
-                s.keys(),
-                s.busiestSecond());
-        s.byClass().forEach((name, count) -> System.out.println("  class " + name + " " + count));
-        s.byTenant().forEach((name, count) -> System.out.println("  tenant " + name + " " + count));
+                summary.records(),
+                summary.spanNanos() / 1e9,
+                summary.writes(),
+                summary.keys(),
+                summary.busiestSecond());
+        summary.byClass().forEach((name, count) -> System.out.println("  class " + name + " " + count));
+        summary.byTenant().forEach((name, count) -> System.out.println("  tenant " + name + " " + count));
         try (TraceReader reader = new TraceReader(trace)) {
             for (int i = 0; i < first; i++) {
-                TraceRecord r = reader.next();
-                if (r == null) {
+                TraceRecord traceRecord = reader.next();
+                if (traceRecord == null) {
                     break;
                 }
                 System.out.printf(
                         Locale.ROOT,
                         "%12.6f s  %s %s %s %s %d ms%n",
-                        r.dueNanos() / 1e9,
-                        r.write() ? "PUT" : "GET",
-                        r.requestClass(),
-                        r.tenant(),
-                        r.key(),
-                        r.timeoutMs());
+                        traceRecord.dueNanos() / 1e9,
+                        traceRecord.write() ? "PUT" : "GET",
+                        traceRecord.requestClass(),
+                        traceRecord.tenant(),
+                        traceRecord.key(),
+                        traceRecord.timeoutMs());
             }
         }
         return 0;
@@ -77,7 +78,7 @@
             @Option(names = "--from", paramLabel = "SECONDS", defaultValue = "0") double fromS,
             @Option(names = "--until", paramLabel = "SECONDS", required = true) double untilS)
             throws IOException {
-        distinct(to, List.of(from));
+        requireDistinct(to, List.of(from));
         System.out.println(Traces.cut(from, to, (long) (fromS * 1e9), (long) (untilS * 1e9)) + " requests");
         return 0;
     }
@@ -92,7 +93,7 @@
         if (!(time > 0 && time <= 1000 && rate > 0 && rate <= 1000)) {
             throw new IllegalArgumentException("--time and --rate are over 0 and 1000 at most");
         }
-        distinct(to, List.of(from));
+        requireDistinct(to, List.of(from));
         System.out.println(Traces.scale(from, to, time, rate) + " requests");
         return 0;
     }
@@ -102,15 +103,15 @@
             @Parameters(paramLabel = "TO", index = "0") Path to,
             @Parameters(paramLabel = "FROM", index = "1..*", arity = "1..*") List<Path> from)
             throws IOException {
-        distinct(to, from);
+        requireDistinct(to, from);
         System.out.println(Traces.merge(from, to) + " requests");
         return 0;
     }
 
-    /** Writing over what is being read would lose it. */
-    private static void distinct(Path to, List<Path> from) {
-        for (Path one : from) {
-            if (one.toAbsolutePath().normalize().equals(to.toAbsolutePath().normalize())) {
+    /** Rejects an output file that is also an input: writing it would destroy the data being read. */
+    private static void requireDistinct(Path to, List<Path> from) {
+        for (Path source : from) {
+            if (source.toAbsolutePath().normalize().equals(to.toAbsolutePath().normalize())) {
                 throw new IllegalArgumentException(to + " is read and can't be written over: name another file");
             }
         }
--- a/lab/src/main/java/burlarch/lab/load/PlannedRequest.java
+++ b/lab/src/main/java/burlarch/lab/load/PlannedRequest.java
@@ -1,11 +1,11 @@
 package burlarch.lab.load;
 
 /**
- * One request that is to be sent.
+ * One scheduled request.
  *
- * @param dueNanos   from the start of the run
- * @param tryNumber  0 for the first, 1 for the client's retry
- * @param leaveNanos after how long its client leaves; 0 for one that stays
+ * @param dueNanos due time from the start of the run
+ * @param attemptIndex 0 for the first attempt, 1 for the client's retry
+ * @param disconnectNanos time after which the client disconnects; 0 for never
  */
 record PlannedRequest(
         long dueNanos,
@@ -17,5 +17,5 @@
         int timeoutMs,
         long costMicros,
         int bodyBytes,
-        int tryNumber,
-        long leaveNanos) {}
+        int attemptIndex,
+        long disconnectNanos) {}
--- a/lab/src/main/java/burlarch/lab/load/Zipf.java
+++ b/lab/src/main/java/burlarch/lab/load/Zipf.java
@@ -2,7 +2,7 @@
 
 import java.util.Arrays;
 
-/** Ranks by Zipf's law, with the offset of Mandelbrot's: rank {@code r} weighs {@code (r + offset)^-s}. */
+/** Zipf-Mandelbrot distribution over ranks: rank {@code r} has weight {@code (r + offset)^-exponent}. */
 final class Zipf {
     private final double[] cumulative;
 
@@ -18,9 +18,9 @@
         }
     }
 
-    /** @param unit evenly spread in [0, 1) */
-    int rank(double unit) {
-        int at = Arrays.binarySearch(cumulative, unit);
-        return Math.min(cumulative.length - 1, at < 0 ? -at - 1 : at + 1);
+    /** @param uniform a uniform draw from [0, 1) */
+    int rank(double uniform) {
+        int index = Arrays.binarySearch(cumulative, uniform);
+        return Math.min(cumulative.length - 1, index < 0 ? -index - 1 : index + 1);
     }
 }
