--- a/cli/src/main/java/burlarch/cli/ExperimentCommand.java
+++ b/cli/src/main/java/burlarch/cli/ExperimentCommand.java
@@ -41,7 +41,7 @@
     @Override
     public Integer call() throws IOException, InterruptedException, SettingsException {
         if (repeats < 1 || repeats > 100) {
-            throw new IllegalArgumentException("--repeats is 1 to 100");
+            throw new IllegalArgumentException("--repeats must be from 1 to 100");
         }
         return run(file, folder, repeats, quiet);
     }
--- a/cli/src/main/java/burlarch/cli/FleetCommand.java
+++ b/cli/src/main/java/burlarch/cli/FleetCommand.java
@@ -77,7 +77,7 @@
             try {
                 sink.close();
             } catch (java.io.IOException e) {
-                System.err.println("burlarch: the records are not whole: " + e.getMessage());
+                System.err.println("burlarch: the records are incomplete: " + e.getMessage());
             }
         }
     }
--- a/cli/src/main/java/burlarch/cli/Main.java
+++ b/cli/src/main/java/burlarch/cli/Main.java
@@ -82,8 +82,8 @@
     }
 
     /**
-     * A command implemented by the proxy's own main class, which parses its arguments without a library. {@code
-     * serve} blocks until it is interrupted.
+     * A command implemented by the proxy's own main class, which parses its arguments without a library.
+     * {@code serve} blocks until it is interrupted.
      */
     abstract static class ProxyCommand implements Runnable {
         @Unmatched
--- a/cli/src/main/java/burlarch/cli/TraceCommand.java
+++ b/cli/src/main/java/burlarch/cli/TraceCommand.java
@@ -91,7 +91,7 @@
             @Option(names = "--rate", paramLabel = "TIMES", defaultValue = "1") double rate)
             throws IOException {
         if (!(time > 0 && time <= 1000 && rate > 0 && rate <= 1000)) {
-            throw new IllegalArgumentException("--time and --rate are over 0 and 1000 at most");
+            throw new IllegalArgumentException("--time and --rate must be greater than 0 and at most 1000");
         }
         requireDistinct(to, List.of(from));
         System.out.println(Traces.scale(from, to, time, rate) + " requests");
@@ -112,7 +112,7 @@
     private static void requireDistinct(Path to, List<Path> from) {
         for (Path source : from) {
             if (source.toAbsolutePath().normalize().equals(to.toAbsolutePath().normalize())) {
-                throw new IllegalArgumentException(to + " is read and can't be written over: name another file");
+                throw new IllegalArgumentException(to + " is an input and cannot be the output: name another file");
             }
         }
     }
--- a/lab/src/main/java/burlarch/lab/experiment/ExperimentPlan.java
+++ b/lab/src/main/java/burlarch/lab/experiment/ExperimentPlan.java
@@ -67,6 +67,7 @@
 
     /**
      * Reads and validates an experiment.
+     *
      * @throws SettingsException naming the file and the key
      */
     public static ExperimentPlan read(Path path) throws SettingsException {
@@ -110,13 +111,15 @@
                 events,
                 thresholds);
         if (load.tls() && load.batch() > 0) {
-            throw file.invalid("client_tls.on", "and load.batch: a proxy has the one port or the other");
+            throw file.invalid(
+                    "client_tls.on",
+                    "and load.batch cannot be combined: clients use either the TLS port or the multi-get port");
         }
         if (load.tls() && load.tlsCa() != null) {
-            throw file.invalid("client_tls.ca_file", "has no place here: the experiment's own is made");
+            throw file.invalid("client_tls.ca_file", "must not be set: the experiment generates its own certificate");
         }
         if (load.tls() && plan.proxies().directToNode()) {
-            throw file.invalid("client_tls.on", "and proxies.none: nodes speak no TLS");
+            throw file.invalid("client_tls.on", "and proxies.none cannot be combined: nodes do not support TLS");
         }
         file.rejectUnreadKeys();
         return plan;
@@ -128,7 +131,7 @@
         String proxy = entry.text("proxy", "");
         double durationS = entry.number("for_s", 1, 0, 86_400);
         if (fleet.vantages().stream().noneMatch(vantage -> vantage.name().equals(proxy))) {
-            throw entry.invalid("proxy", "is no [[proxy]] of this file: " + proxy);
+            throw entry.invalid("proxy", "does not name a [[proxy]] of this file: " + proxy);
         }
         return switch (action) {
             case "term" -> List.of(new ProxyEvent(timeS, ProxyEvent.Action.TERM, proxy));
--- a/lab/src/main/java/burlarch/lab/experiment/JdkTool.java
+++ b/lab/src/main/java/burlarch/lab/experiment/JdkTool.java
@@ -18,6 +18,7 @@
 
     /**
      * Runs the tool to its end.
+     *
      * @return its output without surrounding blanks
      * @throws IOException if it fails, with its output, or if it does not end within 30 s
      */
@@ -29,7 +30,7 @@
         try {
             process.getOutputStream().close();
             if (!process.waitFor(TIMEOUT_S, TimeUnit.SECONDS)) {
-                throw new IOException(tool + " does not end");
+                throw new IOException(tool + " did not end within 30 s");
             }
             String output = new String(process.getInputStream().readAllBytes(), StandardCharsets.UTF_8).strip();
             if (process.exitValue() != 0) {
--- a/lab/src/main/java/burlarch/lab/experiment/LabCertificate.java
+++ b/lab/src/main/java/burlarch/lab/experiment/LabCertificate.java
@@ -18,6 +18,7 @@
 
     /**
      * Generates a certificate and a key as PEM files in the folder.
+     *
      * @throws IOException with keytool's output if it fails
      */
     static LabCertificate generate(Path folder) throws IOException, InterruptedException {
--- a/lab/src/main/java/burlarch/lab/experiment/ProxyProcess.java
+++ b/lab/src/main/java/burlarch/lab/experiment/ProxyProcess.java
@@ -154,6 +154,7 @@
 
     /**
      * Waits until the health check succeeds.
+     *
      * @throws IOException with the last log line if the process ends or is not ready within 30 s
      */
     void awaitReady() throws IOException, InterruptedException {
--- a/lab/src/main/java/burlarch/lab/experiment/ThreadCpu.java
+++ b/lab/src/main/java/burlarch/lab/experiment/ThreadCpu.java
@@ -72,6 +72,7 @@
 
     /**
      * Visits all threads of a process.
+     *
      * @return false if the process has ended
      */
     static boolean forEachThread(long pid, Visitor visitor) {
--- a/lab/src/main/java/burlarch/lab/load/LoadGenerator.java
+++ b/lab/src/main/java/burlarch/lab/load/LoadGenerator.java
@@ -139,6 +139,7 @@
 
     /**
      * Waits for the run to end.
+     *
      * @return whether it ended within the given time
      */
     public boolean await(long time, TimeUnit unit) throws InterruptedException {
--- a/lab/src/main/java/burlarch/lab/load/LoadStatistics.java
+++ b/lab/src/main/java/burlarch/lab/load/LoadStatistics.java
@@ -74,6 +74,7 @@
 
     /**
      * Counts a completed request.
+     *
      * @param late whether it exceeded its class's latency aim
      */
     void record(PlannedRequest planned, Outcome outcome, long latencyNanos, long serviceNanos, boolean late) {
--- a/lab/src/main/java/burlarch/lab/load/ResponseParser.java
+++ b/lab/src/main/java/burlarch/lab/load/ResponseParser.java
@@ -5,9 +5,9 @@
 import java.io.ByteArrayOutputStream;
 
 /**
- * Incremental parser of HTTP/1.1 responses that keeps only the status, the length and a digest of the body. It is
- * kept small because a load generator parses 100,000 responses a second. A response without {@code Content-Length}
- * is rejected; none of the servers under test sends one.
+ * Incremental parser of HTTP/1.1 responses that keeps only the status, the length and a digest of the body. It does
+ * little work per byte because a load generator parses 100,000 responses a second. A response without
+ * {@code Content-Length} is rejected; none of the servers under test sends such a response.
  */
 final class ResponseParser {
     /** Progress of the response being parsed. */
@@ -37,6 +37,7 @@
 
     /**
      * Prepares for the next response.
+     *
      * @param keepsBody whether the body is kept, rather than only its digest
      */
     void reset(boolean keepsBody) {
--- a/lab/src/main/java/burlarch/lab/load/RetryQueue.java
+++ b/lab/src/main/java/burlarch/lab/load/RetryQueue.java
@@ -7,8 +7,8 @@
 import java.util.PriorityQueue;
 
 /**
- * Queue of client retries of one event loop. Clients retry once: requests that were refused or unsent, and failed
- * ones whose class allows repeats. Confined to its event loop.
+ * Queue of client retries of one event loop. Clients retry once: requests that were refused or unsent, and
+ * failed or unanswered ones whose class allows repeats. Confined to its event loop.
  */
 final class RetryQueue {
     private static final int DRAW_SALT = 17;
@@ -31,6 +31,7 @@
 
     /**
      * Queues a retry of the request if the client makes one.
+     *
      * @return whether a retry was queued
      */
     boolean offer(PendingRequest request, RequestResult result, long nowNanos) {
--- a/lab/src/main/java/burlarch/lab/load/Shape.java
+++ b/lab/src/main/java/burlarch/lab/load/Shape.java
@@ -31,8 +31,8 @@
     }
 
     /**
-     * A rush: rises from nothing to the peak within {@code riseS} along a logistic curve, then halves every {@code
-     * halfLifeS}.
+     * A rush: rises from nothing to the peak within {@code riseS} along a logistic curve, then halves every
+     * {@code halfLifeS}.
      */
     static Shape rush(double peak, double atS, double riseS, double halfLifeS) {
         return seconds -> {
--- a/lab/src/main/java/burlarch/lab/report/Report.java
+++ b/lab/src/main/java/burlarch/lab/report/Report.java
@@ -13,8 +13,8 @@
 import java.util.Map;
 
 /**
- * Writes the result of a run: {@code summary.json} for programs, {@code report.html} with plots for people, {@code
- * cpu.tsv} with CPU samples.
+ * Writes the result of a run: {@code summary.json} for programs, {@code report.html} with plots for people, and
+ * {@code cpu.tsv} with CPU samples.
  */
 public final class Report {
     private static final int MAX_BREACHES_SHOWN = 20;
--- a/lab/src/test/java/burlarch/lab/load/LoadGeneratorTest.java
+++ b/lab/src/test/java/burlarch/lab/load/LoadGeneratorTest.java
@@ -275,6 +275,7 @@
 
     /**
      * Starts a server thread that handles one connection at a time and answers each request on it.
+     *
      * @param once whether to answer only the first request of a connection, read the next and close
      */
     private static Thread startServer(ServerSocket server, int maxConnections, String response, boolean once) {
