--- a/cli/src/main/java/burlarch/cli/FleetCommand.java
+++ b/cli/src/main/java/burlarch/cli/FleetCommand.java
@@ -15,6 +15,7 @@
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Parameters;
 
+/** Command that runs the fleet stand-ins until it is interrupted. */
 @Command(
         name = "fleet",
         mixinStandardHelpOptions = true,
@@ -76,7 +77,7 @@
             try {
                 sink.close();
             } catch (java.io.IOException e) {
-                System.err.println("burlarch: the records are not whole: " + e.getMessage());
+                System.err.println("burlarch: the records are incomplete: " + e.getMessage());
             }
         }
     }
