--- a/coordination/src/main/java/burlarch/coordination/distribution/AcknowledgementTracker.java
+++ b/coordination/src/main/java/burlarch/coordination/distribution/AcknowledgementTracker.java
@@ -9,14 +9,15 @@
 import java.util.OptionalLong;
 
 /**
- * Which revision each subscriber of a stream has acknowledged, and the waits until all of them have acknowledged one.
+ * Tracks the revision that each subscriber of a stream has acknowledged, and the waits until all of them have
+ * acknowledged a given one.
  *
  * <p>Invariants:
  *
  * <ul>
  *   <li><em>Acknowledgements only rise</em>: an acknowledgement of an older revision changes nothing.
- *   <li><em>Bounded waits</em>: a wait ends at its deadline, and a subscriber that left is waited for no longer. There
- *       are at most {@link #MAX_WAITS}.
+ *   <li><em>Bounded waits</em>: a wait ends at its deadline, and does not wait for subscribers that left. There are
+ *       at most {@link #MAX_WAITS} waits.
  * </ul>
  *
  * <p>Times are nanoseconds of one monotonic clock. Not thread-safe.
@@ -24,12 +25,14 @@
  * @param <S> identifies a subscriber
  */
 public final class AcknowledgementTracker<S> {
-    /** Most waits at the same time; a further one is not begun, which doesn't say that all have acknowledged. */
+    /**
+     * Largest number of concurrent waits. A further one is not begun; that does not mean that all have acknowledged.
+     */
     public static final int MAX_WAITS = 1_024;
 
     private static final long NOTHING_ACKNOWLEDGED = Long.MIN_VALUE;
 
-    /** One wait until all subscribers have acknowledged a revision. */
+    /** A wait until all subscribers have acknowledged a revision. */
     public static final class Wait {
         private final long revision;
         private final long deadlineNanos;
@@ -39,7 +42,7 @@
             this.deadlineNanos = deadlineNanos;
         }
 
-        /** The revision that is to be acknowledged. */
+        /** Returns the revision that all subscribers have to acknowledge. */
         public long revision() {
             return revision;
         }
@@ -59,25 +62,25 @@
     }
 
     /**
-     * A subscriber acknowledged a revision; an unknown subscriber is ignored. Call {@link #takeFinishedWaits}
-     * afterwards.
+     * Records that a subscriber acknowledged a revision; an unknown subscriber is ignored. Call
+     * {@link #takeFinishedWaits} afterwards.
      */
     public void onAcknowledged(S subscriber, long revision) {
         acknowledgedRevisions.computeIfPresent(subscriber, (key, known) -> Math.max(known, revision));
     }
 
-    /** The newest revision that the subscriber acknowledged, empty if none. */
+    /** Returns the newest revision that the subscriber acknowledged, empty if none. */
     public OptionalLong acknowledgedBy(S subscriber) {
         long revision = acknowledgedRevisions.getOrDefault(subscriber, NOTHING_ACKNOWLEDGED);
         return revision == NOTHING_ACKNOWLEDGED ? OptionalLong.empty() : OptionalLong.of(revision);
     }
 
-    /** How many subscribers there are. */
+    /** Returns how many subscribers there are. */
     public int size() {
         return acknowledgedRevisions.size();
     }
 
-    /** The subscribers that have not acknowledged the revision, in no order. */
+    /** Returns the subscribers that have not acknowledged the revision, in no order. */
     public List<S> laggingBehind(long revision) {
         List<S> lagging = new ArrayList<>();
         for (Map.Entry<S, Long> entry : acknowledgedRevisions.entrySet()) {
@@ -88,7 +91,7 @@
         return lagging;
     }
 
-    /** Whether every subscriber has acknowledged the revision. */
+    /** Returns whether every subscriber has acknowledged the revision. */
     public boolean allAcknowledged(long revision) {
         for (long acknowledged : acknowledgedRevisions.values()) {
             if (acknowledged < revision) {
@@ -98,7 +101,10 @@
         return true;
     }
 
-    /** Begins a wait; empty if all have acknowledged the revision already, or if there are too many waits. */
+    /**
+     * Begins a wait. Returns empty if all have acknowledged the revision already, or if there are {@link #MAX_WAITS}
+     * waits.
+     */
     public Optional<Wait> await(long revision, long deadlineNanos) {
         if (allAcknowledged(revision) || waits.size() >= MAX_WAITS) {
             return Optional.empty();
@@ -108,7 +114,7 @@
         return Optional.of(wait);
     }
 
-    /** Takes out the waits that are over: all have acknowledged the revision, or the deadline has passed. */
+    /** Removes and returns the finished waits: all have acknowledged the revision, or the deadline has passed. */
     public List<Wait> takeFinishedWaits(long nowNanos) {
         List<Wait> finished = new ArrayList<>();
         Iterator<Wait> remaining = waits.iterator();
--- a/coordination/src/main/java/burlarch/coordination/distribution/package-info.java
+++ b/coordination/src/main/java/burlarch/coordination/distribution/package-info.java
@@ -1,5 +1,6 @@
 /**
- * Tracked distribution: which subscribers of a stream of revisions have acknowledged which one, and who waits for all.
+ * Tracked distribution of a stream of revisions: which revision each subscriber has acknowledged, and waits until all
+ * have acknowledged one.
  *
  * <p>Owner of the state: whoever publishes the stream owns one
  * {@link burlarch.coordination.distribution.AcknowledgementTracker}, in memory; subscribers acknowledge anew on each
--- a/coordination/src/main/java/burlarch/coordination/membership/Ipv4Address.java
+++ b/coordination/src/main/java/burlarch/coordination/membership/Ipv4Address.java
@@ -1,6 +1,6 @@
 package burlarch.coordination.membership;
 
-/** Packs IP:PORT into the low six bytes of a long: four of the address, then two of the port. */
+/** Conversion between IP:PORT text and the low six bytes of a long: four for the address, then two for the port. */
 final class Ipv4Address {
     private static final int OCTETS = 4;
     private static final int MAX_BYTE = 0xFF;
@@ -10,27 +10,27 @@
 
     private Ipv4Address() {}
 
-    /** @throws IllegalArgumentException if the text isn't an IPv4 address with a port above 0 */
+    /** @throws IllegalArgumentException if the text is not an IPv4 address with a port above 0 */
     static long pack(String address) {
         int colon = address.indexOf(':');
         if (colon < 0) {
-            throw new IllegalArgumentException("no IP:PORT: " + address);
+            throw new IllegalArgumentException("address is not an IPv4 IP:PORT: " + address);
         }
         long packed = 0;
         int from = 0;
         for (int octet = 0; octet < OCTETS; octet++) {
             int end = octet < OCTETS - 1 ? address.indexOf('.', from) : colon;
-            packed = packed << Byte.SIZE | number(address, from, end, MAX_BYTE);
+            packed = packed << Byte.SIZE | parseNumber(address, from, end, MAX_BYTE);
             from = end + 1;
         }
-        int port = number(address, from, address.length(), MAX_PORT);
+        int port = parseNumber(address, from, address.length(), MAX_PORT);
         if (port == 0) {
-            throw new IllegalArgumentException("port 0: " + address);
+            throw new IllegalArgumentException("address has port 0, expected 1 to 65535: " + address);
         }
         return packed << PORT_BITS | port;
     }
 
-    /** The text of a packed address. */
+    /** Returns the IP:PORT text of a packed address. */
     static String unpack(long packed) {
         StringBuilder text = new StringBuilder("255.255.255.255:65535".length());
         for (int octet = OCTETS - 1; octet >= 0; octet--) {
@@ -39,20 +39,20 @@
         return text.append(packed & MAX_PORT).toString();
     }
 
-    private static int number(String text, int from, int to, int max) {
+    private static int parseNumber(String text, int from, int to, int max) {
         int value = 0;
         if (to <= from || to - from > MAX_DIGITS) {
-            throw new IllegalArgumentException("no IP:PORT: " + text);
+            throw new IllegalArgumentException("address is not an IPv4 IP:PORT: " + text);
         }
         for (int i = from; i < to; i++) {
             char digit = text.charAt(i);
             if (digit < '0' || digit > '9') {
-                throw new IllegalArgumentException("no IP:PORT: " + text);
+                throw new IllegalArgumentException("address is not an IPv4 IP:PORT: " + text);
             }
             value = value * 10 + digit - '0';
         }
         if (value > max) {
-            throw new IllegalArgumentException("no IP:PORT: " + text);
+            throw new IllegalArgumentException("address is not an IPv4 IP:PORT: " + text);
         }
         return value;
     }
--- a/coordination/src/main/java/burlarch/coordination/membership/SwimCodec.java
+++ b/coordination/src/main/java/burlarch/coordination/membership/SwimCodec.java
@@ -9,14 +9,14 @@
 import java.util.zip.CRC32;
 
 /**
- * Encodes {@link SwimMessage} as a datagram and back.
+ * The codec between {@link SwimMessage} and datagrams.
  *
  * <pre>
  * message = version (1 byte), kind (1), sender's process id (8), digest (8), the kind's fields, updates, CRC-32 (4)
  * update  = state (1), process id (8), incarnation (8), address (6), name, role, zone; each text with its length (1)
  * </pre>
  *
- * Updates go on until the checksum, which covers all before it. Numbers are big-endian.
+ * Updates follow each other up to the checksum, which covers all bytes before it. Numbers are big-endian.
  */
 public final class SwimCodec {
     private static final byte VERSION = 1;
@@ -36,38 +36,38 @@
     private static final int PORT_BITS = 16;
     private static final int PORT_MASK = 0xFFFF;
     private static final int BYTE_MASK = 0xFF;
-    /** Bytes of any message without its updates, at most. */
+    /** Largest size of a message without its updates, in bytes. */
     public static final int FRAME_BYTES = 2 + 2 * Long.BYTES + Integer.BYTES + Long.BYTES + ADDRESS_BYTES + CHECK_BYTES;
-    /** Bytes of an update without its texts. */
+    /** Size of an update without its texts, in bytes. */
     private static final int UPDATE_BYTES = 1 + 2 * Long.BYTES + ADDRESS_BYTES + 3;
 
     private SwimCodec() {}
 
-    /** Bytes that the update takes in a datagram. */
+    /** Returns the size of the update in a datagram, in bytes. */
     public static int sizeOf(MemberUpdate update) {
         MemberInfo info = update.info();
         return UPDATE_BYTES + utf8(info.name()).length + utf8(info.role()).length + utf8(info.zone()).length;
     }
 
-    /** The message as a datagram. */
+    /** Encodes a message as a datagram. */
     public static byte[] encode(SwimMessage message) {
         int size = FRAME_BYTES;
         for (MemberUpdate update : message.updates()) {
             size += sizeOf(update);
         }
-        ByteBuffer out = ByteBuffer.allocate(size);
-        out.put(VERSION);
-        putFrame(out, message);
+        ByteBuffer buffer = ByteBuffer.allocate(size);
+        buffer.put(VERSION);
+        putFrame(buffer, message);
         for (MemberUpdate update : message.updates()) {
-            putUpdate(out, update);
+            putUpdate(buffer, update);
         }
-        out.putInt(checksum(out.array(), out.position()));
-        byte[] datagram = new byte[out.position()];
-        System.arraycopy(out.array(), 0, datagram, 0, datagram.length);
+        buffer.putInt(checksum(buffer.array(), buffer.position()));
+        byte[] datagram = new byte[buffer.position()];
+        System.arraycopy(buffer.array(), 0, datagram, 0, datagram.length);
         return datagram;
     }
 
-    /** The message, empty if the datagram is not a complete and valid one. */
+    /** Decodes a datagram; empty if it is not a complete and valid message. */
     public static Optional<SwimMessage> decode(byte[] datagram) {
         int length = datagram.length - CHECK_BYTES;
         if (length < 2 + 2 * Long.BYTES
@@ -76,78 +76,78 @@
             return Optional.empty();
         }
         try {
-            return message(ByteBuffer.wrap(datagram, 1, length - 1));
-        } catch (BufferUnderflowException | IllegalArgumentException garbled) {
+            return readMessage(ByteBuffer.wrap(datagram, 1, length - 1));
+        } catch (BufferUnderflowException | IllegalArgumentException malformed) {
             return Optional.empty();
         }
     }
 
-    private static void putFrame(ByteBuffer out, SwimMessage message) {
+    private static void putFrame(ByteBuffer buffer, SwimMessage message) {
         if (message instanceof SwimMessage.Ping ping) {
-            putHeader(out, PING, message).putInt(ping.sequence()).putLong(ping.targetProcessId());
+            putHeader(buffer, PING, message).putInt(ping.sequence()).putLong(ping.targetProcessId());
         } else if (message instanceof SwimMessage.Ack ack) {
-            putHeader(out, ACK, message).putInt(ack.sequence()).putLong(ack.subjectProcessId());
+            putHeader(buffer, ACK, message).putInt(ack.sequence()).putLong(ack.subjectProcessId());
         } else if (message instanceof SwimMessage.PingRequest request) {
-            putHeader(out, PING_REQUEST, message).putInt(request.sequence()).putLong(request.targetProcessId());
-            putAddress(out, request.address());
+            putHeader(buffer, PING_REQUEST, message).putInt(request.sequence()).putLong(request.targetProcessId());
+            putAddress(buffer, request.address());
         } else if (message instanceof SwimMessage.Nack nack) {
-            putHeader(out, NACK, message).putInt(nack.sequence());
+            putHeader(buffer, NACK, message).putInt(nack.sequence());
         } else {
-            putHeader(out, message instanceof SwimMessage.SyncPage ? SYNC_PAGE : SYNC_REQUEST, message);
+            putHeader(buffer, message instanceof SwimMessage.SyncPage ? SYNC_PAGE : SYNC_REQUEST, message);
         }
     }
 
-    private static ByteBuffer putHeader(ByteBuffer out, byte kind, SwimMessage message) {
+    private static ByteBuffer putHeader(ByteBuffer buffer, byte kind, SwimMessage message) {
         SwimMessage.Header header = message.header();
-        return out.put(kind).putLong(header.processId()).putLong(header.digest());
+        return buffer.put(kind).putLong(header.processId()).putLong(header.digest());
     }
 
-    private static Optional<SwimMessage> message(ByteBuffer in) {
-        byte kind = in.get();
-        SwimMessage.Header header = new SwimMessage.Header(in.getLong(), in.getLong());
+    private static Optional<SwimMessage> readMessage(ByteBuffer buffer) {
+        byte kind = buffer.get();
+        SwimMessage.Header header = new SwimMessage.Header(buffer.getLong(), buffer.getLong());
         SwimMessage message =
                 switch (kind) {
-                    case PING -> new SwimMessage.Ping(header, in.getInt(), in.getLong(), updates(in));
-                    case ACK -> new SwimMessage.Ack(header, in.getInt(), in.getLong(), updates(in));
+                    case PING -> new SwimMessage.Ping(header, buffer.getInt(), buffer.getLong(), readUpdates(buffer));
+                    case ACK -> new SwimMessage.Ack(header, buffer.getInt(), buffer.getLong(), readUpdates(buffer));
                     case PING_REQUEST -> new SwimMessage.PingRequest(
-                            header, in.getInt(), in.getLong(), address(in), updates(in));
-                    case NACK -> new SwimMessage.Nack(header, in.getInt(), updates(in));
-                    case SYNC_REQUEST -> new SwimMessage.SyncRequest(header, updates(in));
-                    case SYNC_PAGE -> new SwimMessage.SyncPage(header, updates(in));
+                            header, buffer.getInt(), buffer.getLong(), readAddress(buffer), readUpdates(buffer));
+                    case NACK -> new SwimMessage.Nack(header, buffer.getInt(), readUpdates(buffer));
+                    case SYNC_REQUEST -> new SwimMessage.SyncRequest(header, readUpdates(buffer));
+                    case SYNC_PAGE -> new SwimMessage.SyncPage(header, readUpdates(buffer));
                     default -> null;
                 };
         return Optional.ofNullable(message);
     }
 
-    private static void putUpdate(ByteBuffer out, MemberUpdate update) {
+    private static void putUpdate(ByteBuffer buffer, MemberUpdate update) {
         MemberInfo info = update.info();
-        out.put(number(update.state()));
-        out.putLong(info.processId()).putLong(update.incarnation());
-        putAddress(out, info.address());
-        putText(out, info.name());
-        putText(out, info.role());
-        putText(out, info.zone());
+        buffer.put(codeOf(update.state()));
+        buffer.putLong(info.processId()).putLong(update.incarnation());
+        putAddress(buffer, info.address());
+        putText(buffer, info.name());
+        putText(buffer, info.role());
+        putText(buffer, info.zone());
     }
 
-    private static List<MemberUpdate> updates(ByteBuffer in) {
+    private static List<MemberUpdate> readUpdates(ByteBuffer buffer) {
         List<MemberUpdate> updates = new ArrayList<>();
-        while (in.hasRemaining()) {
-            updates.add(update(in));
+        while (buffer.hasRemaining()) {
+            updates.add(readUpdate(buffer));
         }
         return updates;
     }
 
-    private static MemberUpdate update(ByteBuffer in) {
-        MemberState state = state(in.get());
-        long processId = in.getLong();
-        long incarnation = in.getLong();
-        String address = address(in);
-        MemberInfo info = new MemberInfo(text(in), address, text(in), text(in), processId);
+    private static MemberUpdate readUpdate(ByteBuffer buffer) {
+        MemberState state = stateOf(buffer.get());
+        long processId = buffer.getLong();
+        long incarnation = buffer.getLong();
+        String address = readAddress(buffer);
+        MemberInfo info = new MemberInfo(readText(buffer), address, readText(buffer), readText(buffer), processId);
         return new MemberUpdate(info, incarnation, state);
     }
 
-    /** The number of a state on the wire. */
-    private static byte number(MemberState state) {
+    /** Returns the code of a state on the wire. */
+    private static byte codeOf(MemberState state) {
         return switch (state) {
             case ALIVE -> ALIVE;
             case SUSPECT -> SUSPECT;
@@ -156,34 +156,34 @@
         };
     }
 
-    private static MemberState state(byte number) {
-        return switch (number) {
+    private static MemberState stateOf(byte code) {
+        return switch (code) {
             case ALIVE -> MemberState.ALIVE;
             case SUSPECT -> MemberState.SUSPECT;
             case DEAD -> MemberState.DEAD;
             case LEFT -> MemberState.LEFT;
-            default -> throw new IllegalArgumentException("no such state: " + number);
+            default -> throw new IllegalArgumentException("unknown code of a member state: " + code);
         };
     }
 
-    private static void putAddress(ByteBuffer out, String address) {
+    private static void putAddress(ByteBuffer buffer, String address) {
         long packed = Ipv4Address.pack(address);
-        out.putInt((int) (packed >>> PORT_BITS)).putShort((short) packed);
+        buffer.putInt((int) (packed >>> PORT_BITS)).putShort((short) packed);
     }
 
-    private static String address(ByteBuffer in) {
-        long host = Integer.toUnsignedLong(in.getInt());
-        return Ipv4Address.unpack(host << PORT_BITS | in.getShort() & PORT_MASK);
+    private static String readAddress(ByteBuffer buffer) {
+        long host = Integer.toUnsignedLong(buffer.getInt());
+        return Ipv4Address.unpack(host << PORT_BITS | buffer.getShort() & PORT_MASK);
     }
 
-    private static void putText(ByteBuffer out, String text) {
+    private static void putText(ByteBuffer buffer, String text) {
         byte[] bytes = utf8(text);
-        out.put((byte) bytes.length).put(bytes);
+        buffer.put((byte) bytes.length).put(bytes);
     }
 
-    private static String text(ByteBuffer in) {
-        byte[] bytes = new byte[in.get() & BYTE_MASK];
-        in.get(bytes);
+    private static String readText(ByteBuffer buffer) {
+        byte[] bytes = new byte[buffer.get() & BYTE_MASK];
+        buffer.get(bytes);
         return new String(bytes, StandardCharsets.UTF_8);
     }
 
--- a/coordination/src/main/java/burlarch/coordination/membership/package-info.java
+++ b/coordination/src/main/java/burlarch/coordination/membership/package-info.java
@@ -1,7 +1,7 @@
 /**
- * Group membership: what members say of each other, and its form in datagrams. The protocol that exchanges it is in
- * {@link burlarch.coordination.membership.swim}.
+ * Group membership: the updates that members send about each other, and their encoding in datagrams. The protocol
+ * that exchanges them is in {@link burlarch.coordination.membership.swim}.
  *
- * <p>Records and pure functions alone: no state, no thread, no I/O and no clock.
+ * <p>Contains only records and pure functions: no state, no thread, no I/O and no clock.
  */
 package burlarch.coordination.membership;
--- a/coordination/src/main/java/burlarch/coordination/membership/swim/AntiEntropy.java
+++ b/coordination/src/main/java/burlarch/coordination/membership/swim/AntiEntropy.java
@@ -4,8 +4,8 @@
 import burlarch.coordination.membership.SwimMessage;
 
 /**
- * Anti-entropy: requests another member's whole table at the start, and where digests differ although no gossip is
- * under way. Requests that bring nothing new back off; responses are bounded per period.
+ * The push-pull anti-entropy of a member: requests another member's whole table at the start, and when digests differ
+ * although no gossip is pending. Requests back off while they bring nothing new; responses are bounded per period.
  */
 final class AntiEntropy {
     private static final int MAX_BACKOFF_FACTOR = 16;
@@ -29,24 +29,24 @@
         nextRequestAtNanos = nowNanos;
     }
 
-    /** Called once a period. */
+    /** Resets the bound on responses. Called once per probe period. */
     void onPeriod() {
         responsesInPeriod = 0;
     }
 
-    /** Requests the other's table unless a request is too recent. */
+    /** Requests a member's table unless the last request was too recent. */
     void requestSync(String to, long nowNanos) {
         if (nowNanos - nextRequestAtNanos < 0) {
             return;
         }
-        boolean lastChangedNothing = digestAtRequest == view.table().digest();
-        backoffFactor = lastChangedNothing ? Math.min(MAX_BACKOFF_FACTOR, backoffFactor * 2) : 1;
+        boolean lastRequestChangedNothing = digestAtRequest == view.table().digest();
+        backoffFactor = lastRequestChangedNothing ? Math.min(MAX_BACKOFF_FACTOR, backoffFactor * 2) : 1;
         digestAtRequest = view.table().digest();
         nextRequestAtNanos = nowNanos + intervalNanos(nowNanos);
         outgoing.syncRequest(to);
     }
 
-    /** Requests the sender's table if its digest differs and gossip won't soon make the tables equal. */
+    /** Requests the sender's table if its digest differs and gossip is not about to make the tables equal. */
     void compareDigest(String from, SwimMessage.Header header, long nowNanos) {
         boolean differs = header.digest() != view.table().digest();
         if (differs && (view.isQuiet(nowNanos) || isUrgent(nowNanos))) {
@@ -54,7 +54,10 @@
         }
     }
 
-    /** Sends the whole table unless too many got it in this period; a requester that gets none asks again. */
+    /**
+     * Sends the whole table unless too many requesters received it in this period; a requester without a response
+     * asks again.
+     */
     void onRequest(String from) {
         if (responsesInPeriod < MAX_RESPONSES_PER_PERIOD) {
             responsesInPeriod++;
@@ -62,7 +65,7 @@
         }
     }
 
-    /** Applies a page, or the update of a request. The first update is the sender's own and counts as gossip. */
+    /** Applies a page, or the update of a request. The first update is the sender's own and is treated as gossip. */
     void onUpdates(SwimMessage message, long nowNanos) {
         boolean first = true;
         for (MemberUpdate update : message.updates()) {
@@ -79,7 +82,7 @@
         return isUrgent(nowNanos) ? settings.probePeriodNanos() : settings.minSyncIntervalNanos() * backoffFactor;
     }
 
-    /** Whether gossip alone would take long: at the own start, or where much changed at once. */
+    /** Returns whether gossip alone would take long: after the start of this member, or when much changed at once. */
     private boolean isUrgent(long nowNanos) {
         return view.isGossipBacklogged() || nowNanos - startedAtNanos < STARTUP_PERIODS * settings.probePeriodNanos();
     }
--- a/coordination/src/main/java/burlarch/coordination/membership/swim/ContactPoints.java
+++ b/coordination/src/main/java/burlarch/coordination/membership/swim/ContactPoints.java
@@ -5,15 +5,15 @@
 import java.util.Random;
 
 /**
- * Addresses at which an unknown member may be: the seeds, and up to {@value #MAX_LOST_ADDRESSES} addresses of members
- * that died and were forgotten. Through them the two sides of a long partition find each other again.
+ * The addresses at which unknown members may be: the seeds, and up to {@value #MAX_LOST_ADDRESSES} addresses of
+ * members that died and were forgotten. They let the two sides of a long partition find each other again.
  */
 final class ContactPoints {
     private static final int MAX_LOST_ADDRESSES = 16;
 
     private final List<String> seeds;
-    /** The one lost first comes first. */
-    private final List<String> lost = new ArrayList<>();
+    /** Addresses of forgotten members, the oldest first. */
+    private final List<String> lostAddresses = new ArrayList<>();
 
     private int nextIndex;
 
@@ -23,30 +23,30 @@
         nextIndex = random.nextInt(Math.max(1, this.seeds.size()));
     }
 
-    /** Adds the address of a member that was forgotten; the oldest one gives way. */
+    /** Adds the address of a forgotten member; evicts the oldest address if there are too many. */
     void addLost(String address) {
-        lost.remove(address);
-        if (lost.size() >= MAX_LOST_ADDRESSES) {
-            lost.remove(0);
+        lostAddresses.remove(address);
+        if (lostAddresses.size() >= MAX_LOST_ADDRESSES) {
+            lostAddresses.remove(0);
         }
-        lost.add(address);
+        lostAddresses.add(address);
     }
 
-    /** A member is known at that address again. */
+    /** Removes an address at which a member is known again. */
     void removeLost(String address) {
-        lost.remove(address);
+        lostAddresses.remove(address);
     }
 
     int size() {
-        return seeds.size() + lost.size();
+        return seeds.size() + lostAddresses.size();
     }
 
-    /** The next address in turn, or null where there is none. */
+    /** Returns the next address, round robin, or null if there is none. */
     String next() {
         if (size() == 0) {
             return null;
         }
         int index = Math.floorMod(nextIndex++, size());
-        return index < seeds.size() ? seeds.get(index) : lost.get(index - seeds.size());
+        return index < seeds.size() ? seeds.get(index) : lostAddresses.get(index - seeds.size());
     }
 }
--- a/coordination/src/main/java/burlarch/coordination/membership/swim/FailureDetector.java
+++ b/coordination/src/main/java/burlarch/coordination/membership/swim/FailureDetector.java
@@ -6,14 +6,19 @@
 import java.util.Random;
 
 /**
- * SWIM's failure detector: one own {@link Probe} at a time, direct and then through other members, and the probes made
- * on behalf of others. It reports suspicions and deaths to the {@link MembershipView}.
+ * SWIM's failure detector: runs one {@link Probe} of this member at a time, direct and then indirect, and the probes
+ * made on behalf of other members. It reports suspicions and deaths to the {@link MembershipView}.
  */
 final class FailureDetector {
-    /** A probe ends before the next one is due, also when that one comes a little early. */
+    /**
+     * Part of a probe period that a probe may take, so that it ends before the next one even if that comes early by
+     * jitter.
+     */
     private static final double PROBE_PERIOD_FRACTION = 0.9;
 
-    /** A member that probes for another gives up sooner than the requester, so that its nack comes in time. */
+    /**
+     * Part of the probe time-out after which an indirect probe ends, so that the nack reaches the requester in time.
+     */
     private static final double INDIRECT_PROBE_FRACTION = 0.75;
 
     private final SwimSettings settings;
@@ -40,12 +45,12 @@
         return targets;
     }
 
-    /** A sequence that no other recent ping of this process has. */
+    /** Returns a sequence number that no other recent ping of this process has. */
     int nextSequence() {
         return ++sequence;
     }
 
-    /** Begins a probe of the next target unless one is in progress. */
+    /** Begins a probe of the next target unless a probe is in progress. */
     void beginProbe(long nowNanos) {
         if (isProbing()) {
             return;
@@ -54,13 +59,13 @@
         if (target == null) {
             return;
         }
-        long directNanos = settings.probeTimeoutNanos() * health.multiplier();
-        long probeNanos = (long) (settings.probePeriodNanos() * PROBE_PERIOD_FRACTION) * health.multiplier();
-        probe = new Probe(target, nextSequence(), nowNanos + directNanos, nowNanos + probeNanos);
+        long directTimeoutNanos = settings.probeTimeoutNanos() * health.multiplier();
+        long wholeProbeNanos = (long) (settings.probePeriodNanos() * PROBE_PERIOD_FRACTION) * health.multiplier();
+        probe = new Probe(target, nextSequence(), nowNanos + directTimeoutNanos, nowNanos + wholeProbeNanos);
         outgoing.ping(target.info().address(), probe.sequence, probe.targetProcessId, updateToRefute(target));
     }
 
-    /** Does what is due. */
+    /** Sends due nacks and ping requests, and ends an overdue probe. */
     void onTimer(long nowNanos) {
         sendDueNacks(nowNanos);
         if (isProbing() && probe.isDirectOverdue(nowNanos)) {
@@ -71,13 +76,13 @@
         }
     }
 
-    /** Nanoseconds until something is due, at most {@code atMostNanos}. */
+    /** Returns the nanoseconds until {@link #onTimer} has something to do, at most {@code atMostNanos}. */
     long nanosUntilDue(long nowNanos, long atMostNanos) {
-        long least = indirectProbes.nanosUntilOverdue(nowNanos, atMostNanos);
-        return isProbing() ? Math.min(least, probe.nanosUntilDue(nowNanos)) : least;
+        long untilOverdueNanos = indirectProbes.nanosUntilOverdue(nowNanos, atMostNanos);
+        return isProbing() ? Math.min(untilOverdueNanos, probe.nanosUntilDue(nowNanos)) : untilOverdueNanos;
     }
 
-    /** An ack came: for a probe made for another member it is passed on, else it may end the own probe. */
+    /** Handles an ack: forwards that of a probe made for another member; otherwise it may end the own probe. */
     void onAck(SwimMessage.Ack ack, long nowNanos) {
         IndirectProbes.IndirectProbe forOther = indirectProbes.removeBySequence(ack.sequence());
         if (forOther != null) {
@@ -95,24 +100,24 @@
         probe.end();
     }
 
-    /** A member that was asked to probe the target got no ack from it, but reaches this member. */
+    /** Handles a nack: a member that was asked to probe the target got no ack from it, but reaches this member. */
     void onNack(SwimMessage.Nack nack) {
         if (isProbing() && nack.sequence() == probe.sequence) {
             probe.onNack();
         }
     }
 
-    /** Another member asks for a probe of the target. */
+    /** Handles the request of another member to probe a target. */
     void onPingRequest(String from, SwimMessage.PingRequest request, long nowNanos) {
         int ownSequence = nextSequence();
-        long deadline = nowNanos + (long) (settings.probeTimeoutNanos() * INDIRECT_PROBE_FRACTION);
-        indirectProbes.add(new IndirectProbes.IndirectProbe(ownSequence, from, request.sequence(), deadline));
+        long deadlineNanos = nowNanos + (long) (settings.probeTimeoutNanos() * INDIRECT_PROBE_FRACTION);
+        indirectProbes.add(new IndirectProbes.IndirectProbe(ownSequence, from, request.sequence(), deadlineNanos));
         MemberRecord target = view.table().findByProcess(request.targetProcessId());
-        MemberUpdate first = target == null ? null : updateToRefute(target);
-        outgoing.ping(request.address(), ownSequence, request.targetProcessId(), first);
+        MemberUpdate updateToSend = target == null ? null : updateToRefute(target);
+        outgoing.ping(request.address(), ownSequence, request.targetProcessId(), updateToSend);
     }
 
-    /** Ends all probes without a result, as after a pause of this process. */
+    /** Ends all probes without a result, for example after a pause of this process. */
     void abandonProbes() {
         if (isProbing()) {
             probe.end();
@@ -120,7 +125,7 @@
         indirectProbes.clear();
     }
 
-    /** The update that the member must get to be able to refute it; null where it is ALIVE here. */
+    /** Returns the update that the member has to receive to refute it; null if the member is ALIVE here. */
     static MemberUpdate updateToRefute(MemberRecord record) {
         return record.state() == MemberState.ALIVE ? null : record.update;
     }
--- a/coordination/src/main/java/burlarch/coordination/membership/swim/GossipQueue.java
+++ b/coordination/src/main/java/burlarch/coordination/membership/swim/GossipQueue.java
@@ -7,19 +7,19 @@
 import java.util.List;
 
 /**
- * Updates that are still to be sent as gossip. Failures and refutations go before arrivals, which would crowd them out
- * when many members start at once; then the least often sent ones go first. Bounded by the member table, as it holds
- * each record at most once.
+ * The queue of updates that are still to be sent as gossip. Failures and refutations precede arrivals, which would
+ * otherwise displace them when many members start at once; among equals the least often sent ones go first. Bounded
+ * by the member table, as it holds each record at most once.
  */
 final class GossipQueue {
-    private static final Comparator<MemberRecord> URGENT_THEN_LEAST_SENT = (one, other) -> {
-        int byUrgency = Boolean.compare(other.isUrgent(), one.isUrgent());
-        return byUrgency != 0 ? byUrgency : Integer.compare(other.transmissionsLeft, one.transmissionsLeft);
+    private static final Comparator<MemberRecord> URGENT_THEN_LEAST_SENT = (first, second) -> {
+        int byUrgency = Boolean.compare(second.isUrgent(), first.isUrgent());
+        return byUrgency != 0 ? byUrgency : Integer.compare(second.transmissionsLeft, first.transmissionsLeft);
     };
 
     private final List<MemberRecord> pending = new ArrayList<>();
 
-    /** Sends the record's update {@code transmissions} times from now on. */
+    /** Schedules the record's update for {@code transmissions} transmissions from now on. */
     void add(MemberRecord record, int transmissions) {
         if (record.transmissionsLeft <= 0) {
             pending.add(record);
@@ -27,7 +27,7 @@
         record.transmissionsLeft = transmissions;
     }
 
-    /** Sends the record's update no more. */
+    /** Stops sending the record's update. */
     void remove(MemberRecord record) {
         if (record.transmissionsLeft > 0) {
             record.transmissionsLeft = 0;
@@ -44,8 +44,8 @@
     }
 
     /**
-     * Adds the most urgent updates that fit into {@code maxBytes} to {@code updates}, and counts them as sent. One that
-     * is in the list already is counted, not added again.
+     * Adds the most urgent updates that fit into {@code maxBytes} to {@code updates}, and counts them as sent. An
+     * update that the list already contains is counted but not added again.
      */
     void takeUpdates(int maxBytes, List<MemberUpdate> updates) {
         if (pending.isEmpty()) {
--- a/coordination/src/main/java/burlarch/coordination/membership/swim/IndirectProbes.java
+++ b/coordination/src/main/java/burlarch/coordination/membership/swim/IndirectProbes.java
@@ -5,8 +5,8 @@
 import java.util.Iterator;
 
 /**
- * Probes that this member makes on behalf of others. At most {@value #MAX_PENDING} are pending; beyond that the oldest
- * is dropped, and its requester gets neither ack nor nack.
+ * The pending probes that this member makes on behalf of others. At most {@value #MAX_PENDING} are pending; beyond
+ * that the oldest is dropped, and its requester gets neither ack nor nack.
  */
 final class IndirectProbes {
     private static final int MAX_PENDING = 64;
@@ -14,9 +14,9 @@
     /**
      * A probe made for another member.
      *
-     * @param sequence of the own ping
+     * @param sequence sequence number of the own ping
      * @param requester address of the member that requested it
-     * @param requesterSequence the requester's sequence, which goes into the ack or nack
+     * @param requesterSequence the requester's sequence number, which the ack or nack echoes
      * @param deadlineNanos when the requester gets a nack
      */
     record IndirectProbe(int sequence, String requester, int requesterSequence, long deadlineNanos) {}
@@ -30,7 +30,7 @@
         pending.addLast(probe);
     }
 
-    /** Removes and returns the probe with this own sequence, or returns null. */
+    /** Removes and returns the probe whose own ping has this sequence number; null if there is none. */
     IndirectProbe removeBySequence(int sequence) {
         Iterator<IndirectProbe> probes = pending.iterator();
         while (probes.hasNext()) {
@@ -43,13 +43,16 @@
         return null;
     }
 
-    /** Removes and returns a probe whose deadline has passed, or returns null. All wait equally long. */
+    /**
+     * Removes and returns a probe whose deadline has passed; null if there is none. All probes have the same
+     * time-out, so the oldest is due first.
+     */
     IndirectProbe pollOverdue(long nowNanos) {
         IndirectProbe oldest = pending.peekFirst();
         return oldest != null && nowNanos - oldest.deadlineNanos() >= 0 ? pending.removeFirst() : null;
     }
 
-    /** Nanoseconds until {@link #pollOverdue} has one, at most {@code atMostNanos}. */
+    /** Returns the nanoseconds until {@link #pollOverdue} returns a probe, at most {@code atMostNanos}. */
     long nanosUntilOverdue(long nowNanos, long atMostNanos) {
         IndirectProbe oldest = pending.peekFirst();
         return oldest == null ? atMostNanos : Math.min(atMostNanos, oldest.deadlineNanos() - nowNanos);
--- a/coordination/src/main/java/burlarch/coordination/membership/swim/MemberRecord.java
+++ b/coordination/src/main/java/burlarch/coordination/membership/swim/MemberRecord.java
@@ -5,17 +5,17 @@
 import burlarch.coordination.membership.MemberUpdate;
 
 /**
- * One entry of a {@link MemberTable}, or the own one of a {@link MembershipView}. Mutable: the table changes update and
- * times, {@link GossipQueue} the count of transmissions.
+ * An entry of a {@link MemberTable}, or the member's own entry in a {@link MembershipView}. Mutable: the table
+ * changes the update and the times, {@link GossipQueue} the number of transmissions.
  */
 final class MemberRecord {
-    /** The newest update that is known. */
+    /** The newest known update. */
     MemberUpdate update;
     /** When the member became SUSPECT; valid in that state only. */
     long suspectedAtNanos;
     /** When the member became DEAD or LEFT; valid in those states only. */
     long endedAtNanos;
-    /** How often the update is still to be sent as gossip. */
+    /** Number of times that the update is still to be sent as gossip. */
     int transmissionsLeft;
 
     MemberRecord(MemberUpdate update) {
@@ -34,7 +34,7 @@
         return update.info().name();
     }
 
-    /** Whether the update reports a failure or a refutation; a mere arrival is less urgent. */
+    /** Returns whether the update reports a failure or a refutation; a mere arrival is less urgent. */
     boolean isUrgent() {
         return update.state() != MemberState.ALIVE || update.incarnation() > 0;
     }
--- a/coordination/src/main/java/burlarch/coordination/membership/swim/MemberTable.java
+++ b/coordination/src/main/java/burlarch/coordination/membership/swim/MemberTable.java
@@ -12,8 +12,8 @@
 import java.util.Optional;
 
 /**
- * All other members that are known. {@link #apply} is the one function that changes a member's state; the transitions
- * are in the table of {@link MemberState}.
+ * The table of all other known members. Only {@link #apply} changes a member's state; the transitions are in the
+ * table of {@link MemberState}.
  *
  * <p>Invariants:
  *
@@ -21,8 +21,7 @@
  *   <li><em>Table bound</em>: at most {@code maxMembers} entries. A new member replaces one that has ended; if none
  *       has ended, the new one is rejected and counted.
  *   <li><em>Index consistency</em>: the indexes by process id, of suspects and of ended members hold exactly the
- * entries
- *       whose update says so.
+ *       entries whose update has that process id or state.
  *   <li><em>Digest</em>: {@link #digest} depends only on the set of live process ids, the own one included, so it is
  *       equal at two members that know the same live processes.
  * </ul>
@@ -44,8 +43,8 @@
     /**
      * Applies the update if it overrides what is known.
      *
-     * @param changes receives the changes of state that this leads to
-     * @return the entry if it changed, else null
+     * @param changes receives the resulting changes of state
+     * @return the entry if it changed, otherwise null
      */
     MemberRecord apply(MemberUpdate update, long nowNanos, List<MemberChange> changes) {
         MemberRecord known = byName.get(update.info().name());
@@ -71,14 +70,14 @@
         return known;
     }
 
-    /** Gives every suspect the whole suspicion time-out again. */
+    /** Restarts the suspicion time-out of every suspect. */
     void restartSuspicions(long nowNanos) {
         for (MemberRecord suspect : suspects) {
             suspect.suspectedAtNanos = nowNanos;
         }
     }
 
-    /** A member that has been suspected for the time-out, or null. */
+    /** Returns a member that has been suspected for at least the time-out, or null if there is none. */
     MemberRecord findOverdueSuspect(long timeoutNanos, long nowNanos) {
         for (MemberRecord suspect : suspects) {
             if (nowNanos - suspect.suspectedAtNanos >= timeoutNanos) {
@@ -88,16 +87,16 @@
         return null;
     }
 
-    /** Nanoseconds until {@link #findOverdueSuspect} may find one, at most {@code atMostNanos}. */
+    /** Returns the nanoseconds until {@link #findOverdueSuspect} may find one, at most {@code atMostNanos}. */
     long nanosUntilOverdue(long timeoutNanos, long nowNanos, long atMostNanos) {
-        long least = atMostNanos;
+        long untilOverdueNanos = atMostNanos;
         for (MemberRecord suspect : suspects) {
-            least = Math.min(least, suspect.suspectedAtNanos + timeoutNanos - nowNanos);
+            untilOverdueNanos = Math.min(untilOverdueNanos, suspect.suspectedAtNanos + timeoutNanos - nowNanos);
         }
-        return least;
+        return untilOverdueNanos;
     }
 
-    /** Removes and returns one member that ended at least {@code ageNanos} ago, or returns null. */
+    /** Removes and returns one member that ended at least {@code ageNanos} ago; null if there is none. */
     MemberRecord removeOneEnded(long ageNanos, long nowNanos) {
         Iterator<MemberRecord> records = ended.iterator();
         while (records.hasNext()) {
@@ -111,37 +110,37 @@
         return null;
     }
 
-    /** The member of that name, or null. */
+    /** Returns the member of that name, or null if it is not known. */
     MemberRecord findByName(String name) {
         return byName.get(name);
     }
 
-    /** The member whose present process has that id, or null. */
+    /** Returns the member whose present process has that id, or null if none has. */
     MemberRecord findByProcess(long processId) {
         return byProcess.get(processId);
     }
 
-    /** All members, the ended ones included. */
+    /** Returns all members, the ended ones included. */
     Collection<MemberRecord> records() {
         return byName.values();
     }
 
-    /** The members that are DEAD or LEFT and still retained. */
+    /** Returns the members that are DEAD or LEFT and still retained. */
     List<MemberRecord> ended() {
         return ended;
     }
 
-    /** How many live members there are without the own process. */
+    /** Returns the number of live members, without the own process. */
     int liveCount() {
         return byName.size() - ended.size();
     }
 
-    /** A sum over the live process ids, the own one included. */
+    /** Returns the sum of the mixed ids of the live processes, the own one included. */
     long digest() {
         return digest;
     }
 
-    /** How many members were rejected for want of room. */
+    /** Returns the number of members that were rejected because the table was full. */
     long rejected() {
         return rejected;
     }
@@ -192,10 +191,10 @@
         }
     }
 
-    /** The finalizer of SplitMix64. */
+    /** Applies the finalizer of SplitMix64. */
     private static long mix(long value) {
-        long z = (value ^ value >>> 30) * 0xBF58476D1CE4E5B9L;
-        z = (z ^ z >>> 27) * 0x94D049BB133111EBL;
-        return z ^ z >>> 31;
+        long mixed = (value ^ value >>> 30) * 0xBF58476D1CE4E5B9L;
+        mixed = (mixed ^ mixed >>> 27) * 0x94D049BB133111EBL;
+        return mixed ^ mixed >>> 31;
     }
 }
--- a/coordination/src/main/java/burlarch/coordination/membership/swim/MembershipLifecycle.java
+++ b/coordination/src/main/java/burlarch/coordination/membership/swim/MembershipLifecycle.java
@@ -1,7 +1,7 @@
 package burlarch.coordination.membership.swim;
 
 /**
- * The phase of this member's own membership. {@link #on} is the only transition.
+ * The lifecycle of this member's own membership. Only {@link #on} changes the phase.
  *
  * <pre>
  * from       event             to
@@ -15,19 +15,19 @@
 final class MembershipLifecycle {
     /** A phase of the own membership. */
     enum Phase {
-        /** No message of another member was received. */
+        /** No message of another member was received yet. */
         JOINING,
-        /** A message was received, but no table that lists several members. */
+        /** A message was received, but no table that lists several members yet. */
         JOINED,
-        /** Several members are known, and some were sent the own update. */
+        /** Several members are known, and the own update was sent to some of them. */
         ANNOUNCED,
         /** The member has left: it sends nothing and changes nothing any more. */
         LEFT
     }
 
-    /** What may change the phase. */
+    /** An event that may change the phase. */
     enum Event {
-        /** A message of another process came. */
+        /** A message of another process was received. */
         MESSAGE_RECEIVED,
         /** A page of another member's table was received, and it lists more than that member itself. */
         TABLE_RECEIVED,
@@ -37,7 +37,11 @@
 
     private Phase phase = Phase.JOINING;
 
-    /** @return whether the phase changed */
+    /**
+     * Applies an event.
+     *
+     * @return whether the phase changed
+     */
     boolean on(Event event) {
         Phase before = phase;
         phase = next(before, event);
--- a/coordination/src/main/java/burlarch/coordination/membership/swim/MembershipView.java
+++ b/coordination/src/main/java/burlarch/coordination/membership/swim/MembershipView.java
@@ -9,19 +9,20 @@
 import java.util.List;
 
 /**
- * The local view: this member's own update, its table of the others, and the updates that are still to be disseminated.
+ * The local view of the group: this member's own update, its table of the others, and the updates that are still to
+ * be disseminated.
  *
  * <p>Invariants:
  *
  * <ul>
- *   <li><em>Own incarnation</em>: only {@link #refute} raises the own incarnation, above that of any update on the own
- *       name that contradicts this process; so the refutation overrides that update everywhere.
+ *   <li><em>Own incarnation</em>: only {@link #refute} raises the own incarnation, above that of any update on the
+ *       own name that contradicts this process; so the refutation overrides that update everywhere.
  *   <li><em>No refutation after leaving</em>: once {@link #leave} was called the own update stays LEFT.
  * </ul>
  */
 final class MembershipView {
-    /** About as many updates as one datagram holds. */
-    private static final int GOSSIP_BACKLOG = 16;
+    /** Approximate number of updates that one datagram holds. */
+    private static final int GOSSIP_BACKLOG_UPDATES = 16;
 
     private final SwimSettings settings;
     private final MemberRecord self;
@@ -41,19 +42,19 @@
         disseminate(self);
     }
 
-    /** Applies an update that came as gossip, and passes it on if it changed anything. */
+    /** Applies an update received as gossip, and disseminates it if it changed the view. */
     void onGossip(MemberUpdate update, long nowNanos) {
         if (isOnOwnName(update)) {
             refute(update);
         } else {
-            apply(update, nowNanos, Dissemination.PASS_ON);
+            apply(update, nowNanos, Dissemination.DISSEMINATE);
         }
     }
 
     /**
-     * Applies an entry of another member's table. Such a table may be old or come from the other side of a healed
-     * partition. So a member that is live here becomes SUSPECT, not DEAD, and can refute; and only suspicions are
-     * passed on, as only they need a response.
+     * Applies an entry of another member's table. Such a table may be out of date or come from the other side of a
+     * healed partition. So a member that is live here becomes SUSPECT, not DEAD, and can refute; and only suspicions
+     * are disseminated, as only they need a response.
      */
     void onSyncedEntry(MemberUpdate update, long nowNanos) {
         if (isOnOwnName(update)) {
@@ -64,32 +65,32 @@
         boolean deadThereLiveHere = update.state() == MemberState.DEAD
                 && known != null
                 && known.state().isLive();
-        MemberUpdate softened = deadThereLiveHere ? update.withState(MemberState.SUSPECT) : update;
-        boolean needsResponse = softened.state() == MemberState.SUSPECT;
-        apply(softened, nowNanos, needsResponse ? Dissemination.PASS_ON : Dissemination.KEEP);
+        MemberUpdate downgraded = deadThereLiveHere ? update.withState(MemberState.SUSPECT) : update;
+        boolean needsResponse = downgraded.state() == MemberState.SUSPECT;
+        apply(downgraded, nowNanos, needsResponse ? Dissemination.DISSEMINATE : Dissemination.LOCAL_ONLY);
     }
 
-    /** The member's present process did not answer a probe. */
+    /** Marks a member as SUSPECT: its present process did not answer a probe. */
     void suspect(MemberRecord record, long nowNanos) {
-        apply(record.update.withState(MemberState.SUSPECT), nowNanos, Dissemination.PASS_ON);
+        apply(record.update.withState(MemberState.SUSPECT), nowNanos, Dissemination.DISSEMINATE);
     }
 
-    /** The member's present process did not refute in time, or is known to have ended. */
+    /** Marks a member as DEAD: its present process did not refute in time, or is known to have ended. */
     void declareDead(MemberRecord record, long nowNanos) {
-        apply(record.update.withState(MemberState.DEAD), nowNanos, Dissemination.PASS_ON);
+        apply(record.update.withState(MemberState.DEAD), nowNanos, Dissemination.DISSEMINATE);
     }
 
-    /** Declares those dead whose suspicion time-out is over. */
+    /** Marks the suspects as DEAD whose suspicion time-out is over. */
     void declareOverdueDead(long nowNanos) {
-        long timeout = suspicionTimeoutNanos();
-        MemberRecord overdue = table.findOverdueSuspect(timeout, nowNanos);
+        long timeoutNanos = suspicionTimeoutNanos();
+        MemberRecord overdue = table.findOverdueSuspect(timeoutNanos, nowNanos);
         while (overdue != null) {
             declareDead(overdue, nowNanos);
-            overdue = table.findOverdueSuspect(timeout, nowNanos);
+            overdue = table.findOverdueSuspect(timeoutNanos, nowNanos);
         }
     }
 
-    /** Nanoseconds until the next suspicion may be overdue, at most {@code atMostNanos}. */
+    /** Returns the nanoseconds until the next suspicion may be overdue, at most {@code atMostNanos}. */
     long nanosUntilOverdue(long nowNanos, long atMostNanos) {
         return table.nanosUntilOverdue(suspicionTimeoutNanos(), nowNanos, atMostNanos);
     }
@@ -99,14 +100,14 @@
         self.update = self.update.withState(MemberState.LEFT);
     }
 
-    /** Whether this member refuted an update since the last call. */
+    /** Returns whether this member has refuted an update since the last call. */
     boolean takeRefuted() {
         boolean result = refuted;
         refuted = false;
         return result;
     }
 
-    /** The changes of other members since the last call, in their order. */
+    /** Returns the changes of other members since the last call, in order. */
     List<MemberChange> takeChanges() {
         if (changes.isEmpty()) {
             return List.of();
@@ -116,7 +117,7 @@
         return taken;
     }
 
-    /** Gives every suspect the whole suspicion time-out again. */
+    /** Restarts the suspicion time-out of every suspect. */
     void restartSuspicions(long nowNanos) {
         table.restartSuspicions(nowNanos);
     }
@@ -135,14 +136,20 @@
         return addresses;
     }
 
-    /** Whether no update is to be sent and none came for a while, so that another member's table should be equal. */
+    /**
+     * Returns whether no update is pending and the view has not changed for the minimum sync interval, so that
+     * another member's table should be equal.
+     */
     boolean isQuiet(long nowNanos) {
         return gossip.isEmpty() && nowNanos - changedAtNanos >= settings.minSyncIntervalNanos();
     }
 
-    /** Whether more changed at once than gossip carries soon, as when all start or a partition heals. */
+    /**
+     * Returns whether more updates are pending than gossip can send soon, as when all members start or a partition
+     * heals.
+     */
     boolean isGossipBacklogged() {
-        return gossip.size() > GOSSIP_BACKLOG;
+        return gossip.size() > GOSSIP_BACKLOG_UPDATES;
     }
 
     SwimMessage.Header header() {
@@ -167,16 +174,16 @@
     }
 
     /**
-     * Raises the own incarnation above that of the update, if it contradicts this process: it says of this process that
-     * it isn't ALIVE, or that another process of the name lives. A contradiction of this very process is a sign that
-     * this member answers too slowly.
+     * Raises the own incarnation above that of the update, if it contradicts this process: it says that this process
+     * is not ALIVE, or that another process of the name is alive. An update against this process itself is evidence
+     * that this member answers too slowly.
      */
     private void refute(MemberUpdate update) {
         boolean aboutThisProcess = update.isOfSameProcess(self.update);
         boolean agrees = aboutThisProcess && update.state() == MemberState.ALIVE;
-        boolean overridden = update.incarnation() < self.update.incarnation();
-        boolean atBound = update.incarnation() >= MemberUpdate.MAX_INCARNATION;
-        if (agrees || overridden || atBound || self.state() == MemberState.LEFT) {
+        boolean isOlder = update.incarnation() < self.update.incarnation();
+        boolean atMaxIncarnation = update.incarnation() >= MemberUpdate.MAX_INCARNATION;
+        if (agrees || isOlder || atMaxIncarnation || self.state() == MemberState.LEFT) {
             return;
         }
         self.update = new MemberUpdate(self.info(), update.incarnation() + 1, MemberState.ALIVE);
@@ -187,10 +194,10 @@
         }
     }
 
-    /** Whether an update that changed the view is sent on as gossip. */
+    /** Whether an update that changed the view is disseminated as gossip. */
     private enum Dissemination {
-        PASS_ON,
-        KEEP
+        DISSEMINATE,
+        LOCAL_ONLY
     }
 
     private void apply(MemberUpdate update, long nowNanos, Dissemination dissemination) {
@@ -202,7 +209,7 @@
         if (changes.size() > before) {
             changedAtNanos = nowNanos;
         }
-        if (dissemination == Dissemination.PASS_ON) {
+        if (dissemination == Dissemination.DISSEMINATE) {
             disseminate(changed);
         } else {
             gossip.remove(changed);
@@ -213,7 +220,10 @@
         gossip.add(record, settings.transmitLimit(table.liveCount() + 1));
     }
 
-    /** It grows with the members that are known and while this member's own health is poor. */
+    /**
+     * Returns the suspicion time-out, which grows with the number of known members and while this member's own health
+     * is poor.
+     */
     private long suspicionTimeoutNanos() {
         return settings.suspicionTimeoutNanos(table.liveCount() + 1) * health.multiplier();
     }
--- a/coordination/src/main/java/burlarch/coordination/membership/swim/MessageHandler.java
+++ b/coordination/src/main/java/burlarch/coordination/membership/swim/MessageHandler.java
@@ -3,9 +3,11 @@
 import burlarch.coordination.membership.MemberUpdate;
 import burlarch.coordination.membership.SwimMessage;
 
-/** Handles the messages of other members: applies their updates, then responds by the kind of message. */
+/**
+ * The handler of messages from other members: applies their updates, then responds according to the kind of message.
+ */
 final class MessageHandler {
-    /** How many members get the own update at once when this member arrives, leaves or refutes. */
+    /** Number of members that receive the own update directly when this member joins, leaves or refutes. */
     private static final int ANNOUNCEMENTS = 8;
 
     private final MembershipView view;
@@ -27,7 +29,11 @@
         this.lifecycle = lifecycle;
     }
 
-    /** @param from the sender's address, IP:PORT */
+    /**
+     * Handles a message.
+     *
+     * @param from the sender's address, IP:PORT
+     */
     void onMessage(String from, SwimMessage message, long nowNanos) {
         lifecycle.on(MembershipLifecycle.Event.MESSAGE_RECEIVED);
         if (message instanceof SwimMessage.SyncRequest) {
@@ -44,7 +50,7 @@
         }
     }
 
-    /** Sends the own update to some members at once, rather than by gossip alone. */
+    /** Sends the own update directly to some members, in addition to gossip. */
     void announce() {
         for (MemberRecord member : detector.targets().randomAlive(ANNOUNCEMENTS)) {
             outgoing.ownUpdate(member.info().address());
@@ -65,8 +71,8 @@
         }
         MemberRecord sender = view.table().findByProcess(message.header().processId());
         if (message instanceof SwimMessage.Ping ping) {
-            MemberUpdate first = sender == null ? null : FailureDetector.updateToRefute(sender);
-            outgoing.ack(from, ping.sequence(), view.ownUpdate().info().processId(), first);
+            MemberUpdate updateToRefute = sender == null ? null : FailureDetector.updateToRefute(sender);
+            outgoing.ack(from, ping.sequence(), view.ownUpdate().info().processId(), updateToRefute);
         } else if (message instanceof SwimMessage.Ack ack) {
             detector.onAck(ack, nowNanos);
         } else if (message instanceof SwimMessage.PingRequest request) {
--- a/coordination/src/main/java/burlarch/coordination/membership/swim/OutgoingDatagrams.java
+++ b/coordination/src/main/java/burlarch/coordination/membership/swim/OutgoingDatagrams.java
@@ -7,7 +7,10 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** Builds messages, piggybacks updates on them, and collects their datagrams until the step ends. */
+/**
+ * The outgoing messages of the present step: builds them, piggybacks updates on them, and collects their datagrams
+ * until the step ends.
+ */
 final class OutgoingDatagrams {
     private final MembershipView view;
     private final int maxDatagramBytes;
@@ -18,12 +21,20 @@
         this.maxDatagramBytes = maxDatagramBytes;
     }
 
-    /** @param first update that has to be in the message, or null */
+    /**
+     * Sends a ping.
+     *
+     * @param first update that the message has to carry, or null
+     */
     void ping(String to, int sequence, long targetProcessId, MemberUpdate first) {
         add(to, new SwimMessage.Ping(view.header(), sequence, targetProcessId, piggybacked(first)));
     }
 
-    /** @param first update that has to be in the message, or null */
+    /**
+     * Sends an ack.
+     *
+     * @param first update that the message has to carry, or null
+     */
     void ack(String to, int sequence, long subjectProcessId, MemberUpdate first) {
         add(to, new SwimMessage.Ack(view.header(), sequence, subjectProcessId, piggybacked(first)));
     }
@@ -42,20 +53,20 @@
         add(to, new SwimMessage.SyncRequest(view.header(), List.of(view.ownUpdate())));
     }
 
-    /** The own update alone. */
+    /** Sends the own update alone, as a table page. */
     void ownUpdate(String to) {
         add(to, new SwimMessage.SyncPage(view.header(), List.of(view.ownUpdate())));
     }
 
-    /** The whole table on as many pages as it needs. */
+    /** Sends the whole table, on as many pages as it needs. */
     void syncPages(String to) {
-        List<MemberUpdate> page = updatesBeginningWith(view.ownUpdate());
+        List<MemberUpdate> page = listStartingWith(view.ownUpdate());
         int bytesLeft = bytesLeftAfter(view.ownUpdate());
         for (MemberRecord record : view.table().records()) {
             int size = SwimCodec.sizeOf(record.update);
             if (size > bytesLeft) {
                 add(to, new SwimMessage.SyncPage(view.header(), page));
-                page = updatesBeginningWith(view.ownUpdate());
+                page = listStartingWith(view.ownUpdate());
                 bytesLeft = bytesLeftAfter(view.ownUpdate());
             }
             page.add(record.update);
@@ -64,7 +75,7 @@
         add(to, new SwimMessage.SyncPage(view.header(), page));
     }
 
-    /** The datagrams since the last call, in their order. */
+    /** Removes and returns the datagrams since the last call, in order. */
     List<SwimStep.Datagram> take() {
         if (datagrams.isEmpty()) {
             return List.of();
@@ -78,12 +89,12 @@
         if (first == null && view.gossip().isEmpty()) {
             return List.of();
         }
-        List<MemberUpdate> updates = updatesBeginningWith(first);
+        List<MemberUpdate> updates = listStartingWith(first);
         view.gossip().takeUpdates(bytesLeftAfter(first), updates);
         return updates;
     }
 
-    private static List<MemberUpdate> updatesBeginningWith(MemberUpdate first) {
+    private static List<MemberUpdate> listStartingWith(MemberUpdate first) {
         List<MemberUpdate> updates = new ArrayList<>();
         if (first != null) {
             updates.add(first);
--- a/coordination/src/main/java/burlarch/coordination/membership/swim/Probe.java
+++ b/coordination/src/main/java/burlarch/coordination/membership/swim/Probe.java
@@ -1,7 +1,7 @@
 package burlarch.coordination.membership.swim;
 
 /**
- * The own probe of one member.
+ * A probe of one member by this member.
  *
  * <pre>
  * from      event                                          to
@@ -14,18 +14,18 @@
  * </pre>
  */
 final class Probe {
-    /** How far the probe is. */
+    /** The phase of a probe. */
     enum Phase {
-        /** The target was pinged; no other member was asked to probe it yet. */
+        /** The target was pinged; no other member has been asked to probe it yet. */
         DIRECT,
-        /** Others were asked to probe the target too. */
+        /** Other members were asked to probe the target too. */
         INDIRECT,
-        /** The result is known, or given up. */
+        /** The result is known, or the probe was abandoned. */
         ENDED
     }
 
     final MemberRecord target;
-    /** The target's process when the probe began; by the end it may have been replaced. */
+    /** The target's process when the probe began; another process may replace it during the probe. */
     final long targetProcessId;
 
     final int sequence;
@@ -55,14 +55,14 @@
         return (phase == Phase.DIRECT ? directDeadlineNanos : deadlineNanos) - nowNanos;
     }
 
-    /** Whether the target's present process is the one that was probed. */
+    /** Returns whether the target's present process is the one that was probed. */
     boolean isOfPresentProcess() {
         return target.info().processId() == targetProcessId;
     }
 
-    void onIndirectRequested(int members) {
+    void onIndirectRequested(int count) {
         phase = Phase.INDIRECT;
-        indirectRequests = members;
+        indirectRequests = count;
     }
 
     void onNack() {
@@ -77,7 +77,10 @@
         return phase == Phase.ENDED;
     }
 
-    /** Whether none of the members that were asked sent even a nack: a sign that this member is at fault itself. */
+    /**
+     * Returns whether no member that was asked sent even a nack, which is evidence that this member itself is at
+     * fault.
+     */
     boolean gotNoIndirectResponse() {
         return indirectRequests > 0 && nacksReceived == 0;
     }
--- a/coordination/src/main/java/burlarch/coordination/membership/swim/ProbeTargetSelector.java
+++ b/coordination/src/main/java/burlarch/coordination/membership/swim/ProbeTargetSelector.java
@@ -7,8 +7,8 @@
 import java.util.Random;
 
 /**
- * Chooses whom to probe: every live member once per pass, in a random order that each pass draws anew. So the time
- * until a failed member is probed is bounded by two passes (SWIM's round-robin probe target selection).
+ * The selector of probe targets: every live member once per pass, in a random order that is drawn anew for each pass.
+ * So a failed member is probed within two passes (SWIM's round-robin probe target selection).
  */
 final class ProbeTargetSelector {
     private final MemberTable table;
@@ -21,7 +21,7 @@
         this.random = random;
     }
 
-    /** The next live member, or null where there is none. */
+    /** Returns the next live member, or null if there is none. */
     MemberRecord next() {
         for (int passes = 0; passes < 2; passes++) {
             while (!remaining.isEmpty()) {
@@ -42,12 +42,12 @@
         }
     }
 
-    /** Up to {@code count} random ALIVE members. */
+    /** Returns up to {@code count} random ALIVE members. */
     List<MemberRecord> randomAlive(int count) {
         return randomAliveExcept(null, count);
     }
 
-    /** Up to {@code count} random ALIVE members other than {@code except}. */
+    /** Returns up to {@code count} random ALIVE members other than {@code except}. */
     List<MemberRecord> randomAliveExcept(MemberRecord except, int count) {
         List<MemberRecord> candidates = new ArrayList<>();
         for (MemberRecord record : table.records()) {
@@ -55,14 +55,14 @@
                 candidates.add(record);
             }
         }
-        List<MemberRecord> drawn = new ArrayList<>(count);
-        while (drawn.size() < count && !candidates.isEmpty()) {
+        List<MemberRecord> selected = new ArrayList<>(count);
+        while (selected.size() < count && !candidates.isEmpty()) {
             int index = random.nextInt(candidates.size());
-            drawn.add(candidates.get(index));
+            selected.add(candidates.get(index));
             candidates.set(index, candidates.get(candidates.size() - 1));
             candidates.remove(candidates.size() - 1);
         }
-        return drawn;
+        return selected;
     }
 
     private void refill() {
--- a/coordination/src/main/java/burlarch/coordination/membership/swim/Reconnector.java
+++ b/coordination/src/main/java/burlarch/coordination/membership/swim/Reconnector.java
@@ -6,12 +6,12 @@
 import java.util.Random;
 
 /**
- * Looks for members that can't be probed, as they are unknown or dead here: at the start through the seeds, later so
- * that the sides of a healed partition meet again. All live members together try a bounded number of addresses a
- * period.
+ * The reconnection to members that are not probed because they are unknown or dead here: at the start through the
+ * seeds, later so that the sides of a healed partition find each other. All live members together try a bounded
+ * number of addresses per period.
  */
 final class Reconnector {
-    /** Dead members, and contact points, that all live members together try in a period. */
+    /** Number of dead members, and of contact points, that all live members together try per period. */
     private static final int ATTEMPTS_PER_PERIOD = 4;
 
     private static final int STARTUP_PERIODS = 20;
@@ -44,7 +44,7 @@
         startedAtNanos = nowNanos;
     }
 
-    /** Called once a period. */
+    /** Tries some contact points and dead members. Called once per probe period. */
     void onPeriod(long nowNanos) {
         for (String address : view.forgetEnded(nowNanos)) {
             contactPoints.addLost(address);
@@ -53,12 +53,15 @@
         pingDeadMembers();
     }
 
-    /** A member became live in the view. */
+    /** Records that a member became live in the view. */
     void onAppeared(MemberInfo member) {
         contactPoints.removeLost(member.address());
     }
 
-    /** At the start all contact points, each period; later one, by so few members that the bound holds. */
+    /**
+     * Tries contact points: at the start all of them in each period, later one, with a probability that keeps all
+     * members together within {@link #ATTEMPTS_PER_PERIOD}.
+     */
     private void tryContactPoints(long nowNanos) {
         boolean starting = nowNanos - startedAtNanos < STARTUP_PERIODS * settings.probePeriodNanos();
         if (!starting && random.nextDouble() * (view.table().liveCount() + 1) >= ATTEMPTS_PER_PERIOD) {
@@ -81,12 +84,14 @@
         }
     }
 
-    /** Pings some dead members with the update on them: after a partition has healed they need it to refute it. */
+    /**
+     * Pings some dead members with the update about them, which they need to refute it after a partition has healed.
+     */
     private void pingDeadMembers() {
         List<MemberRecord> ended = view.table().ended();
-        double ownPart =
+        double ownAttempts =
                 (double) ATTEMPTS_PER_PERIOD * ended.size() / (view.table().liveCount() + 1);
-        int attempts = (int) (Math.min(ATTEMPTS_PER_PERIOD, ownPart) + random.nextDouble());
+        int attempts = (int) (Math.min(ATTEMPTS_PER_PERIOD, ownAttempts) + random.nextDouble());
         for (int i = 0; i < attempts && !ended.isEmpty(); i++) {
             MemberRecord record = ended.get(random.nextInt(ended.size()));
             if (record.state() == MemberState.DEAD) {
--- a/coordination/src/main/java/burlarch/coordination/membership/swim/Swim.java
+++ b/coordination/src/main/java/burlarch/coordination/membership/swim/Swim.java
@@ -11,24 +11,25 @@
 import java.util.Random;
 
 /**
- * One member of a SWIM group: takes datagrams and timer calls in, and gives datagrams and changes of members out.
+ * A member of a SWIM group, as a state machine: its inputs are datagrams and timer calls, its outputs datagrams and
+ * changes of members.
  *
- * <p>Each member probes one other per period, directly and then through other members. One that doesn't answer becomes
- * SUSPECT and may refute until the suspicion time-out, when it becomes DEAD. Updates are piggybacked on the probes.
- * Where digests differ although no gossip is under way, members exchange their tables.
+ * <p>Each member probes one other member per period, directly and then through other members. A member that does not
+ * answer becomes SUSPECT and may refute until the suspicion time-out, when it becomes DEAD. Updates are piggybacked
+ * on the probes. When digests differ although no gossip is pending, members exchange their tables.
  *
- * <p>Invariants, beside those of {@link MembershipView} and {@link MemberTable}:
+ * <p>Invariants, in addition to those of {@link MembershipView} and {@link MemberTable}:
  *
  * <ul>
- *   <li><em>Own pauses prove nothing</em>: a process that stood still abandons its probes without a result, and all its
- *       suspicions begin anew.
+ *   <li><em>Own pauses prove nothing</em>: a process that was paused abandons its probes without a result, and
+ *       restarts all its suspicions.
  *   <li><em>Determinism</em>: the output depends only on the inputs, their times and the random seed.
  * </ul>
  *
  * <p>Times are nanoseconds of one monotonic clock. Not thread-safe.
  */
 public final class Swim {
-    /** A period's length varies at random by up to this fraction, so that not all members probe at the same time. */
+    /** Fraction by which a period's length varies at random, so that not all members probe at the same time. */
     private static final double JITTER = 0.1;
 
     private final SwimSettings settings;
@@ -46,8 +47,10 @@
     private long droppedDatagrams;
 
     /**
-     * @param seeds addresses, IP:PORT, at which other members may be; the own one among them is ignored
-     * @param randomSeed seed of the order of probes; need not be secret
+     * Creates a member that has not joined yet.
+     *
+     * @param seeds addresses, IP:PORT, at which other members may be; the own address is ignored
+     * @param randomSeed seed of the random choices, such as the order of probes; need not be secret
      */
     public Swim(MemberInfo own, List<String> seeds, SwimSettings settings, long randomSeed, long nowNanos) {
         this.settings = settings;
@@ -64,12 +67,13 @@
     }
 
     /**
-     * Handles a datagram. One that is no message is counted and dropped; the own ones are ignored.
+     * Handles a datagram. One that is not a valid message is counted and dropped; messages of this process itself are
+     * ignored.
      *
      * @param from the sender's address, IP:PORT, to which responses go
      */
     public SwimStep onDatagram(String from, byte[] datagram, long nowNanos) {
-        noticePause(nowNanos);
+        detectPause(nowNanos);
         Optional<SwimMessage> message = SwimCodec.decode(datagram);
         if (message.isEmpty()) {
             droppedDatagrams++;
@@ -80,11 +84,11 @@
     }
 
     /**
-     * Does what is due. Call it at once to start, and then at each step's {@link SwimStep#wakeUpAtNanos}; an earlier
-     * call is harmless.
+     * Performs everything that is due. Call it once to start, and then at each step's {@link SwimStep#wakeUpAtNanos};
+     * an earlier call is harmless.
      */
     public SwimStep onTimer(long nowNanos) {
-        noticePause(nowNanos);
+        detectPause(nowNanos);
         if (!lifecycle.hasLeft()) {
             view.declareOverdueDead(nowNanos);
             detector.onTimer(nowNanos);
@@ -95,7 +99,7 @@
         return step(nowNanos);
     }
 
-    /** Tells some members that this one leaves. After that it neither sends nor changes anything. */
+    /** Leaves the group: announces it to some members. After that this member neither sends nor changes anything. */
     public SwimStep leave(long nowNanos) {
         if (lifecycle.on(MembershipLifecycle.Event.LEAVE_REQUESTED)) {
             view.leave();
@@ -105,7 +109,7 @@
         return step(nowNanos);
     }
 
-    /** Whether another member was heard of since the start; false after {@link #leave}. */
+    /** Returns whether a message of another member was received since the start; false after {@link #leave}. */
     public boolean joined() {
         return lifecycle.hasJoined();
     }
@@ -115,7 +119,7 @@
         return view.ownUpdate().info();
     }
 
-    /** The live members without this one, in no order. */
+    /** Returns the live members without this one, in no order. */
     public List<MemberInfo> members() {
         List<MemberInfo> live = new ArrayList<>();
         for (MemberRecord record : view.table().records()) {
@@ -126,17 +130,17 @@
         return live;
     }
 
-    /** The member's state in this local view, empty where the member isn't known. */
+    /** Returns the member's state in this local view, empty if the member is not known. */
     public Optional<MemberState> stateOf(String name) {
         return Optional.ofNullable(view.table().findByName(name)).map(MemberRecord::state);
     }
 
-    /** Datagrams that were no message, since the start. */
+    /** Returns the number of datagrams since the start that were not valid messages. */
     public long droppedDatagrams() {
         return droppedDatagrams;
     }
 
-    /** Members that did not fit into the table, since the start. */
+    /** Returns the number of members since the start that were rejected because the table was full. */
     public long rejectedMembers() {
         return view.table().rejected();
     }
@@ -154,8 +158,11 @@
         nextPeriodAtNanos = nowNanos + (long) (lengthNanos * (1 + jitter));
     }
 
-    /** A call that comes much too late shows that this process stood still, not that others don't respond. */
-    private void noticePause(long nowNanos) {
+    /**
+     * Detects a pause: a call that comes much too late shows that this process was paused, not that others do not
+     * respond.
+     */
+    private void detectPause(long nowNanos) {
         if (nowNanos - wakeUpAtNanos <= settings.probeTimeoutNanos()) {
             return;
         }
--- a/coordination/src/main/java/burlarch/coordination/membership/swim/SwimStep.java
+++ b/coordination/src/main/java/burlarch/coordination/membership/swim/SwimStep.java
@@ -5,11 +5,11 @@
 import java.util.List;
 
 /**
- * What one input of {@link Swim} led to.
+ * The output of one input to {@link Swim}.
  *
- * @param datagrams to send, in this order; the protocol bears the loss of any
- * @param changes of other members, in the order in which they happened
- * @param wakeUpAtNanos when {@link Swim#onTimer} is to be called, in the time of the inputs
+ * @param datagrams datagrams to send, in this order; the protocol tolerates the loss of any
+ * @param changes changes of other members, in the order in which they happened
+ * @param wakeUpAtNanos when to call {@link Swim#onTimer}, on the clock of the inputs
  */
 public record SwimStep(List<Datagram> datagrams, List<MemberChange> changes, long wakeUpAtNanos) {
     /**
--- a/coordination/src/main/java/burlarch/coordination/ownership/LeaseState.java
+++ b/coordination/src/main/java/burlarch/coordination/ownership/LeaseState.java
@@ -20,16 +20,16 @@
 public enum LeaseState {
     /** Not owned here and not claimed. */
     UNCLAIMED,
-    /** A claim is on its way to the register. */
+    /** A claim was sent to the register. */
     CLAIMING,
     /** The register names this process as owner; the previous owner may still act. */
     AWAITING_EXPIRY,
     /** Owned here; see {@link OwnershipLease#mayAct}. */
     OWNED,
-    /** Owned here before and no longer; {@link OwnershipLease#release} makes way for another claim. */
+    /** No longer owned here; {@link OwnershipLease#release} permits another claim. */
     LOST;
 
-    /** What moves a lease from one state to the next. */
+    /** An event that moves a lease from one state to the next. */
     enum Event {
         /** A claim was sent to the register. */
         CLAIM_SENT,
@@ -39,18 +39,18 @@
         GRANTED_FREE,
         /** The register accepted the claim, and the previous owner may still act. */
         GRANTED_IN_USE,
-        /** The previous owner's lease is over. */
+        /** The previous owner's lease has expired. */
         WAIT_ELAPSED,
         /** The register names another owner, or a higher token. */
         SUPERSEDED,
         /** The register has not confirmed the ownership for a complete lease. */
         EXPIRED,
-        /** This process gives the ownership up, or acknowledges that it was lost. */
+        /** This process releases the ownership, or acknowledges its loss. */
         RELEASED
     }
 
     /**
-     * The state after an event.
+     * Returns the state after an event.
      *
      * @throws IllegalStateException when the event cannot happen in this state
      */
@@ -84,7 +84,7 @@
         };
     }
 
-    /** Whether the register has accepted this process as owner, as far as is known here. */
+    /** Returns whether the register has accepted this process as owner, as far as is known here. */
     public boolean isGranted() {
         return this == AWAITING_EXPIRY || this == OWNED;
     }
--- a/coordination/src/main/java/burlarch/coordination/ownership/OwnershipLease.java
+++ b/coordination/src/main/java/burlarch/coordination/ownership/OwnershipLease.java
@@ -4,28 +4,28 @@
 import java.util.Optional;
 
 /**
- * One process's lease on a singleton role, which only one process may perform at a time. The register names the
- * owner and issues the fencing token; this class decides when the owner may act. See {@link LeaseState} for the
- * states and their transitions.
+ * One process's lease on a singleton role, which only one process may perform at a time. The register names the owner
+ * and issues the fencing token; this class decides when the owner may act. See {@link LeaseState} for the states and
+ * their transitions.
  *
- * <p>Invariant OneLeaseApart: between the last act of an owner and the first act of the next one lies a
- * complete lease. The owner acts only for a quarter of a lease after it <em>requested</em> the view of the
- * register that last showed it as owner. The next owner's claim is accepted after that view was formed, and the
- * next owner waits that quarter and a complete lease from when it learned of the acceptance. So the previous
- * owner has stopped one lease before.
+ * <p>Invariant OneLeaseApart: at least one complete lease passes between the last act of an owner and the first act
+ * of the next one. The owner acts only for a quarter of a lease after it <em>requested</em> the view of the register
+ * that last showed it as owner. The next owner's claim is accepted after that view was formed, and the next owner
+ * waits for that quarter plus a complete lease after it learned of the acceptance. So the previous owner has stopped
+ * one lease earlier.
  *
- * <p>Times are nanoseconds of a monotonic clock. Not safe for use by several threads.
+ * <p>Times are nanoseconds of a monotonic clock. Not thread-safe.
  */
 public final class OwnershipLease {
     /**
-     * The owner acts for this fraction of a lease without a new look at the register. The next owner waits it
-     * out in addition to the lease.
+     * The owner acts for a lease divided by this without reading the register again. The next owner waits for that
+     * time in addition to the lease.
      */
     private static final int ACTING_FRACTION_DIVISOR = 4;
 
     private final String self;
     private final long leaseNanos;
-    private final long actNanos;
+    private final long actingNanos;
     private LeaseState state = LeaseState.UNCLAIMED;
     private long token;
     private long grantedAtNanos;
@@ -34,26 +34,27 @@
     /**
      * Creates a lease that is not claimed.
      *
-     * @param self how the register names this process; a new name for each start, so that a restarted process
-     *     waits its former self out
-     * @param leaseNanos length of a lease, the same for all processes
+     * @param self how the register names this process; a new name for each start, so that a restarted process waits
+     *     until the lease of its former run has expired
+     * @param leaseNanos length of a lease in nanoseconds, the same for all processes
      */
     public OwnershipLease(String self, long leaseNanos) {
         this.self = self;
         this.leaseNanos = leaseNanos;
-        actNanos = leaseNanos / ACTING_FRACTION_DIVISOR;
+        actingNanos = leaseNanos / ACTING_FRACTION_DIVISOR;
     }
 
     /**
-     * How long a new owner waits from its accepted claim before it acts: a complete lease, and the acting time.
+     * Returns the nanoseconds that a new owner waits after its claim was accepted before it acts: a complete lease
+     * plus the acting time.
      */
     public long takeoverWaitNanos() {
-        return leaseNanos + actNanos;
+        return leaseNanos + actingNanos;
     }
 
     /**
-     * Notes that a claim is sent to the register now. Returns false, without an effect, unless it is unclaimed
-     * here.
+     * Records that a claim is sent to the register now. Returns false, without effect, unless the state is
+     * {@link LeaseState#UNCLAIMED}.
      */
     public boolean beginClaim() {
         if (state != LeaseState.UNCLAIMED) {
@@ -64,12 +65,12 @@
     }
 
     /**
-     * Notes that the register accepted the claim. Has no effect unless a claim is under way.
+     * Records that the register accepted the claim. Has no effect unless a claim is pending.
      *
-     * @param grantedToken higher than each token before it
+     * @param grantedToken the fencing token, higher than every token before it
      * @param previousOwner the owner that may still act; empty when there is none
      * @param requestedAtNanos when this process sent the claim
-     * @param nowNanos when the response came
+     * @param nowNanos when the response was received
      */
     public void onClaimAccepted(
             long grantedToken, Optional<String> previousOwner, long requestedAtNanos, long nowNanos) {
@@ -83,7 +84,10 @@
         state = state.after(free ? Event.GRANTED_FREE : Event.GRANTED_IN_USE);
     }
 
-    /** Notes that the register did not accept the claim, or did not respond. Has no effect without a claim. */
+    /**
+     * Records that the register did not accept the claim, or did not respond. Has no effect unless a claim is
+     * pending.
+     */
     public void onClaimFailed() {
         if (state == LeaseState.CLAIMING) {
             state = state.after(Event.CLAIM_REJECTED);
@@ -91,24 +95,24 @@
     }
 
     /**
-     * Notes what a quorum showed the register to hold. A view that is older than the claim has no effect.
+     * Records what a read of the register from a quorum returned. A read requested before the claim has no effect.
      *
      * @param owner the owner that the register names
-     * @param shownToken the owner's token
-     * @param requestedAtNanos when this process requested that view
+     * @param readToken the owner's token
+     * @param requestedAtNanos when this process requested that read
      */
-    public void onRegisterRead(String owner, long shownToken, long requestedAtNanos) {
+    public void onRegisterRead(String owner, long readToken, long requestedAtNanos) {
         if (!state.isGranted()) {
             return;
         }
-        if (shownToken > token || shownToken == token && !self.equals(owner)) {
+        if (readToken > token || readToken == token && !self.equals(owner)) {
             state = state.after(Event.SUPERSEDED);
-        } else if (shownToken == token && requestedAtNanos - confirmedAtNanos > 0) {
+        } else if (readToken == token && requestedAtNanos - confirmedAtNanos > 0) {
             confirmedAtNanos = requestedAtNanos;
         }
     }
 
-    /** Lets the time that has passed take effect. To be called before {@link #state()} is relied on. */
+    /** Applies the passing of time. Call it before relying on {@link #state()}. */
     public void onTimer(long nowNanos) {
         if (state.isGranted() && nowNanos - confirmedAtNanos >= leaseNanos) {
             state = state.after(Event.EXPIRED);
@@ -117,29 +121,32 @@
         }
     }
 
-    /** Gives the ownership up, or acknowledges that it was lost. */
+    /** Releases the ownership, or acknowledges its loss. */
     public void release() {
         if (state != LeaseState.UNCLAIMED) {
             state = state.after(Event.RELEASED);
         }
     }
 
-    /** Whether the owner may act at this moment. To be asked before each act. */
+    /** Returns whether this process may act as owner at this time. Check it before each act. */
     public boolean mayAct(long nowNanos) {
-        return state == LeaseState.OWNED && nowNanos - confirmedAtNanos < actNanos;
+        return state == LeaseState.OWNED && nowNanos - confirmedAtNanos < actingNanos;
     }
 
-    /** When the register should be read again, so that the owner never has to pause. */
+    /**
+     * Returns when the register should be read again so that the owner does not have to pause, in nanoseconds of the
+     * monotonic clock.
+     */
     public long confirmByNanos() {
-        return confirmedAtNanos + actNanos / 2;
+        return confirmedAtNanos + actingNanos / 2;
     }
 
-    /** The present state. */
+    /** Returns the present state. */
     public LeaseState state() {
         return state;
     }
 
-    /** The fencing token that the owner's requests carry; without meaning before a claim was accepted. */
+    /** Returns the fencing token that the owner's requests carry; undefined before a claim was accepted. */
     public long token() {
         return token;
     }
--- a/coordination/src/main/java/burlarch/coordination/ownership/RendezvousAssignment.java
+++ b/coordination/src/main/java/burlarch/coordination/ownership/RendezvousAssignment.java
@@ -8,11 +8,11 @@
 import java.util.TreeSet;
 
 /**
- * Assigns keys to members by rendezvous hashing: each member has a score for each key, and the member with the
- * highest score owns the key. Immutable.
+ * An assignment of keys to members by rendezvous hashing: each member has a score for each key, and the member with
+ * the highest score owns the key. Immutable.
  *
- * <p>Processes that know the same members agree on all owners without a message. When a member leaves, only its
- * own keys move.
+ * <p>Processes that know the same members agree on all owners without exchanging messages. When a member leaves, only
+ * its own keys move.
  */
 public final class RendezvousAssignment {
     private static final long FNV_OFFSET = 0xCBF29CE484222325L;
@@ -23,10 +23,10 @@
     private final List<String> keys;
 
     /**
-     * Assigns keys to members; the order of the members has no effect.
+     * Creates an assignment; the order of the members has no effect.
      *
-     * @param members names of those that share the keys
-     * @param keys the keys that {@link #keysOf} divides; {@link #ownerOf} answers for any other key too
+     * @param members names of the members that share the keys
+     * @param keys the keys that {@link #keysOf} divides; {@link #ownerOf} accepts any other key too
      */
     public RendezvousAssignment(Collection<String> members, Collection<String> keys) {
         this.members = List.copyOf(new TreeSet<>(members));
@@ -37,7 +37,7 @@
         }
     }
 
-    /** Assigns keys to those of the members that have this role. */
+    /** Creates an assignment to those of the members that have this role. */
     public static RendezvousAssignment ofRole(String role, Collection<MemberInfo> members, Collection<String> keys) {
         List<String> names = new ArrayList<>();
         for (MemberInfo member : members) {
@@ -48,27 +48,27 @@
         return new RendezvousAssignment(names, keys);
     }
 
-    /** The name of the key's owner; empty when there is no member. */
+    /** Returns the name of the key's owner; empty when there is no member. */
     public Optional<String> ownerOf(String key) {
         long keyHash = hash(key);
         String owner = null;
-        long best = Long.MIN_VALUE;
+        long highestScore = Long.MIN_VALUE;
         for (int i = 0; i < memberHashes.length; i++) {
             long score = mix(memberHashes[i] ^ keyHash);
-            if (owner == null || score > best) {
+            if (owner == null || score > highestScore) {
                 owner = members.get(i);
-                best = score;
+                highestScore = score;
             }
         }
         return Optional.ofNullable(owner);
     }
 
-    /** A member's score for a key, from 0 to below 1; the same in all processes. */
+    /** Returns a member's score for a key, from 0 to below 1; the same in all processes. */
     public static double score(String member, String key) {
         return (mix(hash(member) ^ hash(key)) >>> 11) * 0x1.0p-53;
     }
 
-    /** The keys that this member owns, in their given order. */
+    /** Returns the keys that this member owns, in their given order. */
     public List<String> keysOf(String member) {
         List<String> owned = new ArrayList<>();
         for (String key : keys) {
@@ -79,7 +79,7 @@
         return owned;
     }
 
-    /** FNV-1a over the characters, mixed. */
+    /** FNV-1a over the characters, followed by {@link #mix}. */
     private static long hash(String text) {
         long hash = FNV_OFFSET;
         for (int i = 0; i < text.length(); i++) {
@@ -88,10 +88,10 @@
         return mix(hash);
     }
 
-    /** The finalizer of SplitMix64. */
+    /** Applies the finalizer of SplitMix64. */
     private static long mix(long value) {
-        long z = (value ^ value >>> 30) * 0xBF58476D1CE4E5B9L;
-        z = (z ^ z >>> 27) * 0x94D049BB133111EBL;
-        return z ^ z >>> 31;
+        long mixed = (value ^ value >>> 30) * 0xBF58476D1CE4E5B9L;
+        mixed = (mixed ^ mixed >>> 27) * 0x94D049BB133111EBL;
+        return mixed ^ mixed >>> 31;
     }
 }
--- a/coordination/src/main/java/burlarch/coordination/register/Acceptor.java
+++ b/coordination/src/main/java/burlarch/coordination/register/Acceptor.java
@@ -6,20 +6,20 @@
 import burlarch.coordination.register.RegisterMessage.PrepareResponse;
 
 /**
- * One acceptor of the register, bound to one disk.
+ * An acceptor of the replicated register, bound to one disk.
  *
- * <p>The acceptor computes only. For each request its caller makes {@link AcceptorTransition#state()} durable,
- * then calls {@link #onPersisted} and sends the response. When the disk refuses the write, the caller drops the
- * transition and the acceptor is as before. The caller handles requests one at a time: it passes the next
- * request only after the previous transition was persisted or dropped.
+ * <p>The acceptor does no I/O. For each request its caller makes {@link AcceptorTransition#state()} durable, then
+ * calls {@link #onPersisted} and sends the response. If the disk write fails, the caller drops the transition and the
+ * acceptor keeps its state. The caller handles requests one at a time: it passes the next request only after the
+ * previous transition was persisted or dropped.
  *
- * <p>Invariant DurableBeforeResponse: a response tells only of state that is durable. A proposer may therefore
- * count it also after this process has restarted.
+ * <p>Invariant DurableBeforeResponse: a response reports only durable state, so a proposer may count it even after
+ * this process has restarted.
  *
- * <p>A request with a proposal number that was granted before is a repeated message of the same proposal
+ * <p>A request with a proposal number that was granted before is a duplicate of a message of the same proposal
  * (UniqueNumber); the acceptor grants it again without a write.
  *
- * <p>Not safe for use by several threads.
+ * <p>Not thread-safe.
  */
 public final class Acceptor {
     private final String storageId;
@@ -29,40 +29,38 @@
      * Creates the acceptor of a disk.
      *
      * @param storageId identity of the disk; a disk that comes back empty must have a new one
-     * @param state what the disk holds
+     * @param state the state that the disk holds
      */
     public Acceptor(String storageId, AcceptorState state) {
         this.storageId = storageId;
         this.state = state;
     }
 
-    /** The identity of the acceptor's disk. */
+    /** Returns the identity of the acceptor's disk. */
     public String storageId() {
         return storageId;
     }
 
-    /** The state that was persisted last. */
+    /** Returns the last state that was made durable. */
     public AcceptorState state() {
         return state;
     }
 
-    /**
-     * Phase one: grants the proposal number unless a higher one was granted, and reports the accepted value.
-     */
+    /** Phase one: grants the proposal number unless a higher one was granted before, and reports the accepted value. */
     public AcceptorTransition onPrepare(PrepareRequest request) {
         ProposalNumber number = request.proposalNumber();
         if (number.compareTo(state.prepared()) < 0) {
             return AcceptorTransition.unchanged(state, rejection(request));
         }
         RegisterMessage response = new PrepareResponse(
-                request.callId(), storageId, true, number, state.accepted(), valueUnknownTo(request));
+                request.callId(), storageId, true, number, state.accepted(), valueIfUnknownTo(request));
         if (number.equals(state.prepared())) {
             return AcceptorTransition.unchanged(state, response);
         }
         return AcceptorTransition.changedTo(new AcceptorState(number, state.accepted(), state.value()), response);
     }
 
-    /** Phase two: accepts the value unless a higher proposal number was granted. */
+    /** Phase two: accepts the value unless a higher proposal number was granted before. */
     public AcceptorTransition onAccept(AcceptRequest request) {
         ProposalNumber number = request.proposalNumber();
         if (number.compareTo(state.prepared()) < 0) {
@@ -76,16 +74,16 @@
         return AcceptorTransition.changedTo(new AcceptorState(number, number, request.value()), response);
     }
 
-    /** Adopts the state of a transition. To be called once it is durable, before the response is sent. */
+    /** Adopts the state of a transition. Call it once that state is durable, before the response is sent. */
     public void onPersisted(AcceptorState durable) {
         state = durable;
     }
 
     /**
-     * The accepted value, or null when the proposer holds it or a newer one: it then needs the number alone, which
-     * shows that nothing newer was accepted here.
+     * Returns the accepted value, or null when the proposer holds that value or a newer one: it then needs only the
+     * proposal number, which shows that nothing newer was accepted here.
      */
-    private RegisterValue valueUnknownTo(PrepareRequest request) {
+    private RegisterValue valueIfUnknownTo(PrepareRequest request) {
         boolean isKnown = request.known() != null && state.accepted().compareTo(request.known()) <= 0;
         return isKnown ? null : state.value();
     }
--- a/coordination/src/main/java/burlarch/coordination/register/RegisterMessage.java
+++ b/coordination/src/main/java/burlarch/coordination/register/RegisterMessage.java
@@ -1,32 +1,31 @@
 package burlarch.coordination.register;
 
 /**
- * The messages between proposers and acceptors. A message may be lost, repeated or overtaken by another one.
+ * The messages between proposers and acceptors. A message may be lost, duplicated or reordered.
  *
- * <p>Each request has a {@code callId}, which is unique within its proposal; the response repeats it. The names
- * of the components on the wire are those of earlier releases; the transport maps them.
+ * <p>Each request has a {@code callId}, unique within its proposal, which the response echoes. On the wire the
+ * components have the names of earlier releases; the transport maps them.
  */
 public sealed interface RegisterMessage {
     /**
-     * Phase one: asks an acceptor to reject lower proposal numbers from now on, and to report what it accepted
-     * last.
+     * Phase one: asks an acceptor to reject lower proposal numbers from now on, and to report what it accepted last.
      *
-     * @param known proposal number of the newest value that the proposer holds; null when it holds none. Values up to
-     *     that number are reported by their number alone
+     * @param known proposal number of the newest value that the proposer holds; null when it holds none. The acceptor
+     *     reports values up to that number by their number alone
      */
     record PrepareRequest(long callId, ProposalNumber proposalNumber, ProposalNumber known)
             implements RegisterMessage {}
 
     /**
-     * Response to {@link PrepareRequest}. The Paxos literature calls a granted one a promise.
+     * Response to {@link PrepareRequest}; a granted one is a promise in the Paxos literature.
      *
      * @param storageId identity of the acceptor's disk
      * @param granted false when the acceptor had granted a higher proposal number before
      * @param prepared the highest proposal number that the acceptor has granted
-     * @param accepted proposal number of {@code value}; {@link ProposalNumber#ZERO} when nothing was accepted
-     *     yet or the request was rejected
+     * @param accepted proposal number of {@code value}; {@link ProposalNumber#ZERO} when nothing was accepted yet or
+     *     the request was rejected
      * @param value the value that the acceptor accepted last; null when {@code accepted} is
-     *     {@link ProposalNumber#ZERO}, or not above the number that the proposer knows
+     *     {@link ProposalNumber#ZERO}, or not above {@link PrepareRequest#known}
      */
     record PrepareResponse(
             long callId,
--- a/coordination/src/main/java/burlarch/coordination/register/acceptorset/AcceptorReachability.java
+++ b/coordination/src/main/java/burlarch/coordination/register/acceptorset/AcceptorReachability.java
@@ -8,10 +8,10 @@
 import java.util.Set;
 
 /**
- * Which acceptors of a set one controller can reach at a moment.
+ * The reachability of a set's acceptors from one controller at one moment.
  *
- * @param size how many acceptors the set has
- * @param unreachable the acceptors that cannot be reached, and why
+ * @param size number of acceptors in the set
+ * @param unreachable the acceptors that cannot be reached, with the reasons
  * @param quorumReachable whether the other acceptors are a quorum of the set
  */
 public record AcceptorReachability(int size, List<UnreachableAcceptor> unreachable, boolean quorumReachable) {
@@ -25,14 +25,14 @@
         OUT_OF_REACH,
         /** The process at its address runs on another disk. */
         DISK_REPLACED,
-        /** Its process can be reached, but its disk can't be written. */
+        /** Its process can be reached, but its disk cannot be written. */
         DISK_UNUSABLE
     }
 
     /**
      * An acceptor that cannot be reached.
      *
-     * @param unreachableNanos for how long by now; 0 when that is not known
+     * @param unreachableNanos how long it has been unreachable; 0 when that is not known
      */
     public record UnreachableAcceptor(AcceptorMember member, Reason reason, long unreachableNanos) {
         @Override
@@ -50,27 +50,27 @@
     /**
      * Computes the reachability of a set.
      *
-     * @param candidates all controllers that this one knows, itself included
+     * @param candidates the acceptors of all controllers that this one knows, its own included
      */
     public static AcceptorReachability of(AcceptorSet set, List<Candidate> candidates, long nowNanos) {
-        Set<String> reached = new HashSet<>();
+        Set<String> reachableIds = new HashSet<>();
         List<UnreachableAcceptor> unreachable = new ArrayList<>();
         List<AcceptorMember> members = set.votingMembers();
         for (AcceptorMember member : members) {
             Candidate candidate = findAt(member.address(), candidates);
             boolean processReachable = candidate != null && candidate.reachable();
             if (processReachable && candidate.member().storageId().equals(member.storageId())) {
-                reached.add(member.storageId());
+                reachableIds.add(member.storageId());
             } else if (processReachable) {
                 unreachable.add(new UnreachableAcceptor(member, Reason.DISK_REPLACED, 0));
             } else {
-                unreachable.add(withoutConnection(member, candidate, nowNanos));
+                unreachable.add(toUnreachable(member, candidate, nowNanos));
             }
         }
-        return new AcceptorReachability(members.size(), unreachable, set.hasQuorum(reached));
+        return new AcceptorReachability(members.size(), unreachable, set.hasQuorum(reachableIds));
     }
 
-    private static UnreachableAcceptor withoutConnection(AcceptorMember member, Candidate candidate, long nowNanos) {
+    private static UnreachableAcceptor toUnreachable(AcceptorMember member, Candidate candidate, long nowNanos) {
         if (candidate == null) {
             return new UnreachableAcceptor(member, Reason.NEVER_REACHED, 0);
         }
--- a/coordination/src/main/java/burlarch/coordination/register/acceptorset/AcceptorSetChange.java
+++ b/coordination/src/main/java/burlarch/coordination/register/acceptorset/AcceptorSetChange.java
@@ -8,12 +8,12 @@
  *
  * @param added acceptors of the new set that were not in the old one
  * @param removed acceptors of the old set that are not in the new one
- * @param size how many acceptors the new set has
+ * @param size number of acceptors in the new set
  */
 public record AcceptorSetChange(List<AcceptorMember> added, List<AcceptorMember> removed, int size) {
     private static final int SHOWN_IDENTITY_CHARACTERS = 8;
 
-    /** The difference of two lists of acceptors, both encoded as in a value of the register. */
+    /** Computes the difference between two lists of acceptors, both encoded as in a value of the register. */
     public static AcceptorSetChange between(List<AcceptorMember> before, List<AcceptorMember> after) {
         AcceptorSet from = AcceptorSet.of(before);
         AcceptorSet to = AcceptorSet.of(after);
@@ -23,7 +23,7 @@
                 to.newMembers().size());
     }
 
-    /** Whether no acceptor was added or removed. */
+    /** Returns whether no acceptor was added or removed. */
     public boolean isEmpty() {
         return added.isEmpty() && removed.isEmpty();
     }
@@ -37,10 +37,10 @@
         return String.join(", ", parts);
     }
 
-    /** The address, and the end of the disk's identity. */
+    /** Returns the acceptor's address, and the last characters of its storage identity. */
     static String describe(AcceptorMember member) {
         String identity = member.storageId();
-        String end = identity.substring(Math.max(0, identity.length() - SHOWN_IDENTITY_CHARACTERS));
-        return member.address() + " (disk ..." + end + ")";
+        String identityEnd = identity.substring(Math.max(0, identity.length() - SHOWN_IDENTITY_CHARACTERS));
+        return member.address() + " (disk ..." + identityEnd + ")";
     }
 }
--- a/coordination/src/main/java/burlarch/coordination/register/acceptorset/AcceptorSetPlanner.java
+++ b/coordination/src/main/java/burlarch/coordination/register/acceptorset/AcceptorSetPlanner.java
@@ -8,64 +8,66 @@
 import java.util.Optional;
 
 /**
- * Decides the next change of the acceptor set from what one controller knows of the others.
+ * Plans the next change of the acceptor set from what one controller knows of the others.
  *
- * <p>Invariant OddSize: from an odd set the planner leads to odd sets only, and from an even one back to an odd
- * one as soon as an acceptor can be added or has to be removed. An even set tolerates no more losses than the
- * odd one below it, so a lost acceptor and its successor are exchanged in one change, and two acceptors join or
- * leave together.
+ * <p>Invariant OddSize: from an odd set the planner changes only to odd sets, and from an even set back to an odd one
+ * as soon as an acceptor can be added or has to be removed. An even set tolerates no more losses than the odd set one
+ * smaller, so a lost acceptor is replaced by its successor in one change, and acceptors join or leave in pairs.
  *
  * <p>The first rule that applies decides:
  *
  * <ol>
  *   <li>No acceptor is lost: add two spares to an odd set, one to an even set, up to {@link #MAX_MEMBERS}.
  *   <li>The set is even: remove one lost acceptor.
- *   <li>There is a spare: exchange one lost acceptor for it.
+ *   <li>There is a spare: replace one lost acceptor with it.
  *   <li>Two acceptors are lost and the set stays large enough: remove both.
  * </ol>
  *
- * <p>Not safe for use by several threads.
+ * <p>Not thread-safe.
  */
 public final class AcceptorSetPlanner {
-    /** The most acceptors that the planner asks for. More would cost messages and tolerate no required loss. */
+    /**
+     * Largest set that the planner asks for. A larger one would cost messages without tolerating any further loss
+     * that is required.
+     */
     public static final int MAX_MEMBERS = 9;
 
-    /** For how long a spare is excluded after a change that was to add it has failed. */
+    /** How long a spare stays excluded after a change that would have added it failed. */
     static final long FAILED_SPARE_EXCLUSION_NANOS = 1_000_000_000L;
 
     /**
      * A controller's acceptor, as another controller sees it.
      *
-     * @param availability whether it can take part now
-     * @param sinceNanos the time since which that is so, on the clock of the caller
+     * @param availability whether it can vote now
+     * @param sinceNanos since when this availability has held, on the caller's clock
      */
     public record Candidate(AcceptorMember member, Availability availability, long sinceNanos) {
-        /** Whether an acceptor can take part. */
+        /** Whether an acceptor can vote. */
         public enum Availability {
             /** Its process can be reached. */
             REACHABLE,
-            /** Its process can't be reached. */
+            /** Its process cannot be reached. */
             UNREACHABLE,
-            /** Its process can be reached and says that its disk can't be written, so that it does not vote. */
+            /** Its process can be reached but reports that its disk cannot be written, so it does not vote. */
             ABSTAINING
         }
 
-        /** A candidate that can be reached since that time. */
+        /** Returns a candidate that has been reachable since that time. */
         public static Candidate ofReachable(AcceptorMember member, long sinceNanos) {
             return new Candidate(member, Availability.REACHABLE, sinceNanos);
         }
 
-        /** A candidate that cannot be reached since that time. */
+        /** Returns a candidate that has been unreachable since that time. */
         public static Candidate ofUnreachable(AcceptorMember member, long sinceNanos) {
             return new Candidate(member, Availability.UNREACHABLE, sinceNanos);
         }
 
-        /** A candidate that abstains since that time. */
+        /** Returns a candidate that has abstained since that time. */
         public static Candidate ofAbstaining(AcceptorMember member, long sinceNanos) {
             return new Candidate(member, Availability.ABSTAINING, sinceNanos);
         }
 
-        /** Whether it can take part. */
+        /** Returns whether it can vote. */
         public boolean reachable() {
             return availability == Availability.REACHABLE;
         }
@@ -75,44 +77,44 @@
     private final int minMembers;
 
     /**
-     * When changes that were to add a spare have failed, by storage identity; holds only present candidates.
+     * When the last change that would have added a spare failed, by storage identity; holds only current candidates.
      */
     private final Map<String, Long> failedAtNanos = new HashMap<>();
 
     /**
-     * Creates a planner without memory of failed changes.
+     * Creates a planner that remembers no failed changes.
      *
-     * @param removeAfterNanos for how long an acceptor must be unreachable, or abstain, before it counts as lost
-     * @param minMembers no set is made smaller than this
+     * @param removeAfterNanos how long an acceptor must be unreachable, or abstain, before it counts as lost
+     * @param minMembers the smallest set that the planner shrinks to
      */
     public AcceptorSetPlanner(long removeAfterNanos, int minMembers) {
         this.removeAfterNanos = removeAfterNanos;
         this.minMembers = minMembers;
     }
 
-    /** The members to change to; empty if no change is needed or possible. */
+    /** Returns the members to change to; empty if no change is needed or possible. */
     public Optional<List<AcceptorMember>> nextMembers(
             List<AcceptorMember> members, List<Candidate> candidates, long nowNanos) {
-        forgetOldFailures(candidates, nowNanos);
+        forgetExpiredFailures(candidates, nowNanos);
         List<AcceptorMember> spares = spares(members, candidates);
         List<AcceptorMember> lost = lostMembers(members, candidates, nowNanos);
         boolean odd = members.size() % 2 == 1;
         if (lost.isEmpty()) {
-            return grown(members, spares, odd ? 2 : 1);
+            return withSpares(members, spares, odd ? 2 : 1);
         }
         if (!odd) {
             return Optional.of(without(members, lost.subList(0, 1)));
         }
         if (!spares.isEmpty()) {
-            return Optional.of(exchanged(members, lost.get(0), spares));
+            return Optional.of(withSuccessor(members, lost.get(0), spares));
         }
         boolean mayShrink = lost.size() >= 2 && members.size() - 2 >= minMembers;
         return mayShrink ? Optional.of(without(members, lost.subList(0, 2))) : Optional.empty();
     }
 
     /**
-     * Reports that a change to these members failed. An acceptor that was to join may be the reason, so all
-     * that were to join are excluded as spares for a while.
+     * Records that a change to these members failed. A joining acceptor may be the cause, so all acceptors that would
+     * have joined are excluded as spares for {@link #FAILED_SPARE_EXCLUSION_NANOS}.
      */
     public void onChangeFailed(List<AcceptorMember> members, List<AcceptorMember> next, long nowNanos) {
         for (AcceptorMember joining : AcceptorSet.of(members).joining(next)) {
@@ -120,7 +122,7 @@
         }
     }
 
-    private void forgetOldFailures(List<Candidate> candidates, long nowNanos) {
+    private void forgetExpiredFailures(List<Candidate> candidates, long nowNanos) {
         failedAtNanos
                 .entrySet()
                 .removeIf(entry -> nowNanos - entry.getValue() >= FAILED_SPARE_EXCLUSION_NANOS
@@ -129,7 +131,7 @@
                                         candidate.member().storageId().equals(entry.getKey())));
     }
 
-    private static Optional<List<AcceptorMember>> grown(
+    private static Optional<List<AcceptorMember>> withSpares(
             List<AcceptorMember> members, List<AcceptorMember> spares, int count) {
         if (spares.size() < count || members.size() + count > MAX_MEMBERS) {
             return Optional.empty();
@@ -139,8 +141,8 @@
         return Optional.of(next);
     }
 
-    /** Prefers the spare at the same address: it is the same machine with an empty disk. */
-    private static List<AcceptorMember> exchanged(
+    /** Replaces a lost acceptor. Prefers the spare at the same address: it is the same machine with an empty disk. */
+    private static List<AcceptorMember> withSuccessor(
             List<AcceptorMember> members, AcceptorMember lost, List<AcceptorMember> spares) {
         AcceptorMember successor = spares.stream()
                 .filter(spare -> spare.address().equals(lost.address()))
@@ -166,7 +168,10 @@
                 .toList();
     }
 
-    /** The acceptors whose disk was replaced, then those that could not take part for long enough. */
+    /**
+     * Returns the acceptors whose disk was replaced, then those that have been unable to vote for
+     * {@code removeAfterNanos}.
+     */
     private List<AcceptorMember> lostMembers(List<AcceptorMember> members, List<Candidate> candidates, long nowNanos) {
         List<AcceptorMember> lost = new ArrayList<>();
         List<AcceptorMember> unreachable = new ArrayList<>();
--- a/coordination/src/main/java/burlarch/coordination/register/proposal/AcceptTally.java
+++ b/coordination/src/main/java/burlarch/coordination/register/proposal/AcceptTally.java
@@ -7,11 +7,11 @@
 import java.util.Set;
 
 /**
- * The granted accept responses to one write.
+ * A count of the granted accept responses to one write.
  *
- * <p>Keeps ChosenByQuorum: the write is chosen once a quorum of the set that the written value names has
- * accepted it. A copy to joining acceptors is complete only once all of them have accepted it too
- * (JoinersHoldBase).
+ * <p>Upholds invariant ChosenByQuorum of {@link Proposal}: the write is chosen once a quorum of the set that the
+ * written value names has accepted it. A copy to joining acceptors is complete only once all of them have accepted it
+ * too (JoinersHoldBase).
  */
 final class AcceptTally {
     private final AcceptorSet acceptors;
@@ -32,7 +32,7 @@
         return accepted.contains(storageId);
     }
 
-    /** Whether the value is chosen, and all acceptors that it is copied to hold it. */
+    /** Returns whether the value is chosen and held by all acceptors that it is copied to. */
     boolean isComplete() {
         return acceptors.hasQuorum(accepted)
                 && joiners.stream().allMatch(joiner -> accepted.contains(joiner.storageId()));
--- a/coordination/src/main/java/burlarch/coordination/register/proposal/MessageExchange.java
+++ b/coordination/src/main/java/burlarch/coordination/register/proposal/MessageExchange.java
@@ -10,12 +10,11 @@
 import java.util.function.Predicate;
 
 /**
- * The request of a proposal that is out at present: who has received it, and in which interval it is sent
- * again. Each request has a call id of its own, so a late response to an earlier request does not count for the
- * present one.
+ * The outstanding request of a proposal, with its recipients and its resend interval. Each request has its own call
+ * id, so a late response to an earlier request does not count for the present one.
  *
- * <p>The interval doubles from {@link #FIRST_RESEND_NANOS} to {@link #MAX_RESEND_NANOS}. Requests are
- * idempotent, so sending one again is safe.
+ * <p>The interval doubles from {@link #FIRST_RESEND_NANOS} to {@link #MAX_RESEND_NANOS}. Requests are idempotent, so
+ * resending one is safe.
  */
 final class MessageExchange {
     private static final long FIRST_RESEND_NANOS = 400_000_000L;
@@ -23,7 +22,7 @@
 
     private final Consumer<ProposalOutput> outputs;
 
-    /** The acceptors that the request was sent to, by storage identity, in the order of sending. */
+    /** The acceptors that the request was sent to, by storage identity, in sending order. */
     private final Map<String, AcceptorMember> recipients = new LinkedHashMap<>();
 
     private long callId;
@@ -33,15 +32,15 @@
     /**
      * Creates an exchange without a request.
      *
-     * @param lastCallId the first request has the call id that follows
-     * @param outputs takes the messages to send
+     * @param lastCallId the first request has the next higher call id
+     * @param outputs receives the messages to send
      */
     MessageExchange(long lastCallId, Consumer<ProposalOutput> outputs) {
         callId = lastCallId;
         this.outputs = outputs;
     }
 
-    /** Ends the exchange before this one and sends a new request. */
+    /** Sends a new request and stops expecting responses to the one before. */
     void begin(LongFunction<RegisterMessage> requestByCallId, List<AcceptorMember> members) {
         callId++;
         request = requestByCallId.apply(callId);
@@ -50,7 +49,7 @@
         sendToNew(members);
     }
 
-    /** Sends the request to those of these acceptors that have not received it yet. */
+    /** Sends the request to those of these acceptors that it was not sent to yet. */
     void sendToNew(List<AcceptorMember> members) {
         for (AcceptorMember member : members) {
             if (recipients.putIfAbsent(member.storageId(), member) == null) {
@@ -59,32 +58,32 @@
         }
     }
 
-    /** Sends the request again to the recipients that have not responded, and doubles the interval. */
+    /** Resends the request to the recipients that have not responded, and doubles the interval. */
     void resend(Predicate<String> hasResponded) {
-        sendAgain(hasResponded);
+        resendToSilent(hasResponded);
         resendIntervalNanos = Math.min(2 * resendIntervalNanos, MAX_RESEND_NANOS);
     }
 
     /**
-     * Sends the request again to the recipients that have not responded, and starts with the first interval
-     * anew.
+     * Resends the request to the recipients that have not responded, and resets the interval to
+     * {@link #FIRST_RESEND_NANOS}.
      */
     void resendWithFirstInterval(Predicate<String> hasResponded) {
-        sendAgain(hasResponded);
+        resendToSilent(hasResponded);
         resendIntervalNanos = FIRST_RESEND_NANOS;
     }
 
-    /** The interval until the request is to be sent again. */
+    /** Returns the interval until the request is to be resent. */
     long resendIntervalNanos() {
         return resendIntervalNanos;
     }
 
-    /** Whether a response with that call id and from that disk belongs to the present request. */
+    /** Returns whether a response with that call id and from that disk belongs to the present request. */
     boolean expectsResponse(long responseCallId, String storageId) {
         return responseCallId == callId && recipients.containsKey(storageId);
     }
 
-    private void sendAgain(Predicate<String> hasResponded) {
+    private void resendToSilent(Predicate<String> hasResponded) {
         for (AcceptorMember member : recipients.values()) {
             if (!hasResponded.test(member.storageId())) {
                 outputs.accept(new ProposalOutput.Send(member, request));
--- a/coordination/src/main/java/burlarch/coordination/register/proposal/PrepareTally.java
+++ b/coordination/src/main/java/burlarch/coordination/register/proposal/PrepareTally.java
@@ -13,11 +13,11 @@
 import java.util.Set;
 
 /**
- * The granted prepare responses of one attempt, and the newest value among those that they report and the one
- * that the proposer knew before.
+ * The granted prepare responses of one attempt, and the newest value among those reported and the one that the
+ * proposer knew before.
  *
- * <p>Keeps PrepareQuorum: the set whose quorum counts is the one that the newest value names. The set of the
- * proposer's view counts only until a newer value was seen.
+ * <p>Upholds invariant PrepareQuorum of {@link Proposal}: the quorum that counts is that of the set that the newest
+ * value names. The set of the proposer's view counts only until a newer value is seen.
  */
 final class PrepareTally {
     private final Map<String, ProposalNumber> acceptedByStorageId = new HashMap<>();
@@ -34,8 +34,8 @@
     }
 
     /**
-     * Counts a granted response. One that reports a newer value without the value itself proves nothing and does not
-     * count; no acceptor sends such a response to a request of this attempt.
+     * Counts a granted response. A response that reports the number of a newer value without that value proves
+     * nothing and does not count; no acceptor sends one to a request of this attempt.
      */
     void add(PrepareResponse response) {
         boolean isNewer = response.accepted().compareTo(newestNumber) > 0;
@@ -50,17 +50,17 @@
         }
     }
 
-    /** The acceptors whose quorum counts. */
+    /** Returns the acceptors whose quorum counts. */
     AcceptorSet acceptors() {
         return acceptors;
     }
 
-    /** The proposal number of the newest value; {@link ProposalNumber#ZERO} when no value is known. */
+    /** Returns the proposal number of the newest value; {@link ProposalNumber#ZERO} when no value is known. */
     ProposalNumber newestNumber() {
         return newestNumber;
     }
 
-    /** The newest value; null when no value is known. */
+    /** Returns the newest value; null when no value is known. */
     RegisterValue newestValue() {
         return newestValue;
     }
@@ -77,17 +77,17 @@
         return other.hasQuorum(acceptedByStorageId.keySet());
     }
 
-    /** Whether a quorum is prepared and the value to build on is known, or is known not to exist yet. */
+    /** Returns whether a quorum is prepared and the value to build on is known, or is known not to exist yet. */
     boolean isComplete() {
         return (newestValue != null || mayWriteFirstValue) && hasQuorumOf(acceptors);
     }
 
-    /** Whether all these acceptors have responded and reported that they hold the newest value. */
+    /** Returns whether all these acceptors have responded and reported that they hold the newest value. */
     boolean allHaveNewestValue(List<AcceptorMember> members) {
         return members.stream().allMatch(member -> newestNumber.equals(acceptedByStorageId.get(member.storageId())));
     }
 
-    /** Whether the newest value is known to be chosen, because a quorum reported its proposal number. */
+    /** Returns whether the newest value is known to be chosen, because a quorum reported its proposal number. */
     boolean isNewestValueChosen() {
         Set<String> acceptedNewest = new HashSet<>();
         for (Map.Entry<String, ProposalNumber> entry : acceptedByStorageId.entrySet()) {
--- a/coordination/src/main/java/burlarch/coordination/register/proposal/Proposal.java
+++ b/coordination/src/main/java/burlarch/coordination/register/proposal/Proposal.java
@@ -13,83 +13,81 @@
 import java.util.random.RandomGenerator;
 
 /**
- * Drives one change of the register through both phases of the protocol, prepare and accept.
+ * A proposer of one change of the register, which drives it through both phases of the protocol, prepare and accept.
  *
- * <p>The register has no log and no leader. Each attempt of a proposal has a new {@link ProposalNumber}: it
- * reads the newest value at a quorum of acceptors (prepare) and writes the next value there (accept). A
- * proposal makes a further attempt after a conflict with another proposer, and after each intermediate write of
- * a change of the acceptor set.
+ * <p>The register has no log and no leader. Each attempt of a proposal has a new {@link ProposalNumber}: it reads the
+ * newest value at a quorum of acceptors (prepare) and writes the next value there (accept). A proposal makes a
+ * further attempt after a conflict with another proposer, and after each intermediate write of a change of the
+ * acceptor set.
  *
  * <p><b>States.</b> See the table at {@link ProposalState}. {@link WritePlanner} decides what is written,
- * {@link MessageExchange} sends and sends again, {@link PrepareTally} and {@link AcceptTally} count responses.
+ * {@link MessageExchange} sends and resends requests, {@link PrepareTally} and {@link AcceptTally} count responses.
  *
  * <p><b>Invariants.</b> C(v) is the {@link burlarch.coordination.register.acceptorset.AcceptorSet} that value v
  * names. A value is newer than another one when it was written under a higher proposal number.
  *
  * <ol>
  *   <li><b>PrepareQuorum.</b> An attempt that writes on top of a value w holds granted prepare responses from a
- *       quorum of C(w), and none of these acceptors has accepted a value newer than w. An attempt that reads a
- *       newer value with another set goes on with that set.
- *   <li><b>ChosenByQuorum.</b> A value v is chosen once a quorum of C(v) has accepted it under one proposal
- *       number.
- *   <li><b>SetSuccession.</b> A value names the same set as the value that it is written on, with two
- *       exceptions: on a value with a simple set M, a joint set (M, N) may be written; on a value with a joint
- *       set (M, N), the simple set N. For the second exception the value below must be known to be chosen; when
- *       it is not, the attempt first writes it again unchanged.
- *   <li><b>JoinersHoldBase.</b> A joint set is written only after granted prepare responses from a quorum of it
- *       and from all acceptors that join, each of which holds the very value that the joint set is written on.
- *       When a joining acceptor does not hold that value, the attempt first writes the value again, to the
- *       joining acceptors too ({@link WritePlan.CopyToJoiners}); their responses to that write count for this
- *       invariant alone. An acceptor that cannot write, or does not respond, therefore changes nothing: no
- *       other acceptor leaves the set for it.
- *   <li><b>DiskIdentity.</b> Responses count by the identity of the disk, and only those of acceptors in the
- *       set. A disk that comes back empty has a new identity, so nothing depends on what it has forgotten.
- *   <li><b>SingleFounding.</b> The first value names the initial acceptors, which are the same for all who know
- *       any. It is written only by a proposer that knows of no value ({@link RegisterView#mayWriteFirstValue}).
- *       A proposer that knows a value, chosen or not, from its own disk or from a message, begins with that
- *       value in place of none ({@link PrepareTally}), and so asks the acceptors that it names. A proposer that
- *       knows only the acceptors of a chosen value begins with these, and waits for a prepare response that
- *       carries a value.
- *   <li><b>UniqueNumber.</b> A proposal number belongs to one attempt of one proposal: a proposal raises the
- *       term with each attempt, and no two proposals have the same name, also not after a restart.
+ *       quorum of C(w), and none of these acceptors has accepted a value newer than w. An attempt that reads a newer
+ *       value with another set goes on with that set.
+ *   <li><b>ChosenByQuorum.</b> A value v is chosen once a quorum of C(v) has accepted it under one proposal number.
+ *   <li><b>SetSuccession.</b> A value names the same set as the value that it is written on, with two exceptions: on
+ *       a value with a simple set M, a joint set (M, N) may be written; on a value with a joint set (M, N), the
+ *       simple set N. For the second exception the value below must be known to be chosen; when it is not, the
+ *       attempt first writes it again unchanged.
+ *   <li><b>JoinersHoldBase.</b> A joint set is written only after granted prepare responses from a quorum of it and
+ *       from all acceptors that join, each of which holds the very value that the joint set is written on. When a
+ *       joining acceptor does not hold that value, the attempt first writes the value again, to the joining acceptors
+ *       too ({@link WritePlan.CopyToJoiners}); their responses to that write count for this invariant alone. An
+ *       acceptor that cannot write, or does not respond, therefore changes nothing: no other acceptor leaves the set
+ *       for it.
+ *   <li><b>DiskIdentity.</b> Responses count by the identity of the disk, and only those of acceptors in the set. A
+ *       disk that comes back empty has a new identity, so nothing depends on what it has forgotten.
+ *   <li><b>SingleFounding.</b> The first value names the initial acceptors, which are the same for every proposer
+ *       that knows any. It is written only by a proposer that knows of no value
+ *       ({@link RegisterView#mayWriteFirstValue}). A proposer that knows a value, chosen or not, from its own disk or
+ *       from a message, begins with that value in place of none ({@link PrepareTally}), and so sends its requests to
+ *       the acceptors that it names. A proposer that knows only the acceptors of a chosen value begins with these,
+ *       and waits for a prepare response that carries a value.
+ *   <li><b>UniqueNumber.</b> A proposal number belongs to one attempt of one proposal: a proposal raises the term
+ *       with each attempt, and no two proposals have the same name, not even after a restart.
  * </ol>
  *
- * <p><b>SingleChain.</b> Theorem: if a value is chosen under number b, each write under a number c above b is
- * on top of a value of number b or above. So all chosen values form one chain.
+ * <p><b>SingleChain.</b> Theorem: if a value is chosen under number b, each write under a number c above b is on top
+ * of a value of number b or above. So all chosen values form one chain.
  *
- * <p>Proof. Suppose it is false, and let c be the lowest number that breaks it, writing on a value of number a
- * below b. Let d be the highest chosen number that is not above a (or none), and take for b the lowest chosen
- * number above a.
+ * <p>Proof. Suppose it is false, and let c be the lowest number that breaks it, writing on a value of number a below
+ * b. Let d be the highest chosen number that is not above a (or none), and take for b the lowest chosen number above
+ * a.
  *
  * <ol>
- *   <li>By the choice of c, all writes in the span (d, b] go back to d through writes in that span. Of the
- *       values that these are written on, none but that of d is chosen. So by SetSuccession a joint set is
- *       replaced by its new simple set, within that span, only directly on top of d.
- *   <li>When d has a simple set M, all sets of the span are therefore M or (M, any). When d has a joint set (M,
- *       N), all are (M, N), N or (N, any). So all their quorums, those of a and b included, hold a majority of
- *       one common list: M or N. When there is no d, the common list is that of the initial acceptors, by
- *       SingleFounding.
- *   <li>Two majorities of one list share an acceptor (DiskIdentity: it has forgotten nothing). So some acceptor
- *       is both in the quorum of C(a) that was prepared for c and in the quorum that chose b.
- *   <li>If that acceptor accepted b before it granted c, it reported b or a newer value to c; by PrepareQuorum
- *       c was then not written on a. If it was asked to accept b after it granted c, it rejected b, as b is
- *       below c; it is then not in the quorum that chose b. Both contradict the supposition.
+ *   <li>By the choice of c, all writes in the span (d, b] go back to d through writes in that span. Of the values
+ *       that these are written on, none but that of d is chosen. So by SetSuccession a joint set is replaced by its
+ *       new simple set, within that span, only directly on top of d.
+ *   <li>When d has a simple set M, all sets of the span are therefore M or (M, any). When d has a joint set (M, N),
+ *       all are (M, N), N or (N, any). So all their quorums, those of a and b included, hold a majority of one common
+ *       list: M or N. When there is no d, the common list is that of the initial acceptors, by SingleFounding.
+ *   <li>Two majorities of one list share an acceptor (DiskIdentity: it has forgotten nothing). So some acceptor is
+ *       both in the quorum of C(a) that was prepared for c and in the quorum that chose b.
+ *   <li>If that acceptor accepted b before it granted c, it reported b or a newer value to c; by PrepareQuorum c was
+ *       then not written on a. If it was asked to accept b after it granted c, it rejected b, as b is below c; it is
+ *       then not in the quorum that chose b. Both contradict the supposition.
  * </ol>
  *
  * <p>Of a value that is not newer than the one that an attempt began with, the proof uses the number alone: step 4
  * needs that an acceptor reports b or a newer value to an attempt that would write on an older one. So acceptors need
  * not send values up to the number that the prepare request names ({@link PrepareRequest#known}).
  *
- * <p>The proof does not depend on how many acceptors change at once, on who is known to be lost, or on how old
- * a proposer's view is. That sets change one at a time keeps the quorums small.
+ * <p>The proof does not depend on how many acceptors change at once, on who is known to be lost, or on how old a
+ * proposer's view is. Changing sets one at a time keeps the quorums small.
  *
- * <p><b>What a result means.</b> A value that some acceptor has accepted and that is not chosen may be found
- * and completed by any later attempt, until a value is chosen under a higher number. A change that is rejected
- * may therefore have to be sealed first, see {@link ChangeDecision.Seal}. This proposal seals by itself once it
- * has sent its own change.
+ * <p><b>What a result means.</b> A value that some acceptor has accepted and that is not chosen may be found and
+ * completed by any later attempt, until a value is chosen under a higher number. A change that is rejected may
+ * therefore have to be sealed first, see {@link ChangeDecision.Seal}. A proposal that has sent its own change always
+ * seals.
  *
- * <p>Times are nanoseconds of the driver's clock; randomness comes from outside. Every call returns the outputs
- * that it has led to, in their order. Not safe for use by several threads.
+ * <p>Times are nanoseconds of the driver's clock; randomness is passed in. Every call returns the outputs that it
+ * caused, in order. Not thread-safe.
  */
 public final class Proposal {
     private final String name;
@@ -115,13 +113,13 @@
     private AcceptTally accepts;
 
     /**
-     * Prepares one change. Nothing is sent before {@link #start}.
+     * Creates a proposal of one change. Nothing is sent before {@link #start}.
      *
-     * @param name of this proposal alone, never used before, also not before a restart
-     * @param termHint the highest term that is known; a low one only costs conflicts
-     * @param view what is known of the register, however old
-     * @param change the change to bring about
-     * @param deadlineNanos when to give up
+     * @param name unique name of this proposal, never used before, not even before a restart
+     * @param termHint the highest known term; too low a value only costs conflicts
+     * @param view what is known of the register; it may be out of date
+     * @param change the change to make
+     * @param deadlineNanos when the proposal ends if no result is known by then, on the driver's clock
      * @param random for the first call id and the delays after conflicts
      */
     public Proposal(
@@ -141,14 +139,14 @@
         exchange = new MessageExchange(lastCallId, outputs::add);
     }
 
-    /** Starts the proposal. To be called once. */
+    /** Starts the proposal. Call it once. */
     public List<ProposalOutput> start(long nowNanos) {
         outputs.add(new ProposalOutput.SetTimer(deadlineNanos));
         prepare(Event.STARTED, nowNanos);
         return takeOutputs();
     }
 
-    /** Handles a response. Responses to other requests, late and repeated ones have no effect. */
+    /** Handles a response of an acceptor. Late and duplicate responses, and those to other requests, have no effect. */
     public List<ProposalOutput> onResponse(RegisterMessage message, long nowNanos) {
         if (isActive(nowNanos)) {
             if (message instanceof PrepareResponse response) {
@@ -160,7 +158,9 @@
         return takeOutputs();
     }
 
-    /** To be called at the times of {@link ProposalOutput.SetTimer}. Calls at other times have no effect. */
+    /**
+     * Handles a timer. Call it at the times of {@link ProposalOutput.SetTimer}; calls at other times have no effect.
+     */
     public List<ProposalOutput> onTimer(long nowNanos) {
         if (isActive(nowNanos) && nowNanos - wakeAtNanos >= 0) {
             if (state.isBackingOff()) {
@@ -174,8 +174,8 @@
     }
 
     /**
-     * An acceptor that could not be reached may be reachable again. Requests without a response are sent again
-     * at once instead of at the next resend; repeated requests have no further effect.
+     * Handles the notice that an acceptor may be reachable again: resends the unanswered requests at once instead of
+     * at the next resend. Duplicate requests have no further effect.
      */
     public List<ProposalOutput> onAcceptorReachable(long nowNanos) {
         if (isActive(nowNanos) && !state.isBackingOff()) {
@@ -185,12 +185,12 @@
         return takeOutputs();
     }
 
-    /** The highest term that was seen: a hint for the next proposal. */
+    /** Returns the highest term seen so far, as a hint for the next proposal. */
     public long highestTerm() {
         return highestTerm;
     }
 
-    /** Whether the proposal is started and not finished. Finishes it when the deadline has passed. */
+    /** Returns whether the proposal is started and not finished. Finishes it when the deadline has passed. */
     private boolean isActive(long nowNanos) {
         if (state == ProposalState.NEW || state == ProposalState.FINISHED) {
             return false;
@@ -215,7 +215,7 @@
     }
 
     private void onPrepareResponse(PrepareResponse response, long nowNanos) {
-        noteTerm(response.prepared());
+        recordTerm(response.prepared());
         if (!state.awaitsPrepares() || !exchange.expectsResponse(response.callId(), response.storageId())) {
             return;
         }
@@ -231,8 +231,8 @@
     }
 
     /**
-     * May happen several times in an attempt: the acceptors of a new set have to be prepared too before a
-     * write.
+     * Continues once a quorum is prepared. This may happen several times in an attempt: the acceptors of a new set
+     * have to be prepared too before a write.
      */
     private void onPrepared(long nowNanos) {
         if (prepares.newestValue() != null) {
@@ -241,8 +241,8 @@
         WritePlan plan = planner.plan(prepares, view.members());
         if (plan instanceof WritePlan.Report report) {
             finish(new ProposalResult.Chosen(prepares.newestNumber(), prepares.newestValue(), report.decision()));
-        } else if (plan instanceof WritePlan.AwaitPrepares awaited) {
-            exchange.sendToNew(awaited.acceptors().votingMembers());
+        } else if (plan instanceof WritePlan.AwaitPrepares await) {
+            exchange.sendToNew(await.acceptors().votingMembers());
         } else if (plan instanceof WritePlan.Write next) {
             accept(next, nowNanos);
         }
@@ -261,7 +261,7 @@
     }
 
     private void onAcceptResponse(AcceptResponse response, long nowNanos) {
-        noteTerm(response.prepared());
+        recordTerm(response.prepared());
         if (!state.awaitsAccepts() || !exchange.expectsResponse(response.callId(), response.storageId())) {
             return;
         }
@@ -286,7 +286,8 @@
     }
 
     /**
-     * The attempt may yet succeed with the other acceptors. When it does not within a delay, a new one follows.
+     * Handles a rejection. The attempt may still succeed with the other acceptors; if it does not within the backoff,
+     * a new attempt follows.
      */
     private void onRejected(long nowNanos) {
         if (!state.isBackingOff()) {
@@ -304,7 +305,7 @@
         return state.awaitsPrepares() ? prepares.hasResponseOf(storageId) : accepts.hasResponseOf(storageId);
     }
 
-    private void noteTerm(ProposalNumber seen) {
+    private void recordTerm(ProposalNumber seen) {
         highestTerm = Math.max(highestTerm, seen.term());
     }
 
@@ -314,8 +315,8 @@
     }
 
     private List<ProposalOutput> takeOutputs() {
-        List<ProposalOutput> taken = List.copyOf(outputs);
+        List<ProposalOutput> result = List.copyOf(outputs);
         outputs.clear();
-        return taken;
+        return result;
     }
 }
--- a/coordination/src/main/java/burlarch/coordination/register/proposal/ProposalResult.java
+++ b/coordination/src/main/java/burlarch/coordination/register/proposal/ProposalResult.java
@@ -3,7 +3,7 @@
 import burlarch.coordination.register.ProposalNumber;
 import burlarch.coordination.register.RegisterValue;
 
-/** How a proposal ended. */
+/** The result of a proposal. */
 public sealed interface ProposalResult {
     /**
      * {@code value} is chosen.
@@ -17,8 +17,8 @@
             implements ProposalResult {}
 
     /**
-     * The deadline passed after the change was sent to acceptors. It may be chosen, now or later, or never. The
-     * caller may propose the same change again, when the payload shows whether it is applied.
+     * The deadline passed after the change was sent to acceptors. The change may be chosen already, be chosen later,
+     * or never be chosen. The caller may propose the same change again if the payload shows whether it is applied.
      */
     record Unknown() implements ProposalResult {}
 
--- a/coordination/src/main/java/burlarch/coordination/register/proposal/ProposalState.java
+++ b/coordination/src/main/java/burlarch/coordination/register/proposal/ProposalState.java
@@ -1,8 +1,8 @@
 package burlarch.coordination.register.proposal;
 
 /**
- * The states of a {@link Proposal}. All transitions are in {@link #after}; an event that has no transition in a
- * state is a programming error.
+ * The states of a {@link Proposal}. All transitions are in {@link #after}; an event that has no transition in a state
+ * is a programming error.
  *
  * <pre>
  * state           | STARTED   | REJECTED        | BACKOFF_ELAPSED | WRITE_READY | STEP_CHOSEN | ENDED
@@ -15,16 +15,14 @@
  * FINISHED        |           |                 |                 |             |             |
  * </pre>
  *
- * <p>An attempt begins with each entry into {@code PREPARING}, under a new proposal number. A rejected attempt
- * still counts responses during its backoff, because the other acceptors may be a quorum yet; it sends nothing
- * again.
+ * <p>An attempt begins with each entry into {@code PREPARING}, under a new proposal number. A rejected attempt still
+ * counts responses during its backoff, because the other acceptors may still form a quorum; it resends nothing.
  */
 enum ProposalState {
     /** Not started yet. */
     NEW,
     /**
-     * The prepare request is out; its responses are counted, and it is sent again to those that have not
-     * responded.
+     * The prepare request was sent; its responses are counted, and it is resent to acceptors that have not responded.
      */
     PREPARING,
     /**
@@ -32,8 +30,7 @@
      */
     PREPARE_BACKOFF,
     /**
-     * The accept request is out; its responses are counted, and it is sent again to those that have not
-     * responded.
+     * The accept request was sent; its responses are counted, and it is resent to acceptors that have not responded.
      */
     ACCEPTING,
     /**
@@ -43,24 +40,24 @@
     /** The result is known. */
     FINISHED;
 
-    /** What moves a proposal from one state to the next. */
+    /** An event that moves a proposal from one state to the next. */
     enum Event {
         /** The driver has started the proposal. */
         STARTED,
-        /** The first rejection of the present attempt has come. */
+        /** The first rejection of the present attempt was received. */
         REJECTED,
         /** The delay after a rejection is over. */
         BACKOFF_ELAPSED,
         /** Enough acceptors are prepared, and a value has to be written. */
         WRITE_READY,
-        /** A written value is chosen, but it is an intermediate one; the next attempt builds on it. */
+        /** An intermediate write is chosen; the next attempt builds on it. */
         STEP_CHOSEN,
         /** The result is known, or the deadline has passed. */
         ENDED
     }
 
     /**
-     * The state after an event.
+     * Returns the state after an event.
      *
      * @throws IllegalStateException when the event cannot happen in this state
      */
@@ -97,17 +94,17 @@
         };
     }
 
-    /** Whether prepare responses count. */
+    /** Returns whether prepare responses count. */
     boolean awaitsPrepares() {
         return this == PREPARING || this == PREPARE_BACKOFF;
     }
 
-    /** Whether accept responses count. */
+    /** Returns whether accept responses count. */
     boolean awaitsAccepts() {
         return this == ACCEPTING || this == ACCEPT_BACKOFF;
     }
 
-    /** Whether the present attempt was rejected. */
+    /** Returns whether the present attempt was rejected. */
     boolean isBackingOff() {
         return this == PREPARE_BACKOFF || this == ACCEPT_BACKOFF;
     }
--- a/coordination/src/main/java/burlarch/coordination/register/proposal/WritePlan.java
+++ b/coordination/src/main/java/burlarch/coordination/register/proposal/WritePlan.java
@@ -5,7 +5,7 @@
 import burlarch.coordination.register.acceptorset.AcceptorSet;
 import java.util.List;
 
-/** What an attempt does next, once a quorum is prepared. Made by {@link WritePlanner}. */
+/** The next step of an attempt once a quorum is prepared, as planned by {@link WritePlanner}. */
 sealed interface WritePlan {
     /** Nothing is written: the value that was read is the result. */
     record Report(ChangeDecision decision) implements WritePlan {}
@@ -20,10 +20,10 @@
      * follows.
      */
     sealed interface Write extends WritePlan {
-        /** The value to write. */
+        /** Returns the value to write. */
         RegisterValue value();
 
-        /** The acceptors of whose quorum the write is chosen. */
+        /** Returns the acceptors a quorum of which must accept the write. */
         default AcceptorSet acceptors() {
             return AcceptorSet.of(value().members());
         }
@@ -34,10 +34,10 @@
         }
     }
 
-    /** Brings the set change of another proposer one step on. */
+    /** Advances the set change of another proposer by one step. */
     record CompleteOtherSetChange(RegisterValue value) implements Write {}
 
-    /** Writes the value that was read again, to acceptors that are to join too. */
+    /** Writes the value that was read once more, also to the joining acceptors. */
     record CopyToJoiners(RegisterValue value, List<AcceptorMember> joiners) implements Write {}
 
     /** Writes the proposal's own change with the joint set. */
--- a/coordination/src/main/java/burlarch/coordination/register/proposal/WritePlanner.java
+++ b/coordination/src/main/java/burlarch/coordination/register/proposal/WritePlanner.java
@@ -14,8 +14,8 @@
 import java.util.List;
 
 /**
- * Plans what a proposal writes on the value that the prepare phase has read, and remembers how far the
- * proposal's own change has come over its attempts.
+ * Plans what a proposal writes on top of the value that the prepare phase has read, and tracks the progress of the
+ * proposal's own change across its attempts.
  *
  * <p>The first row that applies decides:
  *
@@ -33,14 +33,14 @@
  * simple set; Keep or Seal otherwise                  | FinalWrite: the value unchanged
  * </pre>
  *
- * <p>Keeps SetSuccession and JoinersHoldBase. A write that needs more prepare responses becomes
- * {@link AwaitPrepares}.
+ * <p>Upholds invariants SetSuccession and JoinersHoldBase of {@link Proposal}. A write that needs more prepare
+ * responses becomes {@link AwaitPrepares}.
  *
- * <p>Once the own change was sent, a value is no longer reported without a write of it: a value without the
- * change bars the earlier write only when it is chosen under a higher number.
+ * <p>Once the own change was sent, a value is reported only after it was written again: a value without the change
+ * excludes the earlier write only when it is chosen under a higher number.
  */
 final class WritePlanner {
-    /** Whether an acceptor may know of the proposal's own change. */
+    /** Whether an acceptor may have received the proposal's own change. */
     private enum ChangeProgress {
         NOT_SENT,
         SENT
@@ -49,9 +49,7 @@
     private final RegisterChange change;
     private ChangeProgress progress = ChangeProgress.NOT_SENT;
 
-    /**
-     * The intermediate write of this proposal that was chosen last, and its number; no write and ZERO at first.
-     */
+    /** The last chosen intermediate write of this proposal, and its number; null and ZERO before the first. */
     private Write lastChosenStep;
 
     private ProposalNumber lastChosenNumber = ProposalNumber.ZERO;
@@ -61,24 +59,24 @@
     }
 
     /**
-     * Plans on what a complete tally shows. May be called several times in an attempt, as more responses come.
+     * Plans the next step from a complete tally. May be called several times in an attempt, as more responses arrive.
      *
      * @param initialMembers the acceptors that the register's first value names
      */
     WritePlan plan(PrepareTally prepares, List<AcceptorMember> initialMembers) {
         RegisterValue current = prepares.newestValue();
         if (current == null) {
-            return afterPrepares(onEmptyRegister(initialMembers), prepares);
+            return deferUntilPrepared(planOnEmptyRegister(initialMembers), prepares);
         }
         boolean ownStepIsNewest = prepares.newestNumber().equals(lastChosenNumber);
         if (ownStepIsNewest && lastChosenStep instanceof StartSetChange own) {
-            return afterPrepares(new FinalWrite(withNewMembers(current), own.decision()), prepares);
+            return deferUntilPrepared(new FinalWrite(withNewMembers(current), own.decision()), prepares);
         }
         boolean chosen = ownStepIsNewest || prepares.isNewestValueChosen();
-        return afterPrepares(onValue(current, chosen), prepares);
+        return deferUntilPrepared(planOnValue(current, chosen), prepares);
     }
 
-    /** Notes that a write is sent to acceptors. */
+    /** Records that a write is sent to acceptors. */
     void onSent(Write write) {
         boolean carriesOwnChange = write instanceof StartSetChange
                 || write instanceof FinalWrite last && last.decision() instanceof ChangeDecision.Write;
@@ -87,13 +85,13 @@
         }
     }
 
-    /** Notes that an intermediate write is chosen. */
+    /** Records that an intermediate write is chosen. */
     void onStepChosen(Write step, ProposalNumber number) {
         lastChosenStep = step;
         lastChosenNumber = number;
     }
 
-    /** The result when the deadline passes now. */
+    /** Returns the result if the deadline passes now. */
     ProposalResult resultAtDeadline() {
         return switch (progress) {
             case NOT_SENT -> new ProposalResult.NotStarted();
@@ -101,7 +99,7 @@
         };
     }
 
-    private WritePlan onEmptyRegister(List<AcceptorMember> initialMembers) {
+    private WritePlan planOnEmptyRegister(List<AcceptorMember> initialMembers) {
         ChangeDecision decision = change.decide(null);
         if (decision instanceof ChangeDecision.Write write) {
             return new FinalWrite(new RegisterValue(initialMembers, write.next().payload()), decision);
@@ -109,20 +107,21 @@
         return new Report(decision);
     }
 
-    private WritePlan onValue(RegisterValue current, boolean chosen) {
+    private WritePlan planOnValue(RegisterValue current, boolean chosen) {
         AcceptorSet acceptors = AcceptorSet.of(current.members());
         if (acceptors.isJoint()) {
             return new CompleteOtherSetChange(chosen ? withNewMembers(current) : current);
         }
         ChangeDecision decision = change.decide(current);
         if (decision instanceof ChangeDecision.Write write) {
-            return onOwnChange(current, acceptors, write);
+            return planOwnChange(current, acceptors, write);
         }
         boolean mayReport = decision instanceof ChangeDecision.Keep && chosen && progress == ChangeProgress.NOT_SENT;
         return mayReport ? new Report(decision) : new FinalWrite(current, decision);
     }
 
-    private static WritePlan onOwnChange(RegisterValue current, AcceptorSet acceptors, ChangeDecision.Write decision) {
+    private static WritePlan planOwnChange(
+            RegisterValue current, AcceptorSet acceptors, ChangeDecision.Write decision) {
         RegisterValue next = decision.next();
         if (acceptors.hasSameAcceptors(next.members())) {
             return new FinalWrite(next, decision);
@@ -131,10 +130,10 @@
         return new StartSetChange(new RegisterValue(joint, next.payload()), decision);
     }
 
-    /** Postpones a write until all acceptors that it needs are prepared and hold the value below it. */
-    private static WritePlan afterPrepares(WritePlan plan, PrepareTally prepares) {
+    /** Postpones a write until all acceptors that it needs are prepared and hold the value that it is written on. */
+    private static WritePlan deferUntilPrepared(WritePlan plan, PrepareTally prepares) {
         if (plan instanceof StartSetChange start) {
-            return afterJoinersHoldBase(start, prepares);
+            return deferUntilJoinersHoldBase(start, prepares);
         }
         if (plan instanceof Write write && !prepares.hasQuorumOf(write.acceptors())) {
             return new AwaitPrepares(write.acceptors());
@@ -143,7 +142,7 @@
     }
 
     /** JoinersHoldBase: acceptors that join must hold the value that the joint set is written on. */
-    private static WritePlan afterJoinersHoldBase(StartSetChange start, PrepareTally prepares) {
+    private static WritePlan deferUntilJoinersHoldBase(StartSetChange start, PrepareTally prepares) {
         AcceptorSet joint = start.acceptors();
         List<AcceptorMember> joiners = prepares.acceptors().joining(joint.newMembers());
         if (!prepares.hasResponsesOf(joiners) || !prepares.hasQuorumOf(joint)) {
--- a/coordination/src/main/java/burlarch/coordination/registry/Instance.java
+++ b/coordination/src/main/java/burlarch/coordination/registry/Instance.java
@@ -4,18 +4,18 @@
 import java.util.Objects;
 
 /**
- * One running server of a service, as it announced itself.
+ * A running server of a service, as it announced itself.
  *
- * @param id of this incarnation; every start of a server has a new one, and none is used again
+ * @param id identifies this incarnation; every start of a server has a new id, and none is reused
  * @param service name of its service
  * @param address IP:PORT
  * @param zone the failure domain in which it runs
  * @param softwareVersion version of its software, not of weights
- * @param capacity requests that it processes at the same time
- * @param state its lifecycle state
- * @param warmupLeftMillis how much longer it is warming up
+ * @param capacity number of requests that it processes concurrently
+ * @param state lifecycle state
+ * @param warmupLeftMillis remaining warm-up time in milliseconds
  * @param models the models that it serves; empty for plain services
- * @param sequence rises with each announcement of this incarnation
+ * @param sequence sequence number, higher with each announcement of this incarnation
  */
 public record Instance(
         String id,
@@ -37,27 +37,20 @@
      */
     public record ServedModel(String name, long version) {}
 
-    /** This announcement with another state. */
+    /** Returns a copy of this announcement with another state. */
     Instance withState(InstanceState other) {
         return withStateAndSequence(other, sequence);
     }
 
-    /** This announcement with another state and sequence. */
-    Instance withStateAndSequence(InstanceState otherState, long otherSequence) {
+    /** Returns a copy of this announcement with another state and sequence. */
+    Instance withStateAndSequence(InstanceState newState, long newSequence) {
         return new Instance(
-                id,
-                service,
-                address,
-                zone,
-                softwareVersion,
-                capacity,
-                otherState,
-                warmupLeftMillis,
-                models,
-                otherSequence);
+                id, service, address, zone, softwareVersion, capacity, newState, warmupLeftMillis, models, newSequence);
     }
 
-    /** Whether two announcements are equal in all but what each heartbeat changes: sequence and warm-up time. */
+    /**
+     * Returns whether two announcements are equal except for what each heartbeat changes: sequence and warm-up time.
+     */
     boolean hasSameContent(Instance other) {
         return state == other.state
                 && capacity == other.capacity
--- a/coordination/src/main/java/burlarch/coordination/registry/InstanceRegistry.java
+++ b/coordination/src/main/java/burlarch/coordination/registry/InstanceRegistry.java
@@ -8,46 +8,50 @@
 import java.util.Optional;
 
 /**
- * One controller's registry of instances, from announcements that came here or were forwarded by other controllers.
+ * A controller's registry of instances, built from announcements that it received or that other controllers
+ * forwarded.
  *
  * <p>Invariants:
  *
  * <ul>
- *   <li><em>Highest sequence wins</em>: an announcement counts only if its sequence is higher than the known one of its
- *       id. So announcements may come late, repeated and in any order.
- *   <li><em>Final leave</em>: an instance that has left has the sequence {@link #LEFT_SEQUENCE}, which none is above.
- *   <li><em>Permanent drain</em>: an instance that said that it drains is never READY again ({@link RegistryEntry}).
- *   <li><em>Return after a loss</em>: one that was lost keeps its last sequence, so its next announcement brings it
- * back.
- *   <li><em>One instance an address</em>: a newer announcement of another id at an address removes the former instance.
- *   <li><em>Loss only in contact</em>: nobody is lost to missing heartbeats during a grace, as then this controller may
- *       have missed them.
+ *   <li><em>Highest sequence wins</em>: an announcement counts only if its sequence is higher than the known one of
+ *       its id. So announcements may be late, duplicated and reordered.
+ *   <li><em>Final leave</em>: an instance that has left has the sequence {@link #LEFT_SEQUENCE}, the highest
+ *       possible.
+ *   <li><em>Permanent drain</em>: an instance that announced that it drains is never READY again
+ *       ({@link RegistryEntry}).
+ *   <li><em>Return after a loss</em>: a lost instance keeps its last sequence, so its next announcement brings it
+ *       back.
+ *   <li><em>One instance per address</em>: a newer announcement of another id at an address removes the previous
+ *       instance.
+ *   <li><em>Loss only in contact</em>: no instance is lost to missing heartbeats during a grace period, in which this
+ *       controller may have missed them.
  * </ul>
  *
  * <p>Bounded by {@link RegistrySettings}. Times are nanoseconds of a monotonic clock. Not thread-safe.
  */
 public final class InstanceRegistry {
-    /** The sequence of an instance that has left for good. */
+    /** The sequence of an instance that has left permanently. */
     public static final long LEFT_SEQUENCE = Long.MAX_VALUE;
 
-    /** What became of an announcement. */
+    /** The outcome of an announcement. */
     public enum AnnouncementResult {
-        /** What is believed of the instance changed. */
+        /** The registry's view of the instance changed. */
         CHANGED,
-        /** A heartbeat that changes nothing, except that an unheard instance is heard again. */
+        /** A heartbeat without new content; at most an unheard instance is heard again. */
         REFRESHED,
-        /** Its sequence isn't above the known one; it was ignored. */
+        /** Its sequence is not above the known one; it was ignored. */
         STALE,
         /** There is no room for another instance; it was ignored. */
         TABLE_FULL
     }
 
-    /** A check that comes later than the expiry divided by this shows a pause of this process. */
+    /** A call of {@link #expire} that comes later than the expiry divided by this shows a pause of this process. */
     private static final int PAUSE_DIVISOR = 2;
 
     private final RegistrySettings settings;
     private final Map<String, RegistryEntry> entries = new HashMap<>();
-    /** The entries that are not removed. */
+    /** The entries that are not removed, by address. */
     private final Map<String, RegistryEntry> byAddress = new HashMap<>();
 
     private final RemovedEntries removed;
@@ -55,7 +59,7 @@
     private long graceFromNanos;
     private long checkedAtNanos;
 
-    /** An empty registry whose first grace begins at {@code startNanos}. */
+    /** Creates an empty registry whose first grace period begins at {@code startNanos}. */
     public InstanceRegistry(RegistrySettings settings, long startNanos) {
         this.settings = settings;
         this.removed = new RemovedEntries(settings);
@@ -63,7 +67,7 @@
         this.checkedAtNanos = startNanos;
     }
 
-    /** Applies what an instance says of itself. */
+    /** Applies an announcement of an instance. */
     public AnnouncementResult announce(Instance instance, long nowNanos) {
         RegistryEntry entry = entries.get(instance.id());
         if (entry != null && instance.sequence() <= entry.sequence()) {
@@ -76,15 +80,15 @@
     }
 
     /**
-     * Removes an instance that says that it leaves for good.
+     * Removes an instance that announced that it leaves permanently.
      *
-     * @return the final announcement, for the {@link #merge} of other registries
+     * @return the final announcement, to be passed to {@link #merge} of other registries
      */
     public Instance leave(String id, long nowNanos) {
         RegistryEntry entry = entries.get(id);
         Instance last = entry == null
                 ? new Instance(id, "", "", "", "", 0, InstanceState.GONE, 0, List.of(), LEFT_SEQUENCE)
-                : entry.believed().withStateAndSequence(InstanceState.GONE, LEFT_SEQUENCE);
+                : entry.localView().withStateAndSequence(InstanceState.GONE, LEFT_SEQUENCE);
         if (entry == null || !entry.hasLeft()) {
             apply(entry, last, nowNanos);
         }
@@ -92,10 +96,10 @@
     }
 
     /**
-     * Applies what another registry knows or accepted, in any order. Which instances load is not merged: that stays
-     * with the registry that was told.
+     * Applies instances that another registry knows or accepted, in any order. The loading state is not merged: only
+     * the registry that was told of it keeps it.
      *
-     * @return whether others are to see a change
+     * @return whether the published view changed
      */
     public boolean merge(Collection<Instance> instances, long nowNanos) {
         long before = revisions.revision();
@@ -105,17 +109,20 @@
         return revisions.revision() != before;
     }
 
-    /** Notes that an instance loads weights, until {@link #endLoading} or the time-out of the settings. */
+    /**
+     * Records that an instance loads weights, until {@link #endLoading} or
+     * {@link RegistrySettings#loadingTimeoutNanos}.
+     */
     public void beginLoading(String id, long nowNanos) {
         RegistryEntry entry = entries.get(id);
         if (entry != null) {
-            Instance before = entry.stated();
+            Instance before = entry.published();
             entry.beginLoading(nowNanos + settings.loadingTimeoutNanos());
             publishIfChanged(before, entry);
         }
     }
 
-    /** Notes that an instance loads no weights any more. */
+    /** Records that an instance no longer loads weights. */
     public void endLoading(String id) {
         RegistryEntry entry = entries.get(id);
         if (entry != null) {
@@ -124,10 +131,10 @@
     }
 
     /**
-     * Lets time pass: ends overdue loads, loses instances without heartbeats, forgets removed ones. To be called
-     * several times within {@link RegistrySettings#expiryNanos}; a call that comes much later shows that this process
-     * stood still and begins a grace. During a grace others are told of an instance without heartbeats that it is
-     * unheard.
+     * Applies the passing of time: ends overdue loads, removes instances without heartbeats, and forgets instances
+     * that were removed long ago. Call it several times within {@link RegistrySettings#expiryNanos}; a call that
+     * comes much later shows that this process was paused and begins a grace period. During a grace period an
+     * instance without heartbeats is published as UNHEARD.
      */
     public void expire(long nowNanos) {
         if (nowNanos - checkedAtNanos > settings.expiryNanos() / PAUSE_DIVISOR) {
@@ -140,34 +147,39 @@
     }
 
     /**
-     * Begins a grace, in which nobody is lost. To be called when announcements may have been missed: when a controller
-     * that forwarded them is disconnected, as its instances need time to turn to another.
+     * Begins a grace period, in which no instance is lost. Call it when announcements may have been missed: when a
+     * controller that forwarded them is disconnected, as its instances need time to switch to another one.
      */
     public void restartGrace(long nowNanos) {
         graceFromNanos = nowNanos;
     }
 
-    /** Rises with each change that others are to see, not with a mere heartbeat. 0 for an empty registry. */
+    /**
+     * Returns the revision, which rises with each change of the published view but not with a mere heartbeat; 0 for
+     * an empty registry.
+     */
     public long revision() {
         return revisions.revision();
     }
 
-    /** What changed after a revision of this registry, or everything if that is no longer known. */
+    /**
+     * Returns the changes after a revision of this registry, or a snapshot if those changes are no longer all known.
+     */
     public InstanceChanges changesSince(long seenRevision) {
         if (!revisions.knowsAllSince(seenRevision)) {
             return snapshot();
         }
-        return new InstanceChanges(revision(), false, statements(revisions.changedSince(seenRevision)));
+        return new InstanceChanges(revision(), false, publishedViews(revisions.changedSince(seenRevision)));
     }
 
-    /** All that is known, as others are to see it. */
+    /** Returns a snapshot of the published view. */
     public InstanceChanges snapshot() {
-        return new InstanceChanges(revision(), true, statements(revisions.all()));
+        return new InstanceChanges(revision(), true, publishedViews(revisions.all()));
     }
 
     /**
-     * What another registry is to know, for its {@link #merge}: what instances said of themselves, that is who was
-     * heard lately, who drains or did, and who left. Missing heartbeats are for each registry to find out itself.
+     * Returns the announcements to pass to {@link #merge} of another registry: instances that were heard recently,
+     * that drain or drained, and that left. Each registry detects missing heartbeats itself.
      */
     public List<Instance> selfReported() {
         List<Instance> reported = new ArrayList<>();
@@ -177,9 +189,9 @@
         return reported;
     }
 
-    /** The instance as this registry believes it to be, empty if it isn't known. */
+    /** Returns the instance in the view of this registry, empty if it is not known. */
     public Optional<Instance> find(String id) {
-        return Optional.ofNullable(entries.get(id)).map(RegistryEntry::believed);
+        return Optional.ofNullable(entries.get(id)).map(RegistryEntry::localView);
     }
 
     private boolean isFull() {
@@ -194,12 +206,12 @@
             revisions.onChanged(entry);
             return AnnouncementResult.CHANGED;
         }
-        Instance believedBefore = known.believed();
-        Instance statedBefore = known.stated();
+        Instance localViewBefore = known.localView();
+        Instance publishedBefore = known.published();
         byAddress.remove(known.address(), known);
         update(known, instance, nowNanos);
-        publishIfChanged(statedBefore, known);
-        return believedBefore.hasSameContent(known.believed())
+        publishIfChanged(publishedBefore, known);
+        return localViewBefore.hasSameContent(known.localView())
                 ? AnnouncementResult.REFRESHED
                 : AnnouncementResult.CHANGED;
     }
@@ -210,18 +222,18 @@
             remember(entry);
         } else {
             removed.remove(instance.id());
-            takeAddress(entry, nowNanos);
+            claimAddress(entry, nowNanos);
         }
     }
 
-    private void takeAddress(RegistryEntry entry, long nowNanos) {
-        RegistryEntry former = byAddress.put(entry.address(), entry);
-        if (former != null && former != entry) {
-            lose(former, nowNanos);
+    private void claimAddress(RegistryEntry entry, long nowNanos) {
+        RegistryEntry previous = byAddress.put(entry.address(), entry);
+        if (previous != null && previous != entry) {
+            removeLost(previous, nowNanos);
         }
     }
 
-    private void lose(RegistryEntry entry, long nowNanos) {
+    private void removeLost(RegistryEntry entry, long nowNanos) {
         entry.onLost(nowNanos);
         byAddress.remove(entry.address(), entry);
         remember(entry);
@@ -237,14 +249,14 @@
         revisions.forget(entry);
     }
 
-    private void publishIfChanged(Instance statedBefore, RegistryEntry entry) {
-        if (!statedBefore.hasSameContent(entry.stated())) {
+    private void publishIfChanged(Instance publishedBefore, RegistryEntry entry) {
+        if (!publishedBefore.hasSameContent(entry.published())) {
             revisions.onChanged(entry);
         }
     }
 
     private void endLoading(RegistryEntry entry) {
-        Instance before = entry.stated();
+        Instance before = entry.published();
         entry.endLoading();
         publishIfChanged(before, entry);
     }
@@ -259,9 +271,9 @@
 
     private void expireUnresponsive(long nowNanos) {
         boolean inGrace = nowNanos - graceFromNanos < settings.graceNanos();
-        for (RegistryEntry entry : unresponsive(nowNanos)) {
+        for (RegistryEntry entry : findUnresponsive(nowNanos)) {
             if (!inGrace) {
-                lose(entry, nowNanos);
+                removeLost(entry, nowNanos);
             } else if (!entry.isUnheard()) {
                 entry.onUnheard(nowNanos);
                 revisions.onChanged(entry);
@@ -269,21 +281,21 @@
         }
     }
 
-    private List<RegistryEntry> unresponsive(long nowNanos) {
-        List<RegistryEntry> found = new ArrayList<>();
+    private List<RegistryEntry> findUnresponsive(long nowNanos) {
+        List<RegistryEntry> unresponsive = new ArrayList<>();
         for (RegistryEntry entry : entries.values()) {
             if (entry.isUnresponsive(nowNanos, settings.expiryNanos())) {
-                found.add(entry);
+                unresponsive.add(entry);
             }
         }
-        return found;
+        return unresponsive;
     }
 
-    private static List<Instance> statements(Collection<RegistryEntry> changed) {
-        List<Instance> statements = new ArrayList<>(changed.size());
+    private static List<Instance> publishedViews(Collection<RegistryEntry> changed) {
+        List<Instance> publishedViews = new ArrayList<>(changed.size());
         for (RegistryEntry entry : changed) {
-            statements.add(entry.stated());
+            publishedViews.add(entry.published());
         }
-        return statements;
+        return publishedViews;
     }
 }
--- a/coordination/src/main/java/burlarch/coordination/registry/MergedInstanceView.java
+++ b/coordination/src/main/java/burlarch/coordination/registry/MergedInstanceView.java
@@ -11,80 +11,81 @@
 import java.util.Set;
 
 /**
- * A router's view of the instances, merged from what the registries of several controllers state.
+ * A router's view of the instances, merged from what the registries of several controllers publish.
  *
- * <p>Invariants, the first that applies decides:
+ * <p>Invariants, of which the first that applies decides:
  *
  * <ol>
- *   <li><em>Final leave</em>: an instance that said that it leaves is gone, whichever controller told of it and
- * whatever
- *       others state.
- *   <li><em>Permanent drain</em>: one that said that it drains is never READY again.
- *   <li><em>One observer's loss</em>: one that some controller hears is live. That another controller lost it to
- * missing
- *       heartbeats is the statement of one observer, at whatever sequence: routers aren't told of mere heartbeats, so
- *       sequences of different controllers don't tell who heard it last. The exception: the controller that lost it
- * hears
- *       another instance at its address, which has replaced it.
- *   <li>One that nobody hears is lost if some controller states so. The others are those that could not hear it
- *       ({@link InstanceState#UNHEARD}) and those that don't know it, as after a restart.
- *   <li>Else it stays as it was.
+ *   <li><em>Final leave</em>: an instance that announced that it leaves is gone, whichever controller published that
+ *       and whatever others publish.
+ *   <li><em>Permanent drain</em>: an instance that announced that it drains is never READY again.
+ *   <li><em>One observer's loss</em>: an instance that some controller hears is live. That another controller lost it
+ *       to missing heartbeats is the view of one observer, at whatever sequence: mere heartbeats are not published,
+ *       so sequences of different controllers do not show which one heard it last. Exception: the controller that
+ *       lost it hears another instance at its address, which has replaced it.
+ *   <li>An instance that no controller hears is lost if some controller publishes it as lost. The other controllers
+ *       are those that could not hear it ({@link InstanceState#UNHEARD}) and those that do not know it, as after a
+ *       restart.
+ *   <li>Otherwise it stays as it was.
  * </ol>
  *
- * <p>Content is that of the newest announcement. Bounded by {@link #MAX_INSTANCES}; instances beyond it are ignored.
- * Not thread-safe.
+ * <p>The content of an instance is that of its newest announcement. Bounded by {@link #MAX_INSTANCES}; instances
+ * beyond it are ignored. Not thread-safe.
  */
 public final class MergedInstanceView {
-    /** Most instances in the view. */
+    /** Largest number of instances in the view. */
     public static final int MAX_INSTANCES = 8_192;
 
-    /** What each connected controller states, by its name, then by the instance's id. */
-    private final Map<String, Map<String, Instance>> statedByController = new HashMap<>();
+    /** What each connected controller publishes, by the controller's name, then by the instance's id. */
+    private final Map<String, Map<String, Instance>> publishedByController = new HashMap<>();
 
     private final Map<String, Instance> merged = new HashMap<>();
-    /** Ids of instances that left, in that order. They outlive the controller that told; the oldest give way. */
+    /**
+     * Ids of instances that left, in that order. They are kept when the controller that published them disconnects;
+     * at the bound the oldest is evicted.
+     */
     private final Set<String> left = new LinkedHashSet<>();
-    /** Ids of instances that drain or did, alike. */
+    /** Ids of instances that drain or drained, kept and bounded in the same way. */
     private final Set<String> draining = new LinkedHashSet<>();
 
-    /** A controller states all that it knows; what is absent it knows no longer. */
+    /** Applies a snapshot of a controller; what is absent from it the controller no longer knows. */
     public void onSnapshot(String controller, Collection<Instance> instances) {
-        Map<String, Instance> stated = statedBy(controller);
-        Set<String> touched = new HashSet<>();
-        touched.addAll(stated.keySet());
-        stated.clear();
-        apply(stated, instances, touched);
+        Map<String, Instance> published = publishedBy(controller);
+        Set<String> affectedIds = new HashSet<>();
+        affectedIds.addAll(published.keySet());
+        published.clear();
+        apply(published, instances, affectedIds);
     }
 
-    /** A controller states what changed. */
+    /** Applies the changes that a controller published. */
     public void onChanges(String controller, Collection<Instance> instances) {
-        apply(statedBy(controller), instances, new HashSet<>());
+        apply(publishedBy(controller), instances, new HashSet<>());
     }
 
-    /** A controller is disconnected: what it stated of loading ends, the instances that it announced stay. */
+    /** Removes what a disconnected controller published: its loading states end, its instances stay. */
     public void onControllerLost(String controller) {
-        Map<String, Instance> stated = statedByController.remove(controller);
-        if (stated != null) {
-            stated.keySet().forEach(this::merge);
+        Map<String, Instance> published = publishedByController.remove(controller);
+        if (published != null) {
+            published.keySet().forEach(this::merge);
         }
     }
 
-    /** The instances that are not gone, in no order. */
+    /** Returns the instances that are not gone, in no order. */
     public List<Instance> instances() {
         return new ArrayList<>(merged.values());
     }
 
-    private Map<String, Instance> statedBy(String controller) {
-        return statedByController.computeIfAbsent(controller, key -> new HashMap<>());
+    private Map<String, Instance> publishedBy(String controller) {
+        return publishedByController.computeIfAbsent(controller, key -> new HashMap<>());
     }
 
-    private void apply(Map<String, Instance> stated, Collection<Instance> instances, Set<String> touched) {
+    private void apply(Map<String, Instance> published, Collection<Instance> instances, Set<String> affectedIds) {
         for (Instance instance : instances) {
-            touched.add(instance.id());
-            stated.put(instance.id(), instance);
+            affectedIds.add(instance.id());
+            published.put(instance.id(), instance);
             rememberFinalState(instance);
         }
-        touched.forEach(this::merge);
+        affectedIds.forEach(this::merge);
     }
 
     private void rememberFinalState(Instance instance) {
@@ -104,12 +105,12 @@
     }
 
     private void merge(String id) {
-        Instance present = merged.get(id);
+        Instance current = merged.get(id);
         Instance heard = null;
         Instance unheard = null;
         boolean lost = false;
-        for (Map<String, Instance> stated : statedByController.values()) {
-            Instance instance = stated.get(id);
+        for (Map<String, Instance> published : publishedByController.values()) {
+            Instance instance = published.get(id);
             if (instance == null) {
                 continue;
             }
@@ -122,29 +123,29 @@
         if (left.contains(id) || lost && (heard == null || isReplaced(id))) {
             merged.remove(id);
         } else if (heard != null) {
-            put(newer(heard, present));
-        } else if (present != null) {
-            put(present);
+            put(newer(heard, current));
+        } else if (current != null) {
+            put(current);
         } else if (unheard != null) {
             put(unheard);
         }
     }
 
-    /** Whether a controller that lost the instance states another live one at its address. */
+    /** Returns whether a controller that lost the instance publishes another live one at its address. */
     private boolean isReplaced(String id) {
-        for (Map<String, Instance> stated : statedByController.values()) {
-            Instance instance = stated.get(id);
+        for (Map<String, Instance> published : publishedByController.values()) {
+            Instance instance = published.get(id);
             if (instance != null
                     && instance.state() == InstanceState.GONE
-                    && hasOtherLiveAt(stated, instance.address())) {
+                    && hasOtherLiveAt(published, instance.address())) {
                 return true;
             }
         }
         return false;
     }
 
-    private static boolean hasOtherLiveAt(Map<String, Instance> stated, String address) {
-        for (Instance other : stated.values()) {
+    private static boolean hasOtherLiveAt(Map<String, Instance> published, String address) {
+        for (Instance other : published.values()) {
             if (other.state() != InstanceState.GONE && other.address().equals(address)) {
                 return true;
             }
@@ -152,9 +153,9 @@
         return false;
     }
 
-    /** The one of the higher sequence; of equal ones the first. */
-    private static Instance newer(Instance one, Instance other) {
-        return other == null || one.sequence() >= other.sequence() ? one : other;
+    /** Returns the instance with the higher sequence; the first one if both are equal. */
+    private static Instance newer(Instance first, Instance other) {
+        return other == null || first.sequence() >= other.sequence() ? first : other;
     }
 
     private void put(Instance newest) {
@@ -171,10 +172,13 @@
         return isLoading(newest) ? InstanceState.LOADING : InstanceState.READY;
     }
 
-    /** A controller's statement of loading counts unless another controller heard of newer weights since. */
+    /**
+     * Returns whether a controller publishes the instance as loading and no other controller has heard of newer
+     * weights since.
+     */
     private boolean isLoading(Instance newest) {
-        for (Map<String, Instance> stated : statedByController.values()) {
-            Instance instance = stated.get(newest.id());
+        for (Map<String, Instance> published : publishedByController.values()) {
+            Instance instance = published.get(newest.id());
             if (instance != null && instance.state() == InstanceState.LOADING && !hasNewerWeights(newest, instance)) {
                 return true;
             }
@@ -182,9 +186,9 @@
         return false;
     }
 
-    private static boolean hasNewerWeights(Instance instance, Instance than) {
+    private static boolean hasNewerWeights(Instance instance, Instance reference) {
         for (Instance.ServedModel served : instance.models()) {
-            for (Instance.ServedModel before : than.models()) {
+            for (Instance.ServedModel before : reference.models()) {
                 if (served.name().equals(before.name()) && served.version() > before.version()) {
                     return true;
                 }
--- a/coordination/src/main/java/burlarch/coordination/registry/RegistryEntry.java
+++ b/coordination/src/main/java/burlarch/coordination/registry/RegistryEntry.java
@@ -4,7 +4,7 @@
 import java.util.OptionalLong;
 
 /**
- * What one registry knows of one instance: its newest announcement, and three facts that are independent of each other.
+ * A registry's entry of one instance: its newest announcement, and three independent facts.
  *
  * <p><em>Presence</em>, whose transitions {@link #moveTo} makes:
  *
@@ -13,20 +13,21 @@
  * (new), any      newer announcement, not GONE                                     HEARD
  * any             newer announcement, GONE, of an ordinary sequence                LOST
  * any             newer announcement, GONE, of the sequence of a final leave       LEFT
- * HEARD           silent for the expiry while this registry may have missed it     UNHEARD
- * HEARD, UNHEARD  silent for the expiry, or another instance has taken its address LOST
+ * HEARD           no heartbeat for the expiry, but it may have been missed here    UNHEARD
+ * HEARD, UNHEARD  no heartbeat for the expiry, or another instance at its address  LOST
  * </pre>
  *
  * After LEFT no newer announcement is possible, so LEFT is final.
  *
- * <p><em>Draining</em>: set by an announcement that says so and never cleared (invariant <em>permanent drain</em>).
+ * <p><em>Draining</em>: set by an announcement in state DRAINING and never cleared (invariant <em>permanent
+ * drain</em>).
  *
  * <p><em>Loading</em>: set and cleared by the owner of the weights rollout, with a deadline.
  *
  * <p>The states that follow from them:
  *
  * <pre>
- * presence    draining  loading  believed here  stated to others  self-reported
+ * presence    draining  loading  local view     published         self-reported
  * LEFT        any       any      GONE           GONE              GONE
  * LOST        yes       any      GONE           GONE              DRAINING
  * LOST        no        any      GONE           GONE              (none)
@@ -39,22 +40,22 @@
  * </pre>
  */
 final class RegistryEntry {
-    /** Whether the instance is heard of. */
+    /** Whether heartbeats of the instance are received. */
     private enum Presence {
-        /** Its heartbeats come. */
+        /** Its heartbeats are received. */
         HEARD,
         /** No heartbeat came for the expiry, which may be this controller's own fault. */
         UNHEARD,
-        /** Its heartbeats ended; a newer one brings it back. */
+        /** Its heartbeats ended; a newer announcement brings it back. */
         LOST,
-        /** It has left for good. */
+        /** It has left permanently. */
         LEFT
     }
 
     private Instance announced;
     private Presence presence = Presence.HEARD;
     private boolean draining;
-    /** When the loading state ends by itself; empty while the instance doesn't load. */
+    /** When the loading state ends by itself; empty while the instance does not load. */
     private OptionalLong loadingDeadlineNanos = OptionalLong.empty();
 
     private long heardAtNanos;
@@ -69,7 +70,7 @@
         moveTo(newer.state() == InstanceState.GONE ? removedPresence() : Presence.HEARD, nowNanos);
     }
 
-    /** Its heartbeats ended, or another instance has its address. */
+    /** Records that its heartbeats ended, or that another instance has its address. */
     void onLost(long nowNanos) {
         moveTo(removedPresence(), nowNanos);
     }
@@ -79,17 +80,17 @@
         moveTo(Presence.UNHEARD, nowNanos);
     }
 
-    /** The instance loads weights, until {@link #endLoading} or the deadline. */
+    /** Records that the instance loads weights, until {@link #endLoading} or the deadline. */
     void beginLoading(long deadlineNanos) {
         loadingDeadlineNanos = OptionalLong.of(deadlineNanos);
     }
 
-    /** The instance loads no weights. */
+    /** Records that the instance no longer loads weights. */
     void endLoading() {
         loadingDeadlineNanos = OptionalLong.empty();
     }
 
-    /** The registry's revision since which others are to see the present statement. */
+    /** Sets the registry's revision of the last change of the published view. */
     void setRevision(long newRevision) {
         revision = newRevision;
     }
@@ -134,29 +135,35 @@
         return loadingDeadlineNanos.isPresent() && nowNanos - loadingDeadlineNanos.getAsLong() >= 0;
     }
 
-    /** The instance as this registry believes it to be. */
-    Instance believed() {
-        return announced.withState(believedState());
+    /** Returns the instance in the view of this registry. */
+    Instance localView() {
+        return announced.withState(localState());
     }
 
-    /** What this registry states to others: a drain or an end also of an instance that wasn't heard of. */
-    Instance stated() {
-        boolean statesNothing = presence == Presence.UNHEARD && !draining;
-        return announced.withState(statesNothing ? InstanceState.UNHEARD : believedState());
+    /**
+     * Returns the instance as this registry publishes it. A drain or an end is published even while heartbeats are
+     * missing.
+     */
+    Instance published() {
+        boolean unknownState = presence == Presence.UNHEARD && !draining;
+        return announced.withState(unknownState ? InstanceState.UNHEARD : localState());
     }
 
-    /** What the instance said of itself and no missing heartbeat takes back; empty where only silence speaks. */
+    /**
+     * Returns the announcement that stays valid without heartbeats; empty if there is none, because the instance is
+     * lost or unheard and does not drain.
+     */
     Optional<Instance> selfReported() {
         if (hasLeft()) {
-            return Optional.of(stated());
+            return Optional.of(published());
         }
         if (draining) {
             return Optional.of(announced.withState(InstanceState.DRAINING));
         }
-        return presence == Presence.HEARD ? Optional.of(stated()) : Optional.empty();
+        return presence == Presence.HEARD ? Optional.of(published()) : Optional.empty();
     }
 
-    private InstanceState believedState() {
+    private InstanceState localState() {
         if (isRemoved()) {
             return InstanceState.GONE;
         }
--- a/coordination/src/main/java/burlarch/coordination/registry/RegistrySettings.java
+++ b/coordination/src/main/java/burlarch/coordination/registry/RegistrySettings.java
@@ -3,14 +3,14 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Times and bounds of an {@link InstanceRegistry}.
+ * Durations and bounds of an {@link InstanceRegistry}.
  *
- * @param expiryNanos an instance without a heartbeat for this long is lost, or unheard during a grace
- * @param graceNanos how long a grace is
+ * @param expiryNanos an instance without a heartbeat for this long is lost, or unheard during a grace period
+ * @param graceNanos length of a grace period
  * @param removedRetentionNanos how long a removed instance is remembered
- * @param loadingTimeoutNanos after which the loading state ends by itself
- * @param maxInstances most instances that are not removed; announcements of further ones are rejected
- * @param maxRemoved most removed instances that are remembered
+ * @param loadingTimeoutNanos how long the loading state lasts before it ends by itself
+ * @param maxInstances largest number of instances that are not removed; announcements of further ones are rejected
+ * @param maxRemoved largest number of removed instances that are remembered
  */
 public record RegistrySettings(
         long expiryNanos,
@@ -27,8 +27,9 @@
     private static final int MAX_REMOVED = 1024;
 
     /**
-     * The usual bounds for instances with this heartbeat interval. The expiry has a lower bound, so that it stays long
-     * beside the time between two checks, which would else look like a pause of this process.
+     * Returns the default settings for instances with this heartbeat interval. The expiry has a lower bound, so that
+     * it stays long compared with the time between two checks, which would otherwise look like a pause of this
+     * process.
      */
     public static RegistrySettings forHeartbeat(long heartbeatNanos) {
         long expiryNanos = Math.max(MISSED_HEARTBEATS * heartbeatNanos, TimeUnit.SECONDS.toNanos(MIN_EXPIRY_SECONDS));
--- a/coordination/src/main/java/burlarch/coordination/registry/RemovedEntries.java
+++ b/coordination/src/main/java/burlarch/coordination/registry/RemovedEntries.java
@@ -7,7 +7,7 @@
 import java.util.Map;
 import java.util.Optional;
 
-/** The entries of instances that were removed, remembered for a while, in the order of their removal. Bounded. */
+/** The entries of removed instances, retained for a limited time, in order of removal. Bounded. */
 final class RemovedEntries {
     private final RegistrySettings settings;
     private final Map<String, RegistryEntry> byId = new LinkedHashMap<>();
@@ -17,9 +17,9 @@
     }
 
     /**
-     * Adds an entry at the end, also if it was in before.
+     * Adds an entry at the end; an entry that is present already moves there.
      *
-     * @return the oldest entry if there was no room; it is no longer in
+     * @return the oldest entry if it had to be evicted
      */
     Optional<RegistryEntry> add(RegistryEntry entry) {
         byId.remove(entry.id());
@@ -32,7 +32,7 @@
         return Optional.of(oldest);
     }
 
-    /** The instance is back. */
+    /** Removes the entry of an instance that is back. */
     void remove(String id) {
         byId.remove(id);
     }
@@ -41,7 +41,7 @@
         return byId.size();
     }
 
-    /** Takes out the entries that were removed longer ago than the retention time. */
+    /** Removes and returns the entries of instances that were removed longer ago than the retention time. */
     List<RegistryEntry> takeForgettable(long nowNanos) {
         List<RegistryEntry> forgettable = new ArrayList<>(0);
         Iterator<RegistryEntry> oldestFirst = byId.values().iterator();
