--- a/coordination/src/main/java/burlarch/coordination/registry/RevisionIndex.java
+++ b/coordination/src/main/java/burlarch/coordination/registry/RevisionIndex.java
@@ -4,16 +4,16 @@
 import java.util.TreeMap;
 
 /**
- * The entries of a registry in the order of their last changes. Each change takes the next revision; an entry is
- * listed under its newest one only.
+ * An index of the entries of a registry by the revision of their last change. Each change takes the next revision; an
+ * entry is listed under its newest one only.
  */
 final class RevisionIndex {
     private final TreeMap<Long, RegistryEntry> byRevision = new TreeMap<>();
     private long revision;
-    /** The highest revision of an entry that was forgotten: the changes since a lower one are not all known. */
+    /** The highest revision of a forgotten entry; changes since a lower revision are not all known. */
     private long forgottenRevision;
 
-    /** Others are to see a change of the entry. */
+    /** Assigns the next revision to an entry whose published view changed. */
     void onChanged(RegistryEntry entry) {
         byRevision.remove(entry.revision());
         revision++;
@@ -21,28 +21,28 @@
         byRevision.put(revision, entry);
     }
 
-    /** The entry is forgotten. */
+    /** Removes a forgotten entry. */
     void forget(RegistryEntry entry) {
         byRevision.remove(entry.revision());
         forgottenRevision = Math.max(forgottenRevision, entry.revision());
     }
 
-    /** The revision of the last change, 0 before the first. */
+    /** Returns the revision of the last change, 0 before the first. */
     long revision() {
         return revision;
     }
 
-    /** Whether every change after that revision is still known. */
+    /** Returns whether every change after that revision is still known. */
     boolean knowsAllSince(long seenRevision) {
         return seenRevision > 0 && seenRevision >= forgottenRevision && seenRevision <= revision;
     }
 
-    /** The entries that changed after the revision. */
+    /** Returns the entries that changed after the revision. */
     Collection<RegistryEntry> changedSince(long seenRevision) {
         return byRevision.tailMap(seenRevision, false).values();
     }
 
-    /** All entries. */
+    /** Returns all entries. */
     Collection<RegistryEntry> all() {
         return byRevision.values();
     }
--- a/coordination/src/main/java/burlarch/coordination/rollout/EngineRollout.java
+++ b/coordination/src/main/java/burlarch/coordination/rollout/EngineRollout.java
@@ -11,13 +11,13 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * The order to one incarnation of an engine. {@link #moveTo} makes every transition:
+ * The state machine of the order to one incarnation of an engine. {@link #moveTo} makes every transition:
  *
  * <pre>
  * from              event                                                            to                action
  * IDLE              begin: chosen to load                                            WITHDRAWN         MarkLoading
- * IDLE              adopt: a former owner marked it, and it is behind                UNCONFIRMED
- * IDLE              adopt: a former owner marked it, and it is not behind            IDLE              ClearLoading
+ * IDLE              adopt: a previous owner marked it, and it is behind              UNCONFIRMED
+ * IDLE              adopt: a previous owner marked it, and it is not behind          IDLE              ClearLoading
  * WITHDRAWN         the withdrawal lead is over                                      ORDERED           SendOrder
  * WITHDRAWN         it needs no order any more, drains or is gone; ownership lost    IDLE              ClearLoading
  * ORDERED           result ACCEPTED, CONFLICT or NO_RESPONSE; response time-out;
@@ -35,25 +35,25 @@
  * <p>Invariants:
  *
  * <ul>
- *   <li><em>Withdrawn while ordered</em>: routers were told by this process, or a former owner, that the engine loads,
- *       exactly while the phase isn't IDLE. This process ends its own mark also after it lost the ownership, as no
- * other
- *       can.
- *   <li><em>No second order on doubt</em>: the same weights are ordered again only after a report that shows that the
- *       order before was not accepted. The report must be younger than the result of that order by the staleness of
- *       reports, and the new order expects the report's sequence, so that a late first order can't make it two.
+ *   <li><em>Withdrawn while ordered</em>: routers were told by this process, or a previous owner, that the engine
+ *       loads, exactly while the phase is not IDLE. This process clears its own mark even after it lost the
+ *       ownership, as no other process can.
+ *   <li><em>No duplicate order</em>: the same weights are ordered again only after a report that shows that the
+ *       previous order was not accepted. The report must be younger than the result of that order by at least the
+ *       staleness of reports, and the new order expects the report's sequence, so that it is rejected if the previous
+ *       order is accepted late.
  * </ul>
  */
 final class EngineRollout {
-    /** How far the order is. */
+    /** The phase of the order. */
     enum Phase {
-        /** No order; routers send requests. */
+        /** There is no order; routers send requests to the engine. */
         IDLE,
-        /** Routers are told to send nothing; the order follows. */
+        /** Routers were told to send nothing to the engine; the order follows. */
         WITHDRAWN,
-        /** The order was sent and has no result yet. */
+        /** The order was sent; its result is not known yet. */
         ORDERED,
-        /** The order was accepted, or may have been; registrations and reports tell. */
+        /** The order was accepted, or may have been; registrations and reports will show it. */
         UNCONFIRMED,
         /** As UNCONFIRMED, and a report was requested. */
         REPORT_REQUESTED;
@@ -72,12 +72,12 @@
     private static final long RESPONSE_TIMEOUT_NANOS = TimeUnit.SECONDS.toNanos(3);
     private static final long REJECTED_PAUSE_NANOS = TimeUnit.SECONDS.toNanos(1);
     private static final long MAX_REPORT_INTERVAL_NANOS = TimeUnit.SECONDS.toNanos(2);
-    /** For how long registrations may show a mark that was cleared. */
+    /** How long registrations may still show a mark after it was cleared. */
     private static final long SNAPSHOT_LAG_NANOS = TimeUnit.SECONDS.toNanos(2);
-    /** Between two reports passes the order's age divided by this, within bounds. */
-    private static final int REPORTS_PER_AGE = 8;
-    /** The first report after an accepted order comes at this part of the time that loads have taken. */
-    private static final double EARLY_REPORT_FRACTION = 0.9;
+    /** The interval between two reports is the order's age divided by this, within bounds. */
+    private static final int REPORT_AGE_DIVISOR = 8;
+    /** The first report after an accepted order is requested at this fraction of the estimated load time. */
+    private static final double FIRST_REPORT_FRACTION = 0.9;
 
     private final RolloutSettings settings;
     private final RolloutOwnership ownership;
@@ -85,23 +85,27 @@
     private final EngineStatus status;
     private Phase phase = Phase.IDLE;
     private long clearedAtNanos;
-    private long notBeforeNanos;
+    private long nextOrderNotBeforeNanos;
     private RolloutTarget target;
     private long version;
     private long fencingToken;
     private long expectedSequence = SendOrder.ANY_SEQUENCE;
-    /** Orders sent since the engine was withdrawn; 0 for an adopted one. */
+    /** Number of orders sent since the engine was withdrawn; 0 for an adopted engine. */
     private int attempts;
 
     private long orderAtNanos;
     private long sentAtNanos;
-    /** Reports made earlier than this plus their staleness can't tell whether the order was accepted. */
+    /** Reports requested earlier than this plus their staleness do not show whether the order was accepted. */
     private long resultAtNanos;
 
     private long reportAtNanos;
     private long reportRequestedAtNanos;
 
-    /** @param actions receives what is to be done */
+    /**
+     * Creates the state of an engine without an order.
+     *
+     * @param actions receives the actions to perform
+     */
     EngineRollout(
             RolloutSettings settings,
             RolloutOwnership ownership,
@@ -112,7 +116,7 @@
         this.ownership = ownership;
         this.actions = actions;
         this.status = new EngineStatus(instance);
-        this.notBeforeNanos = nowNanos;
+        this.nextOrderNotBeforeNanos = nowNanos;
         this.clearedAtNanos = nowNanos - SNAPSHOT_LAG_NANOS;
     }
 
@@ -125,36 +129,36 @@
     }
 
     boolean isStartable(long nowNanos) {
-        return phase == Phase.IDLE && nowNanos - notBeforeNanos >= 0;
+        return phase == Phase.IDLE && nowNanos - nextOrderNotBeforeNanos >= 0;
     }
 
-    /** Whether an order for that target keeps the engine out of service, or is about to. */
-    boolean isLoading(RolloutTarget wanted) {
-        return status.isPresent() && phase != Phase.IDLE && target == wanted;
+    /** Returns whether the engine is withdrawn from routers because of an order for that target. */
+    boolean isLoading(RolloutTarget newTarget) {
+        return status.isPresent() && phase != Phase.IDLE && target == newTarget;
     }
 
-    /** How long the order has been out, 0 before it is sent. */
+    /** Returns the nanoseconds since the order was sent, 0 before it is sent. */
     long ageNanos(long nowNanos) {
         return phase == Phase.WITHDRAWN ? 0 : nowNanos - sentAtNanos;
     }
 
-    /** Withdraws the engine from routers; the order follows once they have had the time to learn of it. */
-    void begin(RolloutTarget wanted, long nowNanos) {
+    /** Withdraws the engine from routers; the order follows after the withdrawal lead, when they have learned of it. */
+    void begin(RolloutTarget newTarget, long nowNanos) {
         moveTo(Phase.WITHDRAWN);
-        target = wanted;
+        target = newTarget;
         orderAtNanos = nowNanos + settings.withdrawalLeadNanos();
         actions.add(new MarkLoading(status.id()));
     }
 
-    /** Whether a former owner has withdrawn the engine from routers. */
+    /** Returns whether a previous owner has withdrawn the engine from routers. */
     boolean isAdoptable(long nowNanos) {
         return phase == Phase.IDLE && status.isAnnouncedLoading() && nowNanos - clearedAtNanos >= SNAPSHOT_LAG_NANOS;
     }
 
     /**
-     * Takes over an engine that a former owner has withdrawn.
+     * Takes over an engine that a previous owner has withdrawn.
      *
-     * @param behind the target for which it may have an order; empty if it needs none
+     * @param behind the target for which it may have received an order; empty if it needs no order
      */
     void adopt(Optional<RolloutTarget> behind, long nowNanos) {
         if (behind.isEmpty()) {
@@ -167,25 +171,25 @@
         awaitConfirmation(nowNanos - settings.reportStalenessNanos(), nowNanos);
     }
 
-    /** The registrations have changed. */
+    /** Handles a change of the registrations. */
     void onStatusChanged(long nowNanos) {
         if (isOrderOut() && isOrderedVersionLoaded()) {
             finish(nowNanos);
         } else if (phase == Phase.WITHDRAWN && !status.serves(target)) {
-            giveUp(nowNanos, 0);
+            abandon(nowNanos, 0);
         }
     }
 
-    /** The ownership has ended: whether what was ordered was accepted is uncertain from now on. */
+    /** Handles the loss of the ownership: whether a sent order was accepted is uncertain from now on. */
     void onOwnershipLost(long nowNanos) {
         if (phase == Phase.WITHDRAWN) {
-            giveUp(nowNanos, 0);
+            abandon(nowNanos, 0);
         } else if (phase == Phase.ORDERED) {
             awaitConfirmation(nowNanos, nowNanos + settings.reportStalenessNanos());
         }
     }
 
-    /** The ownership is held anew. */
+    /** Handles a new acquisition of the ownership. */
     void onOwnershipAcquired(long nowNanos) {
         if (isUnconfirmed()) {
             onReportAnswered();
@@ -193,7 +197,11 @@
         }
     }
 
-    /** @return whether the engine has seen a higher fencing token than the present one */
+    /**
+     * Handles the result of the order.
+     *
+     * @return whether the engine has seen a higher fencing token than the present one
+     */
     boolean onResult(OrderResult result, long nowNanos) {
         if (phase != Phase.ORDERED) {
             return false;
@@ -204,14 +212,18 @@
                 status.onVersion(target.model, version);
                 finish(nowNanos);
             }
-            case FENCED -> giveUp(nowNanos, 0);
-            case INVALID, MISDIRECTED -> giveUp(nowNanos, REJECTED_PAUSE_NANOS);
+            case FENCED -> abandon(nowNanos, 0);
+            case INVALID, MISDIRECTED -> abandon(nowNanos, REJECTED_PAUSE_NANOS);
             case CONFLICT, NO_RESPONSE -> awaitConfirmation(nowNanos, nowNanos + settings.reportStalenessNanos());
         }
         return result == OrderResult.FENCED && fencingToken == ownership.fencingToken();
     }
 
-    /** @param report empty if none came */
+    /**
+     * Handles the response to a report request.
+     *
+     * @param report empty if no report was received
+     */
     void onReport(Optional<EngineReport> report, long nowNanos) {
         boolean requested = phase == Phase.REPORT_REQUESTED;
         onReportAnswered();
@@ -226,7 +238,7 @@
         }
     }
 
-    /** Does what is due. */
+    /** Performs the actions that are due. */
     void proceed(long nowNanos) {
         if (phase == Phase.ORDERED && nowNanos - sentAtNanos >= RESPONSE_TIMEOUT_NANOS) {
             awaitConfirmation(nowNanos, nowNanos);
@@ -241,7 +253,7 @@
         }
     }
 
-    /** When {@link #proceed} has something to do, empty if it has nothing. */
+    /** Returns the time at which {@link #proceed} has something to do; empty if there is none. */
     OptionalLong nextDueAtNanos() {
         return switch (phase) {
             case IDLE -> OptionalLong.empty();
@@ -253,7 +265,7 @@
         };
     }
 
-    /** The engine is forgotten: routers are told that it loads no longer, if they were told that it does. */
+    /** Handles the removal of the engine: tells routers that it no longer loads, if they were told that it does. */
     void onForgotten(long nowNanos) {
         if (phase != Phase.IDLE) {
             release(nowNanos);
@@ -277,13 +289,13 @@
     }
 
     private long firstReportAtNanos(long nowNanos) {
-        long early = sentAtNanos + (long) (EARLY_REPORT_FRACTION * target.concurrency.estimateNanos());
-        return Math.max(nowNanos + settings.reportIntervalNanos(), early);
+        long earliestNanos = sentAtNanos + (long) (FIRST_REPORT_FRACTION * target.concurrency.estimateNanos());
+        return Math.max(nowNanos + settings.reportIntervalNanos(), earliestNanos);
     }
 
     private long reportIntervalNanos(long nowNanos) {
-        long byAge = (nowNanos - sentAtNanos) / REPORTS_PER_AGE;
-        return Math.min(MAX_REPORT_INTERVAL_NANOS, Math.max(settings.reportIntervalNanos(), byAge));
+        long intervalByAgeNanos = (nowNanos - sentAtNanos) / REPORT_AGE_DIVISOR;
+        return Math.min(MAX_REPORT_INTERVAL_NANOS, Math.max(settings.reportIntervalNanos(), intervalByAgeNanos));
     }
 
     private long nextReportAtNanos() {
@@ -304,12 +316,15 @@
         }
     }
 
-    /** No order is being executed: the order was done, or, if the report is young enough to tell, not accepted. */
+    /**
+     * Handles a report that no order is being executed: the order was completed, or, if the report is recent enough
+     * to show it, not accepted.
+     */
     private void onNotBusy(long orderSequence, boolean requested, long nowNanos) {
-        boolean youngEnough = reportRequestedAtNanos - resultAtNanos >= settings.reportStalenessNanos();
+        boolean recentEnough = reportRequestedAtNanos - resultAtNanos >= settings.reportStalenessNanos();
         if (isOrderedVersionLoaded()) {
             finish(nowNanos);
-        } else if (ownership.isHeld() && requested && youngEnough) {
+        } else if (ownership.isHeld() && requested && recentEnough) {
             moveTo(Phase.WITHDRAWN);
             orderAtNanos = nowNanos;
             expectedSequence = orderSequence;
@@ -318,7 +333,7 @@
 
     private void sendOrder(long nowNanos) {
         if (!status.isBehind(target)) {
-            giveUp(nowNanos, 0);
+            abandon(nowNanos, 0);
             return;
         }
         moveTo(Phase.ORDERED);
@@ -336,7 +351,7 @@
         reportAtNanos = reportNanos;
     }
 
-    /** The ordered version is loaded. */
+    /** Ends the order because its version is loaded. */
     private void finish(long nowNanos) {
         if (isUnconfirmed() && attempts == 1) {
             target.concurrency.onLoaded(nowNanos - sentAtNanos);
@@ -350,14 +365,14 @@
         }
     }
 
-    /** Ends the order without a load; the next one begins after the pause at the earliest. */
-    private void giveUp(long nowNanos, long pauseNanos) {
+    /** Ends the order without a load; the next order begins after the pause at the earliest. */
+    private void abandon(long nowNanos, long pauseNanos) {
         resetOrder(nowNanos + pauseNanos);
         release(nowNanos);
     }
 
     private void resetOrder(long nextNotBeforeNanos) {
-        notBeforeNanos = nextNotBeforeNanos;
+        nextOrderNotBeforeNanos = nextNotBeforeNanos;
         expectedSequence = SendOrder.ANY_SEQUENCE;
         attempts = 0;
     }
--- a/coordination/src/main/java/burlarch/coordination/rollout/EngineStatus.java
+++ b/coordination/src/main/java/burlarch/coordination/rollout/EngineStatus.java
@@ -8,10 +8,10 @@
 import java.util.Map;
 
 /**
- * What registrations and reports tell of one incarnation of an engine.
+ * The status of one incarnation of an engine, as known from registrations and reports.
  *
- * <p>Invariant <em>versions only rise</em>: weights only get newer while an engine runs, so an observation that comes
- * late changes nothing.
+ * <p>Invariant <em>versions only rise</em>: weights only get newer while an engine runs, so a late observation
+ * changes nothing.
  */
 final class EngineStatus {
     private final Map<String, Long> versions = new HashMap<>();
@@ -40,14 +40,14 @@
         runningRequests = count;
     }
 
-    /** The registry lists the engine. */
+    /** Records that the registry lists the engine. */
     void onInstance(Instance announced) {
         instance = announced;
         present = announced.state() != InstanceState.GONE;
         onModels(announced.models());
     }
 
-    /** The registry doesn't list the engine. */
+    /** Records that the registry does not list the engine. */
     void onMissing(long nowNanos) {
         if (present) {
             missingSinceNanos = nowNanos;
@@ -63,7 +63,7 @@
         return !present && nowNanos - missingSinceNanos > durationNanos;
     }
 
-    /** Whether routers were told, by whichever controller, that it loads. */
+    /** Returns whether some controller has told the routers that it loads. */
     boolean isAnnouncedLoading() {
         return present && instance.state() == InstanceState.LOADING;
     }
@@ -78,17 +78,17 @@
         versions.merge(model, version, Math::max);
     }
 
-    /** Whether that version or a newer one is loaded. */
+    /** Returns whether that version or a newer one is loaded. */
     boolean hasLoaded(String model, long version) {
         return versions.getOrDefault(model, 0L) >= version;
     }
 
-    /** Whether it takes requests for the target's model, or will once it has loaded weights. */
+    /** Returns whether it accepts requests for the target's model, or will once it has loaded weights. */
     boolean serves(RolloutTarget target) {
         return present && instance.state() != InstanceState.DRAINING && versions.containsKey(target.model);
     }
 
-    /** Whether it serves the target's model with older weights. */
+    /** Returns whether it serves the target's model with older weights. */
     boolean isBehind(RolloutTarget target) {
         return serves(target) && versions.get(target.model) < target.version;
     }
--- a/coordination/src/main/java/burlarch/coordination/rollout/LoadConcurrency.java
+++ b/coordination/src/main/java/burlarch/coordination/rollout/LoadConcurrency.java
@@ -1,47 +1,49 @@
 package burlarch.coordination.rollout;
 
 /**
- * How many engines of one model may load at once: the fewest with which the rollout is done in time.
+ * The limit on how many engines of one model load at once: the smallest number with which the rollout is done in
+ * time.
  *
- * <p>Invariant <em>half keeps serving</em>: before the deadline at most half of the engines load, rounded up. After it
- * those that are behind can't serve anyway, so all may load.
+ * <p>Invariant <em>half keeps serving</em>: before the deadline at most half of the engines load, rounded up. After
+ * it, engines that are behind cannot serve anyway, so all may load.
  */
 final class LoadConcurrency {
-    /** While no load was timed, at least this part of the engines loads. */
+    /** Fraction of the engines that may load at least while no load has been timed. */
     private static final double FIRST_FRACTION = 0.29;
 
     private static final int FIRST_MINIMUM = 2;
-    /** Weight of the newest load in the estimate. */
+    /** Weight of the newest load in the moving average. */
     private static final double SMOOTHING = 0.3;
 
     private double estimateNanos;
 
-    /** A load took that long, from the order until it was known to be done. */
-    void onLoaded(long nanos) {
-        estimateNanos = estimateNanos == 0 ? nanos : estimateNanos + SMOOTHING * (nanos - estimateNanos);
+    /** Records the duration of a load, from the order until it was known to be done. */
+    void onLoaded(long durationNanos) {
+        estimateNanos =
+                estimateNanos == 0 ? durationNanos : estimateNanos + SMOOTHING * (durationNanos - estimateNanos);
     }
 
-    /** How long a load takes, 0 before the first one. */
+    /** Returns the estimated duration of a load in nanoseconds, 0 before the first one. */
     long estimateNanos() {
         return (long) estimateNanos;
     }
 
     /**
-     * How many engines may load now, those that do included.
+     * Returns the number of engines that may load now, those already loading included.
      *
-     * @param serving engines that have the model
-     * @param behind engines that are still to be ordered
-     * @param agesNanos how long each of those that load has been at it, 0 and more
-     * @param untilTargetNanos until all should be done; may be negative
-     * @param untilDeadlineNanos until no request may begin on older weights; may be negative
+     * @param serving number of engines that serve the model
+     * @param behind number of engines that still need an order
+     * @param agesNanos how long each loading engine has been loading; not negative
+     * @param untilTargetNanos time until all should be done; may be negative
+     * @param untilDeadlineNanos time until no request may begin on older weights; may be negative
      */
     int maxConcurrentLoads(int serving, int behind, long[] agesNanos, long untilTargetNanos, long untilDeadlineNanos) {
-        int all = behind + agesNanos.length;
+        int remaining = behind + agesNanos.length;
         if (untilDeadlineNanos <= 0) {
-            return all;
+            return remaining;
         }
         int half = Math.max(1, (serving + 1) / 2);
-        return Math.min(half, Math.min(all, neededLoads(serving, behind, agesNanos, untilTargetNanos)));
+        return Math.min(half, Math.min(remaining, neededLoads(serving, behind, agesNanos, untilTargetNanos)));
     }
 
     private int neededLoads(int serving, int behind, long[] agesNanos, long leftNanos) {
@@ -57,7 +59,7 @@
         return Math.max(minimum, (int) Math.ceil(workNanos / leftNanos));
     }
 
-    /** The estimate, or the age of a load that has taken longer. */
+    /** Returns the estimate, or the age of a present load if that is longer. */
     private long longestLoadNanos(long[] agesNanos) {
         long longest = estimateNanos();
         for (long ageNanos : agesNanos) {
--- a/coordination/src/main/java/burlarch/coordination/rollout/OrderMode.java
+++ b/coordination/src/main/java/burlarch/coordination/rollout/OrderMode.java
@@ -1,12 +1,12 @@
 package burlarch.coordination.rollout;
 
-/** What an engine does with its running requests when it is to load other weights. */
+/** How an engine treats its running requests when it loads other weights. */
 public enum OrderMode {
-    /** They finish first. */
+    /** They finish before the load begins. */
     QUEUE("queue"),
     /** Their streams are reset. */
     TRUNCATE("truncate"),
-    /** They go on with the new weights. */
+    /** They continue with the new weights. */
     RETAIN("retain");
 
     private final String wireName;
@@ -15,7 +15,7 @@
         this.wireName = wireName;
     }
 
-    /** The name in an order's body. */
+    /** Returns the name in an order's body. */
     public String wireName() {
         return wireName;
     }
--- a/coordination/src/main/java/burlarch/coordination/rollout/OrderResult.java
+++ b/coordination/src/main/java/burlarch/coordination/rollout/OrderResult.java
@@ -1,8 +1,8 @@
 package burlarch.coordination.rollout;
 
-/** The result of an order to an engine, by the status of its response. */
+/** The result of an order to an engine, by the HTTP status of its response. */
 public enum OrderResult {
-    /** 202: the engine executes it. */
+    /** 202: the engine executes the order. */
     ACCEPTED,
     /** 200: that version is loaded already. */
     ALREADY_LOADED,
@@ -14,6 +14,6 @@
     INVALID,
     /** 421: another instance has that address. */
     MISDIRECTED,
-    /** No clear response: the order may have been accepted. */
+    /** No response, or none that shows the outcome: the order may have been accepted. */
     NO_RESPONSE
 }
--- a/coordination/src/main/java/burlarch/coordination/rollout/RolloutOwnership.java
+++ b/coordination/src/main/java/burlarch/coordination/rollout/RolloutOwnership.java
@@ -1,7 +1,7 @@
 package burlarch.coordination.rollout;
 
 /**
- * Whether this process holds the ownership of the rollout, and under which fencing token.
+ * The state of the ownership of the rollout in this process, and its fencing token.
  *
  * <pre>
  * from                 event                                        to
@@ -12,13 +12,13 @@
  * HELD                 an engine has seen a higher token            FENCED
  * </pre>
  *
- * Every other event changes nothing. Invariant <em>tokens rise</em>: the token never gets lower.
+ * Every other event changes nothing. Invariant <em>tokens rise</em>: the token never decreases.
  */
 final class RolloutOwnership {
     private enum Phase {
         /** No token was acquired yet. */
         NEVER_HELD,
-        /** This process holds the ownership and may order. */
+        /** This process holds the ownership and may send orders. */
         HELD,
         /** The ownership ended; the same token may be acquired again. */
         ENDED,
@@ -29,7 +29,11 @@
     private Phase phase = Phase.NEVER_HELD;
     private long fencingToken;
 
-    /** @return whether the ownership is held anew */
+    /**
+     * Records that the ownership was acquired under a token.
+     *
+     * @return whether the state changed to held
+     */
     boolean onAcquired(long token) {
         boolean isNew = phase == Phase.NEVER_HELD || token > fencingToken;
         boolean isResumed = phase == Phase.ENDED && token == fencingToken;
@@ -57,7 +61,7 @@
         return phase == Phase.HELD;
     }
 
-    /** The newest token, 0 before the first. */
+    /** Returns the newest token, 0 before the first one. */
     long fencingToken() {
         return fencingToken;
     }
--- a/coordination/src/main/java/burlarch/coordination/rollout/RolloutSettings.java
+++ b/coordination/src/main/java/burlarch/coordination/rollout/RolloutSettings.java
@@ -3,15 +3,14 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Times of a rollout.
+ * Durations and the order mode of a rollout.
  *
- * @param versionDeadlineNanos from the naming of a version until no request may begin on older weights; a rollout
- * should
- *     be done in half of it
- * @param withdrawalLeadNanos how long before an order routers are told that the engine loads
- * @param reportStalenessNanos how old the state is that a report describes, at most
- * @param reportIntervalNanos least time between reports while an engine loads
- * @param orderMode what becomes of running requests
+ * @param versionDeadlineNanos time from when a version is named until no request may begin on older weights; a
+ *     rollout should be done in half of it
+ * @param withdrawalLeadNanos how long before an order the routers are told that the engine loads
+ * @param reportStalenessNanos largest age of the state that a report describes
+ * @param reportIntervalNanos shortest time between reports while an engine loads
+ * @param orderMode how engines treat their running requests
  */
 public record RolloutSettings(
         long versionDeadlineNanos,
@@ -24,8 +23,9 @@
     private static final long REPORT_INTERVAL_MILLIS = 500;
 
     /**
-     * The usual times beside the deployment's {@code version_ms}. Running requests go on: an engine that lets them
-     * finish first stands idle for up to the longest stream, which costs far more value than the load itself.
+     * Returns the default settings for the deployment's {@code version_ms}. Running requests continue: an engine that
+     * lets them finish first is idle for up to the duration of the longest stream, which costs far more value than
+     * the load itself.
      */
     public static RolloutSettings of(long versionMillis) {
         return new RolloutSettings(
--- a/coordination/src/main/java/burlarch/coordination/rollout/RolloutTarget.java
+++ b/coordination/src/main/java/burlarch/coordination/rollout/RolloutTarget.java
@@ -1,20 +1,20 @@
 package burlarch.coordination.rollout;
 
-/** The weights that the engines of one model are to have. The version only rises. */
+/** The target version of one model's weights. The version only rises. */
 final class RolloutTarget {
     final String model;
     final LoadConcurrency concurrency = new LoadConcurrency();
     long version;
-    /** When the present version was named. */
+    /** When the present version was named, in nanoseconds of the monotonic clock. */
     long raisedAtNanos;
 
     RolloutTarget(String model) {
         this.model = model;
     }
 
-    void raise(long named, long nowNanos) {
-        if (named > version) {
-            version = named;
+    void raise(long newVersion, long nowNanos) {
+        if (newVersion > version) {
+            version = newVersion;
             raisedAtNanos = nowNanos;
         }
     }
--- a/coordination/src/main/java/burlarch/coordination/rollout/RolloutWave.java
+++ b/coordination/src/main/java/burlarch/coordination/rollout/RolloutWave.java
@@ -6,9 +6,9 @@
 import java.util.List;
 import java.util.Map;
 
-/** One decision which engines of one model start to load now. Used once. */
+/** One decision on which engines of one model start to load now. Each instance is used once. */
 final class RolloutWave {
-    /** Engines of one zone that serve the model. */
+    /** The number of engines of one zone that serve the model, and of those that load. */
     private static final class ZoneCount {
         private int loading;
         private int serving;
@@ -19,11 +19,11 @@
     private final RolloutSettings settings;
     private final long nowNanos;
     private final List<EngineRollout> startable = new ArrayList<>();
-    /** The engines that load, without those that take longer than a rollout should. */
+    /** The loading engines, without those that have taken longer than a whole rollout should. */
     private final List<EngineRollout> loading = new ArrayList<>();
 
     private final Map<String, ZoneCount> zones = new HashMap<>();
-    /** Engines without an order that are still to get one. */
+    /** Number of engines without an order that still need one. */
     private int behind;
 
     private int serving;
@@ -36,9 +36,9 @@
     }
 
     /**
-     * Starts as many engines as may load at once.
+     * Starts loads until as many engines load as may load at once.
      *
-     * @return whether more are to follow
+     * @return whether more engines are to be started later
      */
     boolean startLoads() {
         for (EngineRollout engine : engines) {
@@ -49,10 +49,10 @@
         if (behind == 0) {
             return false;
         }
-        int slots = maxConcurrentLoads() - loading.size();
-        while (slots > 0 && !startable.isEmpty()) {
+        int freeSlots = maxConcurrentLoads() - loading.size();
+        while (freeSlots > 0 && !startable.isEmpty()) {
             start(nextToStart());
-            slots--;
+            freeSlots--;
         }
         return behind > 0;
     }
@@ -81,7 +81,10 @@
         behind--;
     }
 
-    /** Half of the deadline. An engine that takes longer for one load no longer takes a slot. */
+    /**
+     * Returns the time in which a rollout should be done: half of the deadline. An engine whose load takes longer no
+     * longer occupies a slot.
+     */
     private long targetDurationNanos() {
         return settings.versionDeadlineNanos() / 2;
     }
@@ -91,13 +94,13 @@
         for (int i = 0; i < agesNanos.length; i++) {
             agesNanos[i] = loading.get(i).ageNanos(nowNanos);
         }
-        long passedNanos = nowNanos - target.raisedAtNanos;
+        long elapsedNanos = nowNanos - target.raisedAtNanos;
         return target.concurrency.maxConcurrentLoads(
                 serving,
                 behind,
                 agesNanos,
-                targetDurationNanos() - passedNanos,
-                settings.versionDeadlineNanos() - passedNanos);
+                targetDurationNanos() - elapsedNanos,
+                settings.versionDeadlineNanos() - elapsedNanos);
     }
 
     private EngineRollout nextToStart() {
@@ -110,11 +113,13 @@
         return next;
     }
 
-    /** First the zone of which the smaller part is loading, then the engine with fewer running requests. */
-    private boolean startsBefore(EngineStatus one, EngineStatus other) {
-        ZoneCount zone = zones.get(one.zone());
-        ZoneCount otherZone = zones.get(other.zone());
-        int byZone = Integer.compare(zone.loading * otherZone.serving, otherZone.loading * zone.serving);
-        return byZone < 0 || byZone == 0 && one.runningRequests() < other.runningRequests();
+    /**
+     * Orders by the fraction of the zone that is loading, the smaller first, then by the number of running requests.
+     */
+    private boolean startsBefore(EngineStatus first, EngineStatus second) {
+        ZoneCount zone = zones.get(first.zone());
+        ZoneCount secondZone = zones.get(second.zone());
+        int byZone = Integer.compare(zone.loading * secondZone.serving, secondZone.loading * zone.serving);
+        return byZone < 0 || byZone == 0 && first.runningRequests() < second.runningRequests();
     }
 }
--- a/coordination/src/main/java/burlarch/coordination/rollout/WeightsRollout.java
+++ b/coordination/src/main/java/burlarch/coordination/rollout/WeightsRollout.java
@@ -14,11 +14,11 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Brings engines to the newest named weights, a few at a time, while this process holds the ownership. Each call
- * returns what is to be done, in order.
+ * The rollout of the newest named weights to engines, a few at a time, while this process holds the ownership. Each
+ * call returns the actions to perform, in order.
  *
  * <p>Invariants: <em>orders by the owner only</em> ({@link RolloutOwnership}); <em>withdrawn while ordered</em> and
- * <em>no second order on doubt</em> ({@link EngineRollout}); <em>half keeps serving</em> ({@link LoadConcurrency}).
+ * <em>no duplicate order</em> ({@link EngineRollout}); <em>half keeps serving</em> ({@link LoadConcurrency}).
  *
  * <p>No I/O and no clock: times are nanoseconds of one monotonic clock. Not thread-safe.
  */
@@ -31,19 +31,22 @@
     private final Map<String, RolloutTarget> targets = new TreeMap<>();
     private final List<RolloutAction> actions = new ArrayList<>();
 
-    /** A rollout that knows of no engines and no weights, and holds no ownership. */
+    /** Creates a rollout without engines, targets or ownership. */
     public WeightsRollout(RolloutSettings settings) {
         this.settings = settings;
     }
 
-    /** The newest version of each model, as the register has it; one lower than before changes nothing. */
+    /**
+     * Updates the target version of each model from the register; a version lower than the present one changes
+     * nothing.
+     */
     public List<RolloutAction> onTargets(Map<String, Long> versions, long nowNanos) {
         versions.forEach((model, version) ->
                 targets.computeIfAbsent(model, RolloutTarget::new).raise(version, nowNanos));
         return proceed(nowNanos);
     }
 
-    /** The complete list of known instances; those without models are ignored. */
+    /** Updates the engines from the complete list of known instances; instances without models are ignored. */
     public List<RolloutAction> onInstances(Collection<Instance> instances, long nowNanos) {
         for (EngineRollout engine : engines.values()) {
             engine.status().onMissing(nowNanos);
@@ -58,7 +61,7 @@
         return proceed(nowNanos);
     }
 
-    /** How many requests run at an engine, where that is known without a report. */
+    /** Updates the number of requests that run at an engine, if it is known without a report. */
     public void onRunningRequests(String instanceId, int count) {
         EngineRollout engine = engines.get(instanceId);
         if (engine != null) {
@@ -67,8 +70,8 @@
     }
 
     /**
-     * This process holds the ownership under that token. Tokens rise; the same one may be acquired again after a pause,
-     * unless an engine has shown that a higher one is out.
+     * Handles the acquisition of the ownership under a token. Tokens rise; the same token may be acquired again after
+     * a pause, unless an engine has shown that a higher one exists.
      */
     public List<RolloutAction> onOwnership(long token, long nowNanos) {
         if (ownership.onAcquired(token)) {
@@ -80,14 +83,14 @@
         return proceed(nowNanos);
     }
 
-    /** The ownership has ended. Whether the orders so far were accepted is uncertain from now on. */
+    /** Handles the loss of the ownership. Whether pending orders were accepted is uncertain from now on. */
     public List<RolloutAction> onOwnershipLost(long nowNanos) {
         ownership.onEnded();
         notifyOwnershipLost(nowNanos);
         return proceed(nowNanos);
     }
 
-    /** The result of the order to that engine. */
+    /** Handles the result of the order to that engine. */
     public List<RolloutAction> onOrderResult(String instanceId, OrderResult result, long nowNanos) {
         EngineRollout engine = engines.get(instanceId);
         if (engine != null && engine.onResult(result, nowNanos) && ownership.isHeld()) {
@@ -98,7 +101,7 @@
         return proceed(nowNanos);
     }
 
-    /** The report that was requested, empty if none came. */
+    /** Handles the response to a report request; the report is empty if none was received. */
     public List<RolloutAction> onReport(String instanceId, Optional<EngineReport> report, long nowNanos) {
         EngineRollout engine = engines.get(instanceId);
         if (engine != null) {
@@ -107,12 +110,12 @@
         return proceed(nowNanos);
     }
 
-    /** The time of a {@link Timer} has come. */
+    /** Handles a timer. Call it at the time of the latest {@link Timer}. */
     public List<RolloutAction> onTimer(long nowNanos) {
         return proceed(nowNanos);
     }
 
-    /** Whether all known engines have the newest weights that are named. */
+    /** Returns whether all known engines have the newest named weights. */
     public boolean isComplete() {
         for (EngineRollout engine : engines.values()) {
             if (firstTargetBehind(engine).isPresent()) {
@@ -134,12 +137,12 @@
     }
 
     private void forgetMissing(long nowNanos) {
-        Iterator<EngineRollout> all = engines.values().iterator();
-        while (all.hasNext()) {
-            EngineRollout engine = all.next();
+        Iterator<EngineRollout> remaining = engines.values().iterator();
+        while (remaining.hasNext()) {
+            EngineRollout engine = remaining.next();
             if (engine.status().isMissingFor(MISSING_RETENTION_NANOS, nowNanos)) {
                 engine.onForgotten(nowNanos);
-                all.remove();
+                remaining.remove();
             }
         }
     }
@@ -153,7 +156,7 @@
         }
     }
 
-    /** A target that the engine has yet to reach. */
+    /** Returns the first target whose version the engine has not loaded yet. */
     private Optional<RolloutTarget> firstTargetBehind(EngineRollout engine) {
         for (RolloutTarget target : targets.values()) {
             if (engine.status().isBehind(target)) {
