--- a/coordination/src/main/java/burlarch/coordination/membership/Ipv4Address.java
+++ b/coordination/src/main/java/burlarch/coordination/membership/Ipv4Address.java
@@ -10,7 +10,11 @@
 
     private Ipv4Address() {}
 
-    /** @throws IllegalArgumentException if the text is not an IPv4 address with a port above 0 */
+    /**
+     * Packs an IP:PORT text.
+     *
+     * @throws IllegalArgumentException if the text is not an IPv4 address with a port above 0
+     */
     static long pack(String address) {
         int colon = address.indexOf(':');
         if (colon < 0) {
--- a/coordination/src/main/java/burlarch/coordination/rollout/WeightsRollout.java
+++ b/coordination/src/main/java/burlarch/coordination/rollout/WeightsRollout.java
@@ -180,7 +180,7 @@
         return result;
     }
 
-    /** @return whether more engines are to start later */
+    /** Starts the loads that are possible now. Returns whether more engines are to start later. */
     private boolean startLoads(long nowNanos) {
         boolean more = false;
         for (RolloutTarget target : targets.values()) {
