--- a/coordination/src/main/java/burlarch/coordination/rollout/RolloutWave.java
+++ b/coordination/src/main/java/burlarch/coordination/rollout/RolloutWave.java
@@ -117,9 +117,9 @@
      * Orders by the fraction of the zone that is loading, the smaller first, then by the number of running requests.
      */
     private boolean startsBefore(EngineStatus first, EngineStatus second) {
-        ZoneCount zone = zones.get(first.zone());
+        ZoneCount firstZone = zones.get(first.zone());
         ZoneCount secondZone = zones.get(second.zone());
-        int byZone = Integer.compare(zone.loading * secondZone.serving, secondZone.loading * zone.serving);
+        int byZone = Integer.compare(firstZone.loading * secondZone.serving, secondZone.loading * firstZone.serving);
         return byZone < 0 || byZone == 0 && first.runningRequests() < second.runningRequests();
     }
 }
