--- a/audit/src/main/java/burlarch/audit/Attempt.java
+++ b/audit/src/main/java/burlarch/audit/Attempt.java
@@ -1,7 +1,7 @@
 package burlarch.audit;
 
 /**
- * The record of one attempt of a request as the node saw it. Times are on the clock of {@link Asked}.
+ * The record of one attempt of a request as the node saw it. Times are on the clock of {@link ClientRequest}.
  *
  * @param id             the request's id
  * @param node           id of the node that received the attempt
--- a/audit/src/main/java/burlarch/audit/Asked.java
+++ b/audit/src/main/java/burlarch/audit/ClientRequest.java
@@ -16,7 +16,7 @@
  * @param bodyDigest   {@link Digest} of the response's body
  * @param answers      number of responses received; more than one violates {@link Breach.Rule#ONE_ANSWER}
  */
-public record Asked(
+public record ClientRequest(
         String id,
         String proxy,
         String requestClass,
--- a/audit/src/main/java/burlarch/audit/MembershipUpdate.java
+++ b/audit/src/main/java/burlarch/audit/MembershipUpdate.java
@@ -2,7 +2,7 @@
 
 /**
  * The record of one membership update about a node that discovery sent to a proxy. Times are on the clock of
- * {@link Asked}.
+ * {@link ClientRequest}.
  *
  * @param proxy          name of the proxy
  * @param node           id of the node
--- a/audit/src/main/java/burlarch/audit/NodeStart.java
+++ b/audit/src/main/java/burlarch/audit/NodeStart.java
@@ -1,7 +1,7 @@
 package burlarch.audit;
 
 /**
- * The record of a cold start of a node. Times are on the clock of {@link Asked}.
+ * The record of a cold start of a node. Times are on the clock of {@link ClientRequest}.
  *
  * @param node      the node's id
  * @param atNanos   when it started
--- a/audit/src/main/java/burlarch/audit/RecordFile.java
+++ b/audit/src/main/java/burlarch/audit/RecordFile.java
@@ -10,9 +10,9 @@
 
 /**
  * The text format of record files: one record a line, with fields separated by tabs. The first field names the
- * kind: {@code Q} for {@link Asked}, {@code A} for {@link Attempt}, {@code T} for {@link MembershipUpdate},
- * {@code S} for {@link NodeStart}, {@code R} for {@link Ran}. The last line has kind {@code E}, the number of records
- * in the file and the number of dropped records; a file without it is truncated.
+ * kind: {@code Q} for {@link ClientRequest}, {@code A} for {@link Attempt}, {@code T} for {@link MembershipUpdate},
+ * {@code S} for {@link NodeStart}, {@code R} for {@link ProxyRun}. The last line has kind {@code E}, the number of
+ * records in the file and the number of dropped records; a file without it is truncated.
  */
 public final class RecordFile {
     private static final String END_KIND = "E";
@@ -22,7 +22,7 @@
 
     /** Returns the line of a record, with its line break. */
     static String line(AuditRecord record) {
-        if (record instanceof Asked r) {
+        if (record instanceof ClientRequest r) {
             return join(
                     "Q",
                     r.id(),
@@ -56,7 +56,7 @@
         if (record instanceof NodeStart r) {
             return join("S", r.node(), r.atNanos(), r.capacity(), r.coldShare(), r.coldNanos());
         }
-        if (record instanceof Ran r) {
+        if (record instanceof ProxyRun r) {
             return join("R", r.proxy(), r.startedNanos(), r.killedNanos(), r.endedNanos());
         }
         throw new IllegalArgumentException("no line format for " + record.getClass());
@@ -130,7 +130,7 @@
 
     private static AuditRecord record(String[] fields) {
         return switch (fields[0]) {
-            case "Q" -> new Asked(
+            case "Q" -> new ClientRequest(
                     fields[1],
                     fields[2],
                     fields[3],
@@ -138,7 +138,7 @@
                     Long.parseLong(fields[5]),
                     Long.parseLong(fields[6]),
                     Long.parseLong(fields[7]),
-                    Asked.End.valueOf(fields[8]),
+                    ClientRequest.End.valueOf(fields[8]),
                     Integer.parseInt(fields[9]),
                     Long.parseUnsignedLong(fields[10], 16),
                     Integer.parseInt(fields[11]));
@@ -164,7 +164,7 @@
                     Double.parseDouble(fields[3]),
                     Double.parseDouble(fields[4]),
                     Long.parseLong(fields[5]));
-            case "R" -> new Ran(
+            case "R" -> new ProxyRun(
                     fields[1], Long.parseLong(fields[2]), Long.parseLong(fields[3]), Long.parseLong(fields[4]));
             default -> throw new IllegalArgumentException("unknown kind of record");
         };
--- a/audit/src/main/java/burlarch/audit/Records.java
+++ b/audit/src/main/java/burlarch/audit/Records.java
@@ -5,7 +5,7 @@
 /**
  * All records of one run, by kind.
  *
- * @param asked             requests as their clients saw them
+ * @param clientRequests    requests as their clients saw them
  * @param attempts          attempts as the nodes saw them
  * @param membershipUpdates membership updates that proxies received
  * @param nodeStarts        cold starts of nodes
@@ -13,20 +13,20 @@
  * @param droppedRecords    number of records that were dropped: with gaps the audit can miss violations
  */
 public record Records(
-        List<Asked> asked,
+        List<ClientRequest> clientRequests,
         List<Attempt> attempts,
         List<MembershipUpdate> membershipUpdates,
         List<NodeStart> nodeStarts,
-        List<Ran> proxyRuns,
+        List<ProxyRun> proxyRuns,
         long droppedRecords) {
     /** Groups records by kind; the order within a kind is kept. */
     static Records of(List<AuditRecord> records, long droppedRecords) {
         return new Records(
-                ofKind(Asked.class, records),
+                ofKind(ClientRequest.class, records),
                 ofKind(Attempt.class, records),
                 ofKind(MembershipUpdate.class, records),
                 ofKind(NodeStart.class, records),
-                ofKind(Ran.class, records),
+                ofKind(ProxyRun.class, records),
                 droppedRecords);
     }
 
--- a/audit/src/main/java/burlarch/audit/Verdict.java
+++ b/audit/src/main/java/burlarch/audit/Verdict.java
@@ -32,7 +32,7 @@
      * @param percent from 0 to 100
      * @return nanoseconds; 0 if no request was refused or failed
      */
-    public long giveUpPercentile(double percent) {
+    public long refusalDelayPercentile(double percent) {
         if (refusalDelaysNanos.length == 0) {
             return 0;
         }
--- a/cli/src/main/java/burlarch/cli/FleetCommand.java
+++ b/cli/src/main/java/burlarch/cli/FleetCommand.java
@@ -3,7 +3,7 @@
 import burlarch.audit.FileSink;
 import burlarch.audit.Sink;
 import burlarch.settings.SettingsFile;
-import burlarch.standins.fleet.Control;
+import burlarch.standins.fleet.FleetControl;
 import burlarch.standins.fleet.Fleet;
 import burlarch.standins.fleet.FleetPlan;
 import java.nio.file.Files;
@@ -41,15 +41,15 @@
         FleetPlan plan = FleetPlan.read(SettingsFile.load(file));
         FileSink sink = records == null ? null : new FileSink(records);
         try (Fleet fleet = Fleet.start(plan, sink == null ? Sink.NONE : sink);
-                Control control = Control.start(fleet, plan.host(), plan.controlPort())) {
+                FleetControl control = FleetControl.start(fleet, plan.host(), plan.controlPort())) {
             fleet.onFault(text -> System.out.println("fault: " + text));
             System.out.println("control http://" + plan.host() + ":" + control.port());
-            for (FleetPlan.Vantage vantage : plan.vantages()) {
-                System.out.println("proxy " + vantage.name() + " in " + vantage.zone() + ": discovery "
-                        + fleet.discovery(vantage.name()));
+            for (FleetPlan.ProxyPlan proxyPlan : plan.proxyPlans()) {
+                System.out.println("proxy " + proxyPlan.name() + " in " + proxyPlan.zone() + ": discovery "
+                        + fleet.discovery(proxyPlan.name()));
                 if (known != null) {
                     Files.createDirectories(known);
-                    Files.writeString(known.resolve(vantage.name() + ".json"), fleet.known(vantage.name()));
+                    Files.writeString(known.resolve(proxyPlan.name() + ".json"), fleet.memberListJson(proxyPlan.name()));
                 }
             }
             System.out.println(plan.nodes().size() - 1 + " cache nodes and the ledger are up");
--- a/lab/src/main/java/burlarch/lab/load/LoadPlan.java
+++ b/lab/src/main/java/burlarch/lab/load/LoadPlan.java
@@ -29,7 +29,7 @@
         double maxLagMs,
         Path replay,
         double graceMs,
-        List<FleetPlan.RequestKind> classes,
+        List<FleetPlan.RequestClass> classes,
         Path tlsCa,
         boolean tls,
         double warmUpSeconds,
@@ -232,9 +232,9 @@
     }
 
     /** Turns writes into reads, because the null server reads no request bodies. */
-    private static List<FleetPlan.RequestKind> readsOnly(List<FleetPlan.RequestKind> classes) {
+    private static List<FleetPlan.RequestClass> readsOnly(List<FleetPlan.RequestClass> classes) {
         return classes.stream()
-                .map(kind -> new FleetPlan.RequestKind(
+                .map(kind -> new FleetPlan.RequestClass(
                         kind.name(),
                         kind.share(),
                         kind.workNanos(),
--- a/lab/src/main/java/burlarch/lab/load/RequestEncoder.java
+++ b/lab/src/main/java/burlarch/lab/load/RequestEncoder.java
@@ -19,7 +19,7 @@
     private static final int MULTI_GET_HEAD_BYTES = 256;
     private static final int MULTI_GET_LINE_BYTES = 32;
 
-    private final List<FleetPlan.RequestKind> classes;
+    private final List<FleetPlan.RequestClass> classes;
     /** By class: the bytes between the key and the request id. */
     private final byte[][] classHeaders;
 
@@ -32,7 +32,7 @@
                 plan.tenants().stream().map(RequestEncoder::tenantHeader).toArray(byte[][]::new);
     }
 
-    private static byte[] classHeader(FleetPlan.RequestKind kind) {
+    private static byte[] classHeader(FleetPlan.RequestClass kind) {
         return (REQUEST_LINE_END_AND_HOST + "\r\nX-Priority-Class: " + kind.name() + "\r\nX-Request-ID: ")
                 .getBytes(StandardCharsets.US_ASCII);
     }
@@ -43,7 +43,7 @@
 
     ByteBuf single(ByteBufAllocator allocator, PlannedRequest planned) {
         ByteBuf buffer = allocator.directBuffer(HEAD_BYTES);
-        FleetPlan.RequestKind kind = classes.get(planned.requestClass());
+        FleetPlan.RequestClass kind = classes.get(planned.requestClass());
         writeAscii(buffer, planned.write() ? "PUT /" : "GET /");
         writeAscii(buffer, kind.name());
         buffer.writeByte('/');
--- a/lab/src/main/java/burlarch/lab/load/RequestTracker.java
+++ b/lab/src/main/java/burlarch/lab/load/RequestTracker.java
@@ -1,7 +1,7 @@
 package burlarch.lab.load;
 
-import burlarch.audit.Asked;
-import burlarch.audit.Asked.End;
+import burlarch.audit.ClientRequest;
+import burlarch.audit.ClientRequest.End;
 import burlarch.audit.Sink;
 import burlarch.lab.load.LoadStatistics.Outcome;
 import burlarch.standins.fleet.FleetPlan;
@@ -151,7 +151,7 @@
     private void record(
             PendingRequest request, long nowNanos, End recordedEnd, int status, long bodyDigest, int responses) {
         PlannedRequest planned = request.planned;
-        sink.write(new Asked(
+        sink.write(new ClientRequest(
                 planned.id(),
                 request.pool.target.proxy(),
                 kind(planned).name(),
@@ -165,7 +165,7 @@
                 responses));
     }
 
-    private FleetPlan.RequestKind kind(PlannedRequest planned) {
+    private FleetPlan.RequestClass kind(PlannedRequest planned) {
         return plan.classes().get(planned.requestClass());
     }
 }
--- a/lab/src/main/java/burlarch/lab/load/Worker.java
+++ b/lab/src/main/java/burlarch/lab/load/Worker.java
@@ -1,7 +1,7 @@
 package burlarch.lab.load;
 
 import burlarch.audit.Sink;
-import burlarch.standins.model.Draw;
+import burlarch.standins.model.SeededRandom;
 import io.netty.channel.EventLoop;
 import io.netty.handler.ssl.SslContext;
 import io.netty.util.concurrent.Future;
@@ -151,7 +151,7 @@
 
     private void send(PlannedRequest planned) {
         long hash = Long.parseUnsignedLong(planned.id(), 16);
-        ConnectionPool pool = pools.get((int) Long.remainderUnsigned(Draw.mix(hash), pools.size()));
+        ConnectionPool pool = pools.get((int) Long.remainderUnsigned(SeededRandom.mix(hash), pools.size()));
         PendingRequest request = new PendingRequest(planned, pool, startNanos + planned.dueNanos(), tracker);
         tracker.add(request);
         if (isBatchable(planned)) {
--- a/standins/src/main/java/burlarch/standins/fleet/FleetContext.java
+++ b/standins/src/main/java/burlarch/standins/fleet/FleetContext.java
@@ -16,7 +16,7 @@
  */
 record FleetContext(
         FleetPlan plan,
-        Map<String, FleetPlan.RequestKind> classes,
+        Map<String, FleetPlan.RequestClass> classes,
         Sink sink,
         LedgerValues ledgerValues,
         PendingMisses misses,
--- a/standins/src/main/java/burlarch/standins/fleet/Control.java
+++ b/standins/src/main/java/burlarch/standins/fleet/FleetControl.java
@@ -15,13 +15,13 @@
  * The HTTP control server of a running fleet. {@code GET /formatState} returns the state of each node, one a line, and
  * {@code POST /faults} injects a fault; its body has the keys of an {@code [[at]]} table.
  */
-public final class Control implements AutoCloseable {
+public final class FleetControl implements AutoCloseable {
     private static final int MAX_FAULT_BYTES = 4096;
 
     private final HttpServer server;
     private final ExecutorService executor;
 
-    private Control(HttpServer server, ExecutorService executor) {
+    private FleetControl(HttpServer server, ExecutorService executor) {
         this.server = server;
         this.executor = executor;
     }
@@ -32,7 +32,7 @@
      * @param port 0 for any free port
      * @throws IOException if the address cannot be bound; the message names it
      */
-    public static Control start(Fleet fleet, String host, int port) throws IOException {
+    public static FleetControl start(Fleet fleet, String host, int port) throws IOException {
         HttpServer server;
         try {
             server = HttpServer.create(new InetSocketAddress(InetAddress.getByName(host), port), 16);
@@ -58,7 +58,7 @@
             }
         });
         server.start();
-        return new Control(server, executor);
+        return new FleetControl(server, executor);
     }
 
     private static void respond(HttpExchange exchange, String method, int status, String text) throws IOException {
--- a/standins/src/main/java/burlarch/standins/fleet/LedgerWrites.java
+++ b/standins/src/main/java/burlarch/standins/fleet/LedgerWrites.java
@@ -47,7 +47,7 @@
 
     private boolean isRepeat(NodeRequest request, long nowNanos) {
         Long previousNanos = executedNanos.get(request.idempotencyKey);
-        FleetPlan.RequestKind requestClass = context.classes().get(request.requestClass);
+        FleetPlan.RequestClass requestClass = context.classes().get(request.requestClass);
         return previousNanos != null
                 && nowNanos - previousNanos <= requestClass.repeat().memorySpanNanos();
     }
--- a/standins/src/main/java/burlarch/standins/fleet/NodeConnection.java
+++ b/standins/src/main/java/burlarch/standins/fleet/NodeConnection.java
@@ -20,17 +20,17 @@
     final Channel channel;
     private final NodeServer node;
     private final RequestProcessor processor;
-    private final FleetPlan.Vantage vantage;
+    private final FleetPlan.ProxyPlan proxyPlan;
     private NodeRequest current;
     private long firstByteNanos;
     private long idleSinceNanos = System.nanoTime();
     private boolean isFirstRequest = true;
 
-    NodeConnection(NodeServer node, Channel channel, FleetPlan.Vantage vantage) {
+    NodeConnection(NodeServer node, Channel channel, FleetPlan.ProxyPlan proxyPlan) {
         this.node = node;
         this.processor = node.processor();
         this.channel = channel;
-        this.vantage = vantage;
+        this.proxyPlan = proxyPlan;
     }
 
     /** Installs the handlers in the channel's pipeline. */
@@ -60,7 +60,7 @@
         HttpHeaders headers = request.headers();
         String id = headers.get("X-Request-ID");
         String[] path = request.uri().split("/");
-        FleetPlan.RequestKind requestClass = path.length < 2 ? null : processor.requestClass(path[1]);
+        FleetPlan.RequestClass requestClass = path.length < 2 ? null : processor.requestClass(path[1]);
         boolean write = request.method().equals(HttpMethod.PUT);
         if (id == null
                 || requestClass == null
@@ -72,7 +72,7 @@
         String key = path[path.length - 1];
         current = new NodeRequest(
                 channel,
-                vantage,
+                proxyPlan,
                 id,
                 requestClass.name(),
                 key,
@@ -81,7 +81,7 @@
                 processor.costNanos(requestClass, id, key, write),
                 requestFirstByteNanos,
                 lastByteNanos);
-        long delayNanos = processor.delayNanos(vantage)
+        long delayNanos = processor.delayNanos(proxyPlan)
                 + (isFirstRequest ? node.plan.kind().handshakeNanos() : 0);
         isFirstRequest = false;
         processor.receive(current, delayNanos);
--- a/standins/src/main/java/burlarch/standins/fleet/NodeRequest.java
+++ b/standins/src/main/java/burlarch/standins/fleet/NodeRequest.java
@@ -6,7 +6,7 @@
 /** One request at a node, from its first byte to its response or end. Confined to the node's event loop. */
 final class NodeRequest extends Job {
     final Channel channel;
-    final FleetPlan.Vantage vantage;
+    final FleetPlan.ProxyPlan proxyPlan;
     final String id;
     final String requestClass;
     final String key;
@@ -21,7 +21,7 @@
 
     NodeRequest(
             Channel channel,
-            FleetPlan.Vantage vantage,
+            FleetPlan.ProxyPlan proxyPlan,
             String id,
             String requestClass,
             String key,
@@ -32,7 +32,7 @@
             long lastByteNanos) {
         super(workNanos);
         this.channel = channel;
-        this.vantage = vantage;
+        this.proxyPlan = proxyPlan;
         this.id = id;
         this.requestClass = requestClass;
         this.key = key;
--- a/standins/src/main/java/burlarch/standins/fleet/NodeServer.java
+++ b/standins/src/main/java/burlarch/standins/fleet/NodeServer.java
@@ -87,12 +87,12 @@
         listeners.open(false);
     }
 
-    private void accept(Channel channel, FleetPlan.Vantage vantage) {
+    private void accept(Channel channel, FleetPlan.ProxyPlan proxyPlan) {
         if (connections.size() >= plan.kind().connections() || condition.mode == Mode.REFUSING) {
             Transport.reset(channel);
             return;
         }
-        NodeConnection connection = new NodeConnection(this, channel, vantage);
+        NodeConnection connection = new NodeConnection(this, channel, proxyPlan);
         connections.add(connection);
         connection.install();
         processor.handshake();
--- a/standins/src/main/java/burlarch/standins/model/Draw.java
+++ b/standins/src/main/java/burlarch/standins/model/SeededRandom.java
@@ -4,8 +4,8 @@
  * Random draws that depend only on a seed and a name: every party that draws for a request gets the same value, in
  * any order and on any thread. The mixing function is SplitMix64's finalizer (Steele, Lea and Flood, 2014).
  */
-public final class Draw {
-    private Draw() {}
+public final class SeededRandom {
+    private SeededRandom() {}
 
     /** Mixes the bits of a value with SplitMix64's finalizer. */
     public static long mix(long value) {
