--- a/cli/src/main/java/burlarch/cli/FleetCommand.java
+++ b/cli/src/main/java/burlarch/cli/FleetCommand.java
@@ -3,8 +3,8 @@
 import burlarch.audit.FileSink;
 import burlarch.audit.Sink;
 import burlarch.settings.SettingsFile;
-import burlarch.standins.fleet.FleetControl;
 import burlarch.standins.fleet.Fleet;
+import burlarch.standins.fleet.FleetControl;
 import burlarch.standins.fleet.FleetPlan;
 import java.nio.file.Files;
 import java.nio.file.Path;
@@ -49,7 +49,8 @@
                         + fleet.discovery(proxyPlan.name()));
                 if (known != null) {
                     Files.createDirectories(known);
-                    Files.writeString(known.resolve(proxyPlan.name() + ".json"), fleet.memberListJson(proxyPlan.name()));
+                    Files.writeString(
+                            known.resolve(proxyPlan.name() + ".json"), fleet.memberListJson(proxyPlan.name()));
                 }
             }
             System.out.println(plan.nodes().size() - 1 + " cache nodes and the ledger are up");
--- a/controller/src/main/java/burlarch/controller/api/OperatorService.java
+++ b/controller/src/main/java/burlarch/controller/api/OperatorService.java
@@ -114,7 +114,8 @@
     @Override
     public CompletableFuture<Void> setWeightsVersion(String model, long version) {
         return change(
-                "name weights " + model + " " + version, state -> StateChanges.setWeightsVersion(state, model, version));
+                "name weights " + model + " " + version,
+                state -> StateChanges.setWeightsVersion(state, model, version));
     }
 
     private CompletableFuture<Void> changeConfiguration(
