--- a/storage/src/main/java/burlarch/storage/AcceptorRecordCodec.java
+++ b/storage/src/main/java/burlarch/storage/AcceptorRecordCodec.java
@@ -15,8 +15,9 @@
 import java.util.Map;
 
 /**
- * The records of an {@link AcceptorStore} as bytes: one byte for the kind, then the fields in the order given here, as
- * {@link DataOutputStream} writes them. Byte arrays follow their length, an int.
+ * Encodes and decodes the records of an {@link AcceptorStore}. A record is one byte for its kind, then the kind's
+ * fields in the order given here, as {@link DataOutputStream} writes them. A byte array is preceded by its length, an
+ * int.
  *
  * <pre>
  *   kind              fields
@@ -30,20 +31,20 @@
  *   value             number of members, then storage and address of each; payload
  * </pre>
  *
- * <p>The numbers and the order are fixed: stored data of earlier programs must stay readable. A record that cannot be
- * decoded is an {@link IOException}: its checksum was right, so it comes from a later program.
+ * <p>The kind numbers and the field order must not change, since data stored by earlier releases must stay readable. A
+ * record that cannot be decoded causes an {@link IOException}: its checksum was correct, so a later release wrote it.
  */
 final class AcceptorRecordCodec {
     private static final int SNAPSHOT = 1;
     private static final int PREPARED = 2;
     private static final int ACCEPTED = 3;
     private static final int NAMED_VALUE = 4;
-    /** While a set of acceptors changes, a value names those before and those after. */
+    /** During a change of the acceptor set, a value lists the members of both the old and the new set. */
     private static final int MAX_MEMBERS = 2 * AcceptorSet.MAX_MEMBERS;
 
     private AcceptorRecordCodec() {}
 
-    /** Returns a record that replaces everything before it. */
+    /** Returns a snapshot record, which replaces all records before it. */
     static byte[] encodeSnapshot(AcceptorStoreContents contents) throws IOException {
         ByteArrayOutputStream bytes = new ByteArrayOutputStream();
         DataOutputStream out = new DataOutputStream(bytes);
@@ -59,7 +60,7 @@
     }
 
     /**
-     * Returns the record that leads from one state to the next. If only the prepared number changed, the record does
+     * Returns the record that changes one state into the next. If only the prepared number changed, the record does
      * not repeat the value, which may be large.
      */
     static byte[] encodeChange(AcceptorState from, AcceptorState to) throws IOException {
@@ -86,7 +87,7 @@
     }
 
     /**
-     * Applies one record to the contents that all records before it gave.
+     * Applies one record to the contents produced by all records before it.
      *
      * @throws IOException if the record has an unknown kind or ends too early
      */
@@ -99,7 +100,7 @@
                     new AcceptorState(readProposalNumber(in), contents.state.accepted(), contents.state.value());
             case ACCEPTED -> contents.state = readState(in);
             case NAMED_VALUE -> contents.namedValues.put(in.readUTF(), readBytes(in));
-            default -> throw new IOException("record of unknown kind " + kind);
+            default -> throw new IOException("unknown record kind: " + kind);
         }
     }
 
@@ -140,7 +141,7 @@
     private static RegisterValue readValue(DataInputStream in) throws IOException {
         int count = in.readInt();
         if (count < 0 || count > MAX_MEMBERS) {
-            throw new IOException("a value of " + count + " members");
+            throw new IOException("value with " + count + " members: the number is negative or above the maximum");
         }
         List<AcceptorMember> members = new ArrayList<>(count);
         for (int i = 0; i < count; i++) {
@@ -166,7 +167,8 @@
     private static byte[] readBytes(DataInputStream in) throws IOException {
         int length = in.readInt();
         if (length < 0 || length > in.available()) {
-            throw new IOException("a field of " + length + " bytes");
+            throw new IOException(
+                    "field of " + length + " bytes: the length is negative or exceeds the rest of the record");
         }
         byte[] bytes = new byte[length];
         in.readFully(bytes);
--- a/storage/src/main/java/burlarch/storage/AcceptorStore.java
+++ b/storage/src/main/java/burlarch/storage/AcceptorStore.java
@@ -9,31 +9,31 @@
 import java.util.function.Supplier;
 
 /**
- * The durable state of one register acceptor: its identity, the highest proposal number it prepared, the value it
- * accepted, and a few named values of the controller beside it.
+ * Stores the durable state of one register acceptor: its identity, the highest proposal number it prepared, the value
+ * it accepted, and a few named values of the controller that runs the acceptor.
  *
  * <p><b>Durable before acknowledged.</b> {@link #save} and {@link #saveNamedValue} return only after the new state is
- * synced; an acceptor replies to a request only after that. So no reply is ever based on a state that a power failure
- * can take back.
+ * synced; an acceptor replies to a request only after that. So a power failure never reverts a state on which a reply
+ * was based.
  *
- * <p><b>Memory follows the disk.</b> If a save fails, the store still holds the state before it and can be used on. The
- * outcome on the disk is open: a restart may find either state.
+ * <p><b>Memory follows the disk.</b> If a save fails, the store still holds the state before it and remains usable.
+ * Which state is on the disk is unknown: a restart may find either.
  *
- * <p><b>One damaged copy is repaired.</b> Each record is written twice with one sync. So damage to one place of the
- * disk, the newest record included, never makes an acceptor vote without what it has promised or accepted.
+ * <p><b>One damaged copy is repaired.</b> Each record is written twice with one sync. So damage at one place of the
+ * disk, even to the newest record, never makes an acceptor vote without the state it has prepared or accepted.
  *
- * <p><b>Identity.</b> An empty disk gets a new identity, which is durable before anyone sees it. A disk that once held
- * records is never taken for an empty one ({@link DamagedLogException}): it would come back under its old identity
- * without its promises.
+ * <p><b>Identity.</b> An empty disk gets a new identity, which is durable before any caller can read it. A disk that
+ * once held records is never treated as empty ({@link DamagedLogException}): the acceptor would return under its old
+ * identity without the proposal numbers it prepared.
  *
- * <p>One thread owns a store; calls may block on the disk for long.
+ * <p>Owned by one thread; calls may block on the disk for a long time.
  */
 public final class AcceptorStore implements Closeable {
-    /** The longest payload of a value. A snapshot of a value and all named values then fits one record. */
+    /** Maximum payload of a value, so that a snapshot of a value and all named values fits in one record. */
     public static final int MAX_VALUE_BYTES = 6 * 1024 * 1024;
-    /** How many named values there may be. */
+    /** Maximum number of named values. */
     public static final int MAX_NAMED_VALUES = 16;
-    /** The longest named value. */
+    /** Maximum length of one named value. */
     public static final int MAX_NAMED_VALUE_BYTES = 64 * 1024;
 
     /** The first snapshot holds an identity and the first named values, which are short. */
@@ -47,16 +47,16 @@
         this.log = log;
     }
 
-    /** Opens the store of a disk with {@link SegmentedLog#DEFAULT_SEGMENT_BYTES} between two snapshots. */
+    /** Opens the store on a disk, with {@link SegmentedLog#DEFAULT_SEGMENT_BYTES} between two snapshots. */
     public static AcceptorStore open(Disk disk, Supplier<String> newIdentity) throws IOException {
         return open(disk, newIdentity, SegmentedLog.DEFAULT_SEGMENT_BYTES);
     }
 
     /**
-     * Opens the store of a disk. The caller closes it.
+     * Opens the store on a disk. The caller closes it.
      *
-     * @param newIdentity called if the disk is empty: an identity that no other disk ever has
-     * @param segmentBytes how much is written between two snapshots
+     * @param newIdentity called if the disk is empty; supplies an identity that no other disk ever has
+     * @param segmentBytes bytes of records written between two snapshots
      * @throws DamagedLogException if synced records are lost; the acceptor must not vote, and opening again does not
      *     help
      * @throws IOException if the disk cannot be read or synced; opening may be tried again
@@ -66,9 +66,9 @@
     }
 
     /**
-     * Opens the store of a disk, as the shorter form does.
+     * As {@link #open(Disk, Supplier, long)}, with initial named values for an empty disk.
      *
-     * @param firstNamedValues named values of a disk that is empty: they become durable together with its identity
+     * @param firstNamedValues named values stored if the disk is empty; they become durable together with its identity
      */
     public static AcceptorStore open(
             Disk disk, Supplier<String> newIdentity, Map<String, byte[]> firstNamedValues, long segmentBytes)
@@ -83,7 +83,7 @@
         }
     }
 
-    /** Returns the identity of this disk. */
+    /** Returns the identity stored on this disk. */
     public String identity() {
         return contents.identity;
     }
@@ -93,7 +93,7 @@
         return isNewlyCreated;
     }
 
-    /** Returns the state that was saved last. */
+    /** Returns the most recently saved state. */
     public AcceptorState state() {
         return contents.state;
     }
@@ -101,8 +101,8 @@
     /**
      * Makes a state durable.
      *
-     * @throws IOException if the value is too large, or if the state may not be durable; the store then holds the state
-     *     before it, and may be used on
+     * @throws IOException if the value is too large, or if the state may not be durable; the store then holds the
+     *     previous state and remains usable
      */
     public void save(AcceptorState next) throws IOException {
         requireFits(next);
@@ -117,7 +117,7 @@
         }
     }
 
-    /** Returns a copy of a named value; empty if there is none of that name. */
+    /** Returns a copy of a named value; empty if there is no value of that name. */
     public Optional<byte[]> namedValue(String name) {
         return Optional.ofNullable(contents.namedValues.get(name)).map(byte[]::clone);
     }
@@ -125,13 +125,13 @@
     /**
      * Makes a named value durable.
      *
-     * @throws IllegalArgumentException if the value is too large, or if there are too many
+     * @throws IllegalArgumentException if the value is too large, or if there are too many named values
      * @throws IOException as {@link #save} does
      */
     public void saveNamedValue(String name, byte[] value) throws IOException {
         boolean isNew = !contents.namedValues.containsKey(name);
         if (value.length > MAX_NAMED_VALUE_BYTES || (isNew && contents.namedValues.size() == MAX_NAMED_VALUES)) {
-            throw new IllegalArgumentException("too many or too large named values");
+            throw new IllegalArgumentException("named value is too large, or there are too many named values");
         }
         byte[] record = AcceptorRecordCodec.encodeNamedValue(name, value);
         byte[] before = contents.namedValues.put(name, value.clone());
@@ -170,7 +170,7 @@
         isNewlyCreated = true;
     }
 
-    /** Writes the change, or a snapshot of the contents that hold the change already. */
+    /** Writes the change record, or a snapshot if one is due; the contents include the change already. */
     private void write(byte[] changeRecord) throws IOException {
         if (log.isSnapshotDue()) {
             log.replaceWithSnapshot(AcceptorRecordCodec.encodeSnapshot(contents));
@@ -182,7 +182,8 @@
 
     private static void requireFits(AcceptorState state) throws IOException {
         if (state.value() != null && state.value().payload().length > MAX_VALUE_BYTES) {
-            throw new IOException("a value of " + state.value().payload().length + " bytes is too large");
+            throw new IOException(
+                    "value of " + state.value().payload().length + " bytes exceeds the maximum value size");
         }
     }
 }
--- a/storage/src/main/java/burlarch/storage/DamagedLogQuarantine.java
+++ b/storage/src/main/java/burlarch/storage/DamagedLogQuarantine.java
@@ -6,14 +6,15 @@
 
 /**
  * Sets a damaged log aside, so that its disk counts as empty. An acceptor then starts under a new identity, without a
- * vote, and is admitted like any other that came back with an empty disk. The damaged segments stay on the disk under
- * other names for the operator; those of an earlier quarantine are removed.
+ * vote, and is admitted like any acceptor that restarts with an empty disk. The damaged segments stay on the disk
+ * under other names for the operator; those of an earlier quarantine are removed.
  *
- * <p><b>All or nothing.</b> A marker file is durable before the first segment is touched, and is removed after the last
- * one is gone. While it exists, {@link #finish} goes on: an older segment that was still there is never opened as if it
- * were the newest.
+ * <p><b>Atomicity.</b> A marker file is durable before the first segment is touched, and is removed after the last
+ * segment is removed. While the marker exists, {@link #finish} resumes the quarantine, so that an older segment that
+ * is still present is never opened as the newest.
  *
- * <p>One thread at a time; every method may block on the disk, and may be tried again after an {@link IOException}.
+ * <p>Used by one thread at a time; every method may block on the disk, and may be retried after an
+ * {@link IOException}.
  */
 public final class DamagedLogQuarantine {
     private static final String MARKER = "quarantine";
@@ -22,12 +23,12 @@
 
     private final Disk disk;
 
-    /** The quarantine of a disk. */
+    /** Creates the quarantine of a disk; nothing changes until {@link #begin} or {@link #finish}. */
     public DamagedLogQuarantine(Disk disk) {
         this.disk = disk;
     }
 
-    /** Sets all segments aside. */
+    /** Sets all segments aside, or resumes a quarantine that has begun. */
     public void begin() throws IOException {
         if (!hasMarker()) {
             removeFilesOfEarlierQuarantine();
@@ -42,7 +43,7 @@
         finish();
     }
 
-    /** Goes on with a quarantine that a process began and did not end; does nothing if there is none. */
+    /** Resumes a quarantine that was interrupted by the end of the process; does nothing if there is none. */
     public void finish() throws IOException {
         if (!hasMarker()) {
             return;
--- a/storage/src/main/java/burlarch/storage/FileChannelDiskFile.java
+++ b/storage/src/main/java/burlarch/storage/FileChannelDiskFile.java
@@ -6,15 +6,15 @@
 import java.nio.channels.FileChannel;
 
 /**
- * A file behind a {@link FileChannel}. Bytes are moved in chunks: for each thread the JVM keeps a native buffer as
- * large as the largest transfer, which would stay at the size of the largest record.
+ * A {@link DiskFile} on a {@link FileChannel}. Bytes are transferred in chunks, since the JVM keeps a native buffer
+ * per thread that is as large as the largest transfer; without chunks it would keep the size of the largest record.
  */
 final class FileChannelDiskFile implements DiskFile {
     private static final int CHUNK_BYTES = 64 * 1024;
 
     private final FileChannel channel;
 
-    /** Takes over the channel: {@link #close} closes it. */
+    /** Takes ownership of the channel: {@link #close} closes it. */
     FileChannelDiskFile(FileChannel channel) {
         this.channel = channel;
     }
@@ -30,7 +30,7 @@
         while (into.hasRemaining()) {
             int count = channel.read(nextChunk(into), offset);
             if (count < 0) {
-                throw new EOFException("the file ends at byte " + offset);
+                throw new EOFException("unexpected end of file at byte " + offset);
             }
             offset += count;
             into.position(into.position() + count);
--- a/storage/src/main/java/burlarch/storage/FileSystemDisk.java
+++ b/storage/src/main/java/burlarch/storage/FileSystemDisk.java
@@ -10,15 +10,15 @@
 import java.util.List;
 
 /**
- * A directory of the file system. Used by one thread at a time; every call may block on the device.
+ * A {@link Disk} on a directory of the file system. Used by one thread at a time; every call may block on the device.
  *
- * <p>It relies on a file system that makes a new file's directory entry durable with the file's own sync, as
- * {@link Disk} promises; {@code Segment.create} syncs the directory beside that.
+ * <p>Requires a file system that makes a new file's directory entry durable with the file's own sync, as {@link Disk}
+ * specifies; {@code Segment.create} syncs the directory as well.
  */
 public final class FileSystemDisk implements Disk {
     private final Path directory;
 
-    /** Uses a directory, which is created if there is none. */
+    /** Uses a directory, which is created if it does not exist. */
     public FileSystemDisk(Path directory) throws IOException {
         this.directory = Files.createDirectories(directory);
     }
--- a/storage/src/main/java/burlarch/storage/LogRecovery.java
+++ b/storage/src/main/java/burlarch/storage/LogRecovery.java
@@ -6,38 +6,38 @@
 import java.util.OptionalLong;
 
 /**
- * Opens the segments of a disk and chooses the current one.
+ * Recovers a {@link SegmentedLog}: opens the segments of a disk and selects the current one.
  *
- * <p><b>Rising sequences.</b> A sequence is never used twice, also not after an error, and rises over all segments. So
- * the segment whose readable part reaches the highest sequence holds the newest state. A segment that a failed creation
- * left loses against records that were synced after it; one whose removal did not last loses against the snapshot that
- * replaced it.
+ * <p><b>Increasing sequence numbers.</b> A sequence number is never used twice, not even after an error, and increases
+ * across all segments. So the segment whose readable part reaches the highest sequence number holds the newest state.
+ * A segment left by a failed creation has a lower number than records synced after it; a segment whose removal was not
+ * durable has a lower number than the snapshot that replaced it.
  *
- * <p><b>Synced before trusted.</b> The process that wrote the current segment may have died between a write and its
- * sync. Its records can be read now and would still be lost in a power failure. The segment and the directory are
- * synced before any record is handed out.
+ * <p><b>Sync before use.</b> The process that wrote the current segment may have died between a write and its sync.
+ * Its records are readable now but could still be lost in a power failure. So the segment and the directory are synced
+ * before any record is returned.
  *
  * <p><b>Loss is reported.</b> {@link DamagedLogException} is thrown in two cases:
  *
  * <ul>
- *   <li>A damaged segment is proven to have held records that were synced, of sequences above all that can be read. A
- *       damaged segment that ends below the current one was replaced before and is ignored.
- *   <li>No segment has a readable snapshot, and one exists with a number above {@link #FIRST_NUMBER}. Such a segment is
- *       begun only while another is intact, and that one is removed only after its successor is synced.
+ *   <li>A damaged segment provably held synced records with sequence numbers above all readable ones. A damaged
+ *       segment that ends below the current one had been replaced and is ignored.
+ *   <li>No segment has a readable snapshot, and one exists with a number above {@link #FIRST_NUMBER}. Such a segment
+ *       is created only while another is intact, and that one is removed only after its successor is synced.
  * </ul>
  */
 final class LogRecovery {
-    /** Number of the first segment of a log, also after a creation that failed. */
+    /** Number of the first segment of a log, also if an earlier creation failed. */
     static final long FIRST_NUMBER = 1;
 
     /**
-     * What recovery found.
+     * The result of a recovery.
      *
-     * @param current the segment to append to, open; null if the log holds no snapshot yet
+     * @param current the segment to append to, open; null if the log has no snapshot yet
      * @param payloads the records of the current segment, the snapshot first
-     * @param endsMirrored whether the current segment ends with a copy
+     * @param endsMirrored whether the last record of the current segment is a copy
      * @param nextNumber a segment number that no file has
-     * @param nextSequence a sequence above all that were ever read
+     * @param nextSequence a sequence number above all that were found on the disk
      * @param unreadableFirstSegmentBytes length of the first segment if its snapshot cannot be read, or 0
      */
     record Result(
@@ -51,11 +51,11 @@
 
     private final Disk disk;
     private final ObsoleteSegments obsolete;
-    /** The open segment whose readable part reaches the highest sequence; null if none has a snapshot. */
+    /** The open segment whose readable part reaches the highest sequence number; null if none has a snapshot. */
     private OpenedSegment newest;
     /**
-     * The segment that proves a sync of the highest sequence; closed unless it is the newest; null if none proves
-     * one.
+     * The segment with the highest {@code provenSyncedSequence}; closed unless it is the newest; null if no segment
+     * has one.
      */
     private OpenedSegment damaged;
 
@@ -69,50 +69,50 @@
     }
 
     /**
-     * Recovers a log. Files that are not segments are left alone.
+     * Recovers a log. Files that are not segments are ignored.
      *
      * @throws DamagedLogException if synced records are lost
-     * @throws IOException if the disk cannot be read or synced; the caller may try again
+     * @throws IOException if the disk cannot be read or synced; the caller may retry
      */
     static Result recover(Disk disk) throws IOException {
         LogRecovery recovery = new LogRecovery(disk);
         try {
-            recovery.openAll();
-            recovery.requireNothingLost();
-            return recovery.newest == null ? recovery.emptyLog() : recovery.trustNewest();
+            recovery.openAllSegments();
+            recovery.requireNoSyncedRecordLost();
+            return recovery.newest == null ? recovery.resultForEmptyLog() : recovery.resultForNewest();
         } catch (IOException e) {
             recovery.closeNewest();
             throw e;
         }
     }
 
-    /** Opens every segment and closes all but the newest again. */
-    private void openAll() throws IOException {
+    /** Opens every segment and keeps only the newest open. */
+    private void openAllSegments() throws IOException {
         for (String fileName : disk.listFiles()) {
             OptionalLong number = SegmentFileName.parseNumber(fileName);
             if (number.isPresent()) {
                 obsolete.add(fileName);
                 nextNumber = Math.max(nextNumber, number.getAsLong() + 1);
-                consider(Segment.open(disk, number.getAsLong()));
+                considerSegment(Segment.open(disk, number.getAsLong()));
             }
         }
     }
 
-    private void consider(OpenedSegment found) {
-        SegmentScan scan = found.scan();
+    private void considerSegment(OpenedSegment opened) {
+        SegmentScan scan = opened.scan();
         nextSequence = Math.max(nextSequence, Math.max(scan.lastSequence(), scan.provenSyncedSequence()) + 1);
         if (scan.provenSyncedSequence() > provenSyncedSequence()) {
-            damaged = found;
+            damaged = opened;
         }
-        if (!scan.hasSnapshot() && found.segment().number() == FIRST_NUMBER) {
+        if (!scan.hasSnapshot() && opened.segment().number() == FIRST_NUMBER) {
             unreadableFirstSegmentBytes = scan.fileSizeBytes();
         }
         if (scan.hasSnapshot()
                 && (newest == null || scan.lastSequence() > newest.scan().lastSequence())) {
             closeNewest();
-            newest = found;
+            newest = opened;
         } else {
-            found.segment().closeQuietly();
+            opened.segment().closeQuietly();
         }
     }
 
@@ -120,7 +120,7 @@
         return damaged == null ? 0 : damaged.scan().provenSyncedSequence();
     }
 
-    private void requireNothingLost() throws DamagedLogException {
+    private void requireNoSyncedRecordLost() throws DamagedLogException {
         if (damaged != null
                 && (newest == null || provenSyncedSequence() > newest.scan().lastSequence())) {
             throw new DamagedLogException(
@@ -139,11 +139,11 @@
         }
     }
 
-    private Result emptyLog() {
+    private Result resultForEmptyLog() {
         return new Result(null, List.of(), false, obsolete, nextNumber, nextSequence, unreadableFirstSegmentBytes);
     }
 
-    private Result trustNewest() throws IOException {
+    private Result resultForNewest() throws IOException {
         Segment current = newest.segment();
         obsolete.keep(current.fileName());
         current.sync();
--- a/storage/src/main/java/burlarch/storage/ObsoleteSegments.java
+++ b/storage/src/main/java/burlarch/storage/ObsoleteSegments.java
@@ -6,10 +6,11 @@
 import java.util.List;
 
 /**
- * The segments that a newer one replaced, or that a failed creation left, until they are removed.
+ * Tracks the segments that a newer one replaced, or that a failed creation left, until they are removed.
  *
- * <p>Removal may fail or not last through a power failure. That is harmless: the sequences of an obsolete segment are
- * below those of the current one, so {@link LogRecovery} does not choose it (invariant <i>rising sequences</i>).
+ * <p>Removal may fail, or be reverted by a power failure. That is harmless: the sequence numbers of an obsolete
+ * segment are below those of the current one, so {@link LogRecovery} does not select it (invariant <i>increasing
+ * sequence numbers</i>).
  */
 final class ObsoleteSegments {
     private final Disk disk;
@@ -23,7 +24,7 @@
         fileNames.add(fileName);
     }
 
-    /** Excepts a file from removal. */
+    /** Excludes a file from removal. */
     void keep(String fileName) {
         fileNames.remove(fileName);
     }
@@ -40,7 +41,7 @@
         return List.copyOf(fileNames);
     }
 
-    /** Removes what can be removed; the rest is tried again at the next call. */
+    /** Removes the segments; those whose removal fails are retried at the next call. */
     void removeAll() {
         if (fileNames.isEmpty()) {
             return;
@@ -52,7 +53,7 @@
             }
             disk.syncDirectory();
         } catch (IOException e) {
-            // Harmless, see the class comment; SegmentedLog bounds how many may be left.
+            // Harmless, see the class comment; SegmentedLog limits how many may remain.
         }
     }
 }
--- a/storage/src/main/java/burlarch/storage/Redundancy.java
+++ b/storage/src/main/java/burlarch/storage/Redundancy.java
@@ -2,11 +2,11 @@
 
 /** How often a log writes each record. */
 enum Redundancy {
-    /** Once. Damage to the newest record can't be told from a write that a power failure cut off. */
+    /** Once. Damage to the newest record cannot be distinguished from a write that a power failure interrupted. */
     SINGLE,
     /**
-     * Twice, with one sync. Damage to one of the two is repaired by the other, also where they are the newest record,
-     * behind which nothing shows that it had been synced.
+     * Twice, with one sync. Damage to one copy is repaired from the other. This includes the newest record, which no
+     * later record proves to have been synced.
      */
     MIRRORED
 }
--- a/storage/src/main/java/burlarch/storage/Segment.java
+++ b/storage/src/main/java/burlarch/storage/Segment.java
@@ -3,57 +3,59 @@
 import java.io.IOException;
 
 /**
- * The open file of one segment, and the only writer of it: a snapshot record and the records after it.
+ * The open file of one segment, which holds a snapshot record and the records after it. This class is the only writer
+ * of the file.
  *
  * <p><b>State.</b> The file up to {@code syncedBytes} is durable. The rest is the tail. {@link Tail} names its states;
  * {@link Tail#after} is the only transition function:
  *
  * <pre>
- *   state      append begins   append ends   sync ends   append or sync fails
- *   SYNCED     SYNCED          UNSYNCED      SYNCED      SUSPECT
- *   UNSYNCED   UNSYNCED        UNSYNCED      SYNCED      SUSPECT
- *   SUSPECT    SYNCED (cut)    -             SUSPECT     SUSPECT
+ *   state       append begins   append ends   sync ends   append or sync fails
+ *   SYNCED      SYNCED          UNSYNCED      SYNCED      DISCARDED
+ *   UNSYNCED    UNSYNCED        UNSYNCED      SYNCED      DISCARDED
+ *   DISCARDED   SYNCED (1)      -             DISCARDED   DISCARDED
  * </pre>
  *
- * <p><b>Tail cut before reuse.</b> After a failed write or sync any part of the tail may
- * be on the medium. Everything since the last sync is given up, and before the next append the file is truncated to
- * {@code syncedBytes} and synced. Without that, remains of a given-up record could be read behind a shorter record that
- * was written in its place.
+ * <p><b>Truncation before reuse</b> (1). After a failed write or sync, any part of the tail may be on the medium.
+ * Everything since the last sync is discarded, and before the next append the file is truncated to {@code syncedBytes}
+ * and synced. Otherwise, the rest of a discarded record could be read behind a shorter record written in its place.
  *
  * <p><b>Proof of sync.</b> A record that {@link SegmentRecord#provesSync} is written only in the state SYNCED, where
- * nothing before it is without a sync. {@link SegmentScanner} relies on it.
+ * everything before it is synced. {@link SegmentScanner} relies on it.
  *
- * <p>Owned by the log's thread. Whoever calls {@link #create} or {@link #open} closes the segment:
+ * <p>Owned by the log's thread. The caller of {@link #create} or {@link #open} closes the segment:
  * {@link SegmentedLog} the current one, {@link LogRecovery} all others.
  */
 final class Segment {
-    /** What is known of the part of the file behind {@code syncedBytes}. */
+    /** The state of the part of the file behind {@code syncedBytes}. */
     private enum Tail {
         /** Empty. */
         SYNCED,
-        /** Records that were written completely and not synced yet. */
+        /** Complete records that are not synced yet. */
         UNSYNCED,
-        /** Bytes that were given up: a failed write, or an unreadable tail found at opening. */
-        SUSPECT;
+        /**
+         * Bytes to be truncated: from a failed write or sync, or an unreadable tail found when the file was opened.
+         */
+        DISCARDED;
 
         Tail after(Event event) {
             return switch (event) {
-                case TAIL_CUT -> SYNCED;
+                case TAIL_TRUNCATED -> SYNCED;
                 case RECORD_WRITTEN -> UNSYNCED;
-                case FILE_SYNCED -> this == SUSPECT ? SUSPECT : SYNCED;
-                case OPERATION_FAILED -> SUSPECT;
+                case FILE_SYNCED -> this == DISCARDED ? DISCARDED : SYNCED;
+                case OPERATION_FAILED -> DISCARDED;
             };
         }
     }
 
     private enum Event {
-        TAIL_CUT,
+        TAIL_TRUNCATED,
         RECORD_WRITTEN,
         FILE_SYNCED,
         OPERATION_FAILED
     }
 
-    /** A segment together with what was read of it. */
+    /** A segment together with the result of scanning its file. */
     record OpenedSegment(Segment segment, SegmentScan scan) {}
 
     private final long number;
@@ -74,7 +76,7 @@
 
     /**
      * Creates a file that holds one snapshot. When this returns, the snapshot and the directory entry are durable;
-     * after a failure the file may exist with any part of the snapshot, and is closed.
+     * after a failure, the file may exist with any part of the snapshot, and is closed.
      */
     static Segment create(Disk disk, long number, long sequence, byte[] snapshot, Redundancy redundancy)
             throws IOException {
@@ -91,14 +93,14 @@
     }
 
     /**
-     * Opens an existing file and reads it. The caller must {@link #sync} before it trusts what was read: the process
-     * that wrote it may have died before its own sync.
+     * Opens an existing file and reads it. The caller must call {@link #sync} before it uses the records: the process
+     * that wrote them may have died before its own sync.
      */
     static OpenedSegment open(Disk disk, long number) throws IOException {
         DiskFile file = disk.open(SegmentFileName.of(number));
         try {
             SegmentScan scan = SegmentScanner.scan(file);
-            Tail tail = scan.hasUnreadableTail() ? Tail.SUSPECT : Tail.SYNCED;
+            Tail tail = scan.hasUnreadableTail() ? Tail.DISCARDED : Tail.SYNCED;
             Segment segment = new Segment(number, file, tail, scan.lastSequence(), scan.readableBytes());
             return new OpenedSegment(segment, scan);
         } catch (IOException e) {
@@ -115,45 +117,45 @@
         return SegmentFileName.of(number);
     }
 
-    /** Returns the sequence of the last record. */
+    /** Returns the sequence number of the last record. */
     long lastSequence() {
         return lastSequence;
     }
 
-    /** Returns where the next record begins. */
+    /** Returns the file offset at which the next record begins. */
     long endBytes() {
         return endBytes;
     }
 
     /**
-     * Writes a record without sync, and its copy in a mirrored log. After a failure every record since the last sync
-     * is undone.
+     * Writes a record, and its copy in a mirrored log, without a sync. After a failure, every record since the last
+     * sync is discarded.
      */
     void append(long sequence, byte[] payload, Redundancy redundancy) throws IOException {
-        if (tail == Tail.SUSPECT) {
-            cutTail();
+        if (tail == Tail.DISCARDED) {
+            truncateTail();
         }
         try {
-            write(new SegmentRecord(sequence, kindOfNext(redundancy), payload), redundancy);
+            write(new SegmentRecord(sequence, nextRecordKind(redundancy), payload), redundancy);
         } catch (IOException e) {
-            giveUpTail();
+            discardTail();
             throw e;
         }
     }
 
-    /** Makes every appended record durable. After a failure every record since the last sync is undone. */
+    /** Makes every appended record durable. After a failure, every record since the last sync is discarded. */
     void sync() throws IOException {
         try {
             file.force();
         } catch (IOException e) {
-            giveUpTail();
+            discardTail();
             throw e;
         }
         syncedBytes = endBytes;
         tail = tail.after(Event.FILE_SYNCED);
     }
 
-    /** Closes the file. A failure is of no consequence: what had to be durable was synced before. */
+    /** Closes the file. A failure is ignored: data that must be durable was synced before. */
     void closeQuietly() {
         closeQuietly(file);
     }
@@ -162,11 +164,11 @@
         try {
             file.close();
         } catch (IOException e) {
-            // Nothing depends on it: every caller is done with the file.
+            // Ignored: no caller uses the file any more.
         }
     }
 
-    private byte kindOfNext(Redundancy redundancy) {
+    private byte nextRecordKind(Redundancy redundancy) {
         boolean synced = tail == Tail.SYNCED;
         return switch (redundancy) {
             case SINGLE -> synced ? SegmentRecord.AFTER_SYNCED : SegmentRecord.AFTER_UNSYNCED;
@@ -188,14 +190,14 @@
         tail = tail.after(Event.RECORD_WRITTEN);
     }
 
-    private void giveUpTail() {
+    private void discardTail() {
         tail = tail.after(Event.OPERATION_FAILED);
         endBytes = syncedBytes;
     }
 
-    private void cutTail() throws IOException {
+    private void truncateTail() throws IOException {
         file.truncate(syncedBytes);
         file.force();
-        tail = tail.after(Event.TAIL_CUT);
+        tail = tail.after(Event.TAIL_TRUNCATED);
     }
 }
--- a/storage/src/main/java/burlarch/storage/SegmentFileName.java
+++ b/storage/src/main/java/burlarch/storage/SegmentFileName.java
@@ -2,7 +2,10 @@
 
 import java.util.OptionalLong;
 
-/** The file names of segments: {@code segment-N}, where N is the number of the segment in decimal digits. */
+/**
+ * Formats and parses the file names of segments: {@code segment-N}, where N is the number of the segment in decimal
+ * digits.
+ */
 final class SegmentFileName {
     private static final String PREFIX = "segment-";
 
--- a/storage/src/main/java/burlarch/storage/SegmentRecord.java
+++ b/storage/src/main/java/burlarch/storage/SegmentRecord.java
@@ -7,21 +7,21 @@
 import java.util.zip.CRC32C;
 
 /**
- * One record of a segment, and its form on disk: integers are big-endian.
+ * One record of a segment, with its encoding on disk. Integers are big-endian.
  *
  * <pre>
  *   offset  bytes  field
  *   0       4      length of the payload
  *   4       4      CRC-32C of all other bytes of the record
- *   8       8      sequence
+ *   8       8      sequence number
  *   16      1      kind
  *   17      n      payload
  * </pre>
  *
- * @param sequence number of the record; it rises over all records and segments of a log
+ * @param sequence sequence number of the record; it increases across all records and segments of a log
  * @param kind one of the constants of this class; a byte of another value is kept as it was read, since a record of a
- *     later program's kind still counts as intact
- * @param payload what the log's user wrote
+ *     kind that a later release added still counts as intact
+ * @param payload the bytes that the log's user appended
  */
 record SegmentRecord(long sequence, byte kind, byte[] payload) {
     /** Bytes before the payload. */
@@ -32,13 +32,13 @@
     static final byte AFTER_SYNCED = 'R';
     /** A record that was written when something before it in the segment had not been synced yet. */
     static final byte AFTER_UNSYNCED = 'U';
-    /** As {@link #AFTER_SYNCED}; a {@link #COPY} follows. */
+    /** Like {@link #AFTER_SYNCED}, but followed by a {@link #COPY}. */
     static final byte MIRRORED_AFTER_SYNCED = 'M';
-    /** As {@link #AFTER_UNSYNCED}; a {@link #COPY} follows. */
+    /** Like {@link #AFTER_UNSYNCED}, but followed by a {@link #COPY}. */
     static final byte MIRRORED_AFTER_UNSYNCED = 'N';
-    /** The payload of the record before it once more, under the next sequence. */
+    /** A copy of the preceding record, with the next sequence number. */
     static final byte COPY = 'C';
-    /** The snapshot before it once more, under the next sequence. */
+    /** A copy of the preceding snapshot, with the next sequence number. */
     static final byte SNAPSHOT_COPY = 'D';
 
     private static final int CHECKSUM_OFFSET = 4;
@@ -50,27 +50,30 @@
         return new SegmentRecord(sequence + 1, kind == SNAPSHOT ? SNAPSHOT_COPY : COPY, payload);
     }
 
-    /** Returns whether a copy of this record follows. Not of a snapshot, which has one in a mirrored log only. */
+    /**
+     * Returns whether this kind of record is always followed by its copy. False for a snapshot, which has a copy only
+     * in a mirrored log.
+     */
     boolean hasCopy() {
         return kind == MIRRORED_AFTER_SYNCED || kind == MIRRORED_AFTER_UNSYNCED;
     }
 
-    /** Returns whether this is a copy of the record before it. */
+    /** Returns whether this is a copy of the preceding record. */
     boolean isCopy() {
         return kind == COPY || kind == SNAPSHOT_COPY;
     }
 
-    /** Returns whether the record proves that all before it had been synced when it was written. */
+    /** Returns whether a record of this kind proves that everything before it was synced when it was written. */
     static boolean provesSync(byte kind) {
         return kind == AFTER_SYNCED || kind == MIRRORED_AFTER_SYNCED;
     }
 
-    /** Returns the length of the record on disk. */
+    /** Returns the encoded length of the record. */
     int sizeBytes() {
         return HEADER_BYTES + payload.length;
     }
 
-    /** Returns the record in its form on disk, ready to be written. */
+    /** Returns the encoded record, ready to be written. */
     ByteBuffer encode() {
         ByteBuffer buffer = ByteBuffer.allocate(sizeBytes());
         buffer.putInt(payload.length).putInt(0).putLong(sequence).put(kind).put(payload);
@@ -81,8 +84,8 @@
     /**
      * Reads the record that begins at a position of a file.
      *
-     * @param fileSizeBytes where the file ends
-     * @return the record; empty if no intact one begins there
+     * @param fileSizeBytes length of the file
+     * @return the record; empty if no intact record begins there
      */
     static Optional<SegmentRecord> read(DiskFile file, long position, long fileSizeBytes) throws IOException {
         if (fileSizeBytes - position < HEADER_BYTES) {
@@ -104,12 +107,14 @@
         return Optional.of(new SegmentRecord(header.getLong(SEQUENCE_OFFSET), header.get(KIND_OFFSET), payload));
     }
 
-    /** Returns the kind that a record would have that begins at this offset; cheap, and without any check. */
+    /** Returns the kind of a record that begins at this offset, without checking that an intact record does. */
     static byte kindAt(ByteBuffer bytes, int offset) {
         return bytes.get(offset + KIND_OFFSET);
     }
 
-    /** Returns the sequence that a record would have that begins at this offset; cheap, and without any check. */
+    /**
+     * Returns the sequence number of a record that begins at this offset, without checking that an intact record does.
+     */
     static long sequenceAt(ByteBuffer bytes, int offset) {
         return bytes.getLong(offset + SEQUENCE_OFFSET);
     }
--- a/storage/src/main/java/burlarch/storage/SegmentScanner.java
+++ b/storage/src/main/java/burlarch/storage/SegmentScanner.java
@@ -7,35 +7,35 @@
 import java.util.Optional;
 
 /**
- * Reads the file of one segment from its start.
+ * Reads the records of one segment file and finds torn or damaged parts.
  *
- * <p><b>Readable part.</b> The first record must be a snapshot, all others must not be one, and sequences must rise.
- * The readable part ends where no such record begins and no copy makes up for what is missing.
+ * <p><b>Readable part.</b> The first record must be a snapshot, all others must not be one, and sequence numbers must
+ * increase. The readable part ends where no such record begins and no copy replaces what is missing.
  *
- * <p><b>Copies.</b> In a mirrored log the next sequence belongs to the copy of a record. Bytes that can't be read are
- * passed over if what follows them shows by its sequence, and by the length of the gap, that they were a copy of a
- * record that was read, or a record whose copy is intact, or both.
+ * <p><b>Copies.</b> In a mirrored log, the copy of a record has the next sequence number. Unreadable bytes (a gap) are
+ * skipped if the sequence number of the record behind them and the length of the gap show that the gap held a copy of
+ * a record that was read, or a record whose copy is intact, or both.
  *
- * <p><b>Torn tail or damage</b> (invariant <i>proof of sync</i>). What was written after the last sync may be lost in
- * a power failure, in whole or in part. That is a torn tail, and it is harmless: nothing of it was acknowledged.
- * Damage to synced records is a loss. The two are told apart by the kind of the records behind the readable part: a
- * record that {@link SegmentRecord#provesSync} was written only when everything before it had been synced. If such a
- * record is intact behind bytes that cannot be read, then those bytes were synced and are damaged.
+ * <p><b>Torn tail or damage</b> (invariant <i>proof of sync</i>). Data written after the last sync may be lost in a
+ * power failure, in whole or in part. That is a torn tail, and it is harmless, as none of it was acknowledged. Damage
+ * to synced records is a loss. The two are distinguished by the kind of the records behind the readable part: a record
+ * that {@link SegmentRecord#provesSync} was written only when everything before it was synced. If such a record is
+ * intact behind unreadable bytes, those bytes were synced and are damaged.
  *
- * <p><b>Limit.</b> The last sync leaves no such record until the next record is written. Damage to what only that sync
- * covered, in a mirrored log to both of its copies, looks like a torn tail and is not detected.
+ * <p><b>Limit.</b> No such record exists for the last sync until the next record is written. Damage to data that only
+ * that sync covered (in a mirrored log: to both copies) looks like a torn tail and is not detected.
  */
 final class SegmentScanner {
-    /** Sequences of one segment differ by less than this; it keeps random bytes from being taken for a record. */
+    /** Upper bound of the difference of sequence numbers in one segment; rules out most random bytes as a record. */
     private static final long MAX_SEQUENCE_DISTANCE = 1L << 32;
-    /** How much behind the readable part is searched: more than a segment of the default size. */
+    /** Limit of the search behind the readable part; more than a segment of the default size. */
     private static final int MAX_SEARCHED_BYTES = 32 << 20;
 
-    /** Whether the copy of the last record that was read is still to come. */
+    /** Whether a copy of the last record that was read is expected next. */
     private enum CopyState {
-        /** It was read or is known to be damaged, or the record has none. */
+        /** The copy was read or is known to be damaged, or the record has none. */
         NONE_DUE,
-        /** The record is of a kind that has a copy. */
+        /** The last record is of a kind that always has a copy. */
         DUE,
         /** The last record is a snapshot, which has a copy in a mirrored log only. */
         POSSIBLE
@@ -47,7 +47,7 @@
     private long lastSequence;
     private long lastSizeBytes;
     private boolean lastIsCopy;
-    private CopyState copy = CopyState.NONE_DUE;
+    private CopyState copyState = CopyState.NONE_DUE;
     private long readableBytes;
 
     private SegmentScanner(DiskFile file, long fileSizeBytes) {
@@ -73,7 +73,7 @@
     private void readRecords() throws IOException {
         do {
             readUntilGap();
-        } while (readableBytes < fileSizeBytes && passGap());
+        } while (readableBytes < fileSizeBytes && skipGap());
     }
 
     private void readUntilGap() throws IOException {
@@ -91,7 +91,8 @@
     }
 
     private void accept(SegmentRecord record) {
-        boolean repeatsLast = record.isCopy() && copy != CopyState.NONE_DUE && record.sequence() == lastSequence + 1;
+        boolean repeatsLast =
+                record.isCopy() && copyState != CopyState.NONE_DUE && record.sequence() == lastSequence + 1;
         if (!repeatsLast) {
             payloads.add(record.payload());
         }
@@ -99,7 +100,7 @@
         lastSizeBytes = record.sizeBytes();
         lastIsCopy = record.isCopy();
         readableBytes += record.sizeBytes();
-        copy = copyStateAfter(record);
+        copyState = copyStateAfter(record);
     }
 
     private static CopyState copyStateAfter(SegmentRecord record) {
@@ -110,65 +111,68 @@
     }
 
     /**
-     * Passes over unreadable bytes if nothing is lost with them.
+     * Skips unreadable bytes if no record is lost with them.
      *
-     * @return whether the readable part goes on behind them
+     * @return whether the readable part continues behind them
      */
-    private boolean passGap() throws IOException {
-        byte[] tail = tail();
+    private boolean skipGap() throws IOException {
+        byte[] tail = readTail();
         ByteBuffer bytes = ByteBuffer.wrap(tail);
         for (int offset = 1; offset + SegmentRecord.HEADER_BYTES <= tail.length; offset++) {
             if (hasPlausibleSequence(bytes, offset)) {
                 Optional<SegmentRecord> record = recordAt(readableBytes + offset);
                 if (record.isPresent()) {
-                    return passGap(offset, record.get());
+                    return skipGap(offset, record.get());
                 }
             }
         }
         return false;
     }
 
-    private boolean passGap(int gapBytes, SegmentRecord next) {
-        if (!isCopyOfLast(gapBytes, next) && !isRepairedByCopy(gapBytes, next)) {
+    private boolean skipGap(int gapBytes, SegmentRecord next) {
+        if (!gapIsCopyOfLast(gapBytes, next) && !gapIsRepairedByCopy(gapBytes, next)) {
             return false;
         }
         readableBytes += gapBytes;
-        copy = CopyState.NONE_DUE;
+        copyState = CopyState.NONE_DUE;
         accept(next);
         return true;
     }
 
-    /** Whether the gap is the copy of the record before it. */
-    private boolean isCopyOfLast(int gapBytes, SegmentRecord next) {
-        return copy != CopyState.NONE_DUE
+    /** Returns whether the gap is the copy of the record before it. */
+    private boolean gapIsCopyOfLast(int gapBytes, SegmentRecord next) {
+        return copyState != CopyState.NONE_DUE
                 && next.hasCopy()
                 && next.sequence() == lastSequence + 2
                 && gapBytes == lastSizeBytes;
     }
 
-    /** Whether the gap holds the record of which {@code next} is the copy, and at most a copy of the last one. */
-    private boolean isRepairedByCopy(int gapBytes, SegmentRecord next) {
+    /**
+     * Returns whether the gap holds the record whose copy is {@code next}, possibly preceded by a copy of the last
+     * record.
+     */
+    private boolean gapIsRepairedByCopy(int gapBytes, SegmentRecord next) {
         if (readableBytes == 0) {
             return next.kind() == SegmentRecord.SNAPSHOT_COPY && gapBytes == next.sizeBytes();
         }
         if (next.kind() != SegmentRecord.COPY) {
             return false;
         }
-        boolean onlyTheRecord = next.sequence() == lastSequence + 2 && gapBytes == next.sizeBytes();
-        boolean alsoTheCopyBefore = copy != CopyState.NONE_DUE
+        boolean gapHoldsRecord = next.sequence() == lastSequence + 2 && gapBytes == next.sizeBytes();
+        boolean gapHoldsLastCopyAndRecord = copyState != CopyState.NONE_DUE
                 && next.sequence() == lastSequence + 3
                 && gapBytes == lastSizeBytes + next.sizeBytes();
-        return onlyTheRecord && copy != CopyState.DUE || alsoTheCopyBefore;
+        return gapHoldsRecord && copyState != CopyState.DUE || gapHoldsLastCopyAndRecord;
     }
 
     /**
-     * Looks at each byte behind the readable part for the beginning of an intact record that proves a sync. The kind
-     * and the sequence are compared first, as reading a record and its checksum at each byte would take too long.
+     * Searches the bytes behind the readable part for an intact record that proves a sync. The kind and the sequence
+     * number are compared first, since verifying the checksum at each byte would take too long.
      *
-     * @return the highest sequence of such a record, or 0
+     * @return the highest sequence number of such a record, or 0 if there is none
      */
     private long searchProofOfSync() throws IOException {
-        byte[] tail = tail();
+        byte[] tail = readTail();
         ByteBuffer bytes = ByteBuffer.wrap(tail);
         long highest = 0;
         for (int offset = 1; offset + SegmentRecord.HEADER_BYTES <= tail.length; offset++) {
@@ -180,8 +184,8 @@
         return highest;
     }
 
-    /** The bytes behind the readable part, or the first of them. */
-    private byte[] tail() throws IOException {
+    /** Returns the bytes behind the readable part, at most {@link #MAX_SEARCHED_BYTES} of them. */
+    private byte[] readTail() throws IOException {
         byte[] tail = new byte[(int) Math.min(fileSizeBytes - readableBytes, MAX_SEARCHED_BYTES)];
         file.read(readableBytes, ByteBuffer.wrap(tail));
         return tail;
