--- a/transport/src/main/java/burlarch/transport/FrameCodec.java
+++ b/transport/src/main/java/burlarch/transport/FrameCodec.java
@@ -138,7 +138,7 @@
         }
         Object body = readBody(type, bytes, offset + 1, length - 1);
         if (body == null) {
-            throw new FrameException("frame without a body, message type " + number);
+            throw new FrameException("no body for message type " + number);
         }
         return body instanceof RegisterMessage register
                 ? new NodeMessage.RegisterProtocol(register)
