--- a/storage/src/main/java/burlarch/storage/AcceptorRecordCodec.java
+++ b/storage/src/main/java/burlarch/storage/AcceptorRecordCodec.java
@@ -22,7 +22,7 @@
  * <pre>
  *   kind              fields
  *   1 SNAPSHOT        identity, state, number of named values, then name and bytes of each
- *   2 PREPARED        prepared number; the accepted number and value stay as they are
+ *   2 PREPARED        prepared number; the accepted number and value are unchanged
  *   3 ACCEPTED        state
  *   4 NAMED_VALUE     name, bytes
  *
--- a/storage/src/main/java/burlarch/storage/AcceptorStore.java
+++ b/storage/src/main/java/burlarch/storage/AcceptorStore.java
@@ -16,8 +16,8 @@
  * synced; an acceptor replies to a request only after that. So a power failure never reverts a state on which a reply
  * was based.
  *
- * <p><b>Memory follows the disk.</b> If a save fails, the store still holds the state before it and remains usable.
- * Which state is on the disk is unknown: a restart may find either.
+ * <p><b>Unchanged after a failed save.</b> If a save fails, the store still holds the previous state and remains
+ * usable. Which state is on the disk is unknown: a restart may find either.
  *
  * <p><b>One damaged copy is repaired.</b> Each record is written twice with one sync. So damage at one place of the
  * disk, even to the newest record, never makes an acceptor vote without the state it has prepared or accepted.
@@ -59,7 +59,7 @@
      * @param segmentBytes bytes of records written between two snapshots
      * @throws DamagedLogException if synced records are lost; the acceptor must not vote, and opening again does not
      *     help
-     * @throws IOException if the disk cannot be read or synced; opening may be tried again
+     * @throws IOException if the disk cannot be read or synced; opening may be retried
      */
     public static AcceptorStore open(Disk disk, Supplier<String> newIdentity, long segmentBytes) throws IOException {
         return open(disk, newIdentity, Map.of(), segmentBytes);
--- a/storage/src/main/java/burlarch/storage/Redundancy.java
+++ b/storage/src/main/java/burlarch/storage/Redundancy.java
@@ -1,6 +1,6 @@
 package burlarch.storage;
 
-/** How often a log writes each record. */
+/** The number of times that a log writes each record. */
 enum Redundancy {
     /** Once. Damage to the newest record cannot be distinguished from a write that a power failure interrupted. */
     SINGLE,
--- a/storage/src/main/java/burlarch/storage/SegmentScan.java
+++ b/storage/src/main/java/burlarch/storage/SegmentScan.java
@@ -12,7 +12,8 @@
  * @param provenSyncedSequence highest sequence number of an intact record behind the readable part that proves that
  *     everything before it was synced; 0 if there is none. If it is above the highest readable sequence number of the
  *     whole log, synced records are lost.
- * @param endsMirrored whether the last readable record is a copy, so that each record of the segment may have one
+ * @param endsMirrored whether the last readable record is a copy; if false, the segment may hold records without a
+ *     copy
  */
 record SegmentScan(
         List<byte[]> payloads,
--- a/storage/src/main/java/burlarch/storage/SegmentedLog.java
+++ b/storage/src/main/java/burlarch/storage/SegmentedLog.java
@@ -16,8 +16,8 @@
  * In each case the call may be retried. A discarded record that a restart finds is harmless: its writer received an
  * error, so the outcome was unknown, and the record is found only if nothing was synced after it.
  *
- * <p><b>Bound.</b> At most {@value #MAX_OBSOLETE_SEGMENTS} obsolete segments exist beside the current one; if they
- * cannot be removed, no further segment is begun.
+ * <p><b>Limit.</b> At most {@value #MAX_OBSOLETE_SEGMENTS} obsolete segments exist besides the current one; if they
+ * cannot be removed, no further segment is created.
  *
  * <p>{@link LogRecovery} reads the disk when the log is opened. Owned by one thread; calls may block on the disk.
  */
