--- a/engine-client/src/main/java/burlarch/engine/DelayedExecutor.java
+++ b/engine-client/src/main/java/burlarch/engine/DelayedExecutor.java
@@ -1,7 +1,7 @@
 package burlarch.engine;
 
-/** Runs tasks after a delay, on a thread of its choice. */
+/** Scheduler that runs each task once after a delay. The implementation chooses the thread. */
 public interface DelayedExecutor {
-    /** Runs the task once, after at least that delay. */
+    /** Runs {@code task} once, no earlier than {@code delayMillis} milliseconds from now. */
     void schedule(Runnable task, long delayMillis);
 }
--- a/engine-client/src/main/java/burlarch/engine/EngineAddress.java
+++ b/engine-client/src/main/java/burlarch/engine/EngineAddress.java
@@ -3,13 +3,14 @@
 import java.net.URI;
 
 /**
- * Target of a call.
+ * Network address of an engine or a KV store, with the identity that the engine must have.
  *
- * @param instance id of the engine that must respond; null for a store, which has none
- * @param address IP:PORT
+ * @param instance id of the instance that must respond; null for a store, which has no id
+ * @param address in the form {@code IP:PORT}
  */
 public record EngineAddress(String instance, String address) {
 
+    /** Returns the HTTP URI of {@code path}, which begins with a slash, at this address. */
     URI uri(String path) {
         return URI.create("http://" + address + path);
     }
--- a/engine-client/src/main/java/burlarch/engine/EngineClient.java
+++ b/engine-client/src/main/java/burlarch/engine/EngineClient.java
@@ -11,58 +11,63 @@
 import org.eclipse.jetty.client.Request;
 
 /**
- * Sends the calls to engines and stores that are no requests of clients. Failures are values of the results:
- * the futures do not fail, and they complete on a thread of the HTTP client. May be called on any thread.
+ * HTTP client for the control calls to engines and KV stores; it does not carry requests of clients. A failed call
+ * is a value of its result: the futures do not complete exceptionally if an engine fails or does not respond. They
+ * complete on a thread of the HTTP client. Thread-safe.
  */
 public final class EngineClient implements EngineControlClient {
-    /** The maximum wait that a call for events may ask for. */
+    /** Longest time for which a call may ask the source to wait for events. */
     public static final long MAX_WAIT_MILLIS = 1000;
 
+    /** Added to the requested wait to give the timeout of a call. */
     private static final long TIMEOUT_MARGIN_MILLIS = 700;
-    private static final int MAX_EVENTS_BYTES = 1 << 20;
-    private static final int MAX_SNAPSHOT_BYTES = 2 << 20;
-    private static final int MAX_SMALL_BYTES = 64 << 10;
+
+    private static final int MAX_EVENTS_RESPONSE_BYTES = 1 << 20;
+    private static final int MAX_SNAPSHOT_RESPONSE_BYTES = 2 << 20;
+    private static final int MAX_CONTROL_RESPONSE_BYTES = 64 << 10;
 
     private final HttpClient http;
-    private final EngineJsonCodec json = new EngineJsonCodec();
+    private final EngineJsonCodec codec = new EngineJsonCodec();
 
-    /** @param http started; shared with the rest of the process */
+    /** @param http a started client, which may be shared; the caller stops it */
     public EngineClient(HttpClient http) {
         this.http = http;
     }
 
     /**
-     * Requests the events after {@code since}.
+     * Requests the prefix-cache events after offset {@code since}.
      *
-     * @param waitMillis how long the source may hold the call while there are no events, at most
-     *     {@link #MAX_WAIT_MILLIS}; calls that wait less than 200 ms are charged
+     * @param waitMillis how long the source may delay its response while it has no events; clamped to the range
+     *     from 0 to {@link #MAX_WAIT_MILLIS}. A call that waits less than 200 ms is charged
      */
     public CompletableFuture<KvEventsResponse> kvEvents(EngineAddress target, long since, long waitMillis) {
-        long wait = Math.max(0, Math.min(MAX_WAIT_MILLIS, waitMillis));
-        Request request = request(target, "/burlarch/kv-events?since=" + since, wait);
-        String waitText = Long.toString(wait);
-        request.headers(headers -> headers.put("Wait-Ms", waitText));
-        return send(request, new KvCall(json, MAX_EVENTS_BYTES));
+        long boundedWaitMillis = Math.max(0, Math.min(MAX_WAIT_MILLIS, waitMillis));
+        Request request = request(target, "/burlarch/kv-events?since=" + since, boundedWaitMillis);
+        String waitHeader = Long.toString(boundedWaitMillis);
+        request.headers(headers -> headers.put("Wait-Ms", waitHeader));
+        return send(request, new KvResponseListener(codec, MAX_EVENTS_RESPONSE_BYTES));
     }
 
-    /** Requests a snapshot of everything that the source caches. The call delays its work and is charged. */
+    /** Requests a snapshot of all segments that the source caches. It delays other work and is charged. */
     public CompletableFuture<KvEventsResponse> kvList(EngineAddress target) {
-        return send(request(target, "/burlarch/kv-list", MAX_WAIT_MILLIS), new KvCall(json, MAX_SNAPSHOT_BYTES));
+        return send(
+                request(target, "/burlarch/kv-list", MAX_WAIT_MILLIS),
+                new KvResponseListener(codec, MAX_SNAPSHOT_RESPONSE_BYTES));
     }
 
-    /** Requests the engine's report; empty if it gave none. The call is charged as a health check. */
+    /** Requests the engine's report; empty if no valid report was received. Charged as a health check. */
     @Override
     public CompletableFuture<Optional<EngineReport>> report(EngineAddress target) {
-        return send(request(target, "/burlarch/report", 0), new ReportCall(json));
+        return send(request(target, "/burlarch/report", 0), new ReportResponseListener(codec));
     }
 
-    /** Sends an order once, without a retry. */
+    /** Sends an order to load weights once, without a retry. */
     @Override
     public CompletableFuture<OrderResult> order(EngineAddress target, WeightsOrder order) {
         Request request = request(target, "/burlarch/order", 0)
                 .method("POST")
-                .body(new BytesRequestContent("application/json", json.writeOrder(order)));
-        return send(request, new OrderCall());
+                .body(new BytesRequestContent("application/json", codec.writeOrder(order)));
+        return send(request, new OrderResponseListener());
     }
 
     private Request request(EngineAddress target, String path, long waitMillis) {
@@ -75,17 +80,17 @@
         return request;
     }
 
-    private static <T> CompletableFuture<T> send(Request request, EngineResponseListener<T> call) {
-        request.send(call);
-        return call.future();
+    private static <T> CompletableFuture<T> send(Request request, EngineResponseListener<T> listener) {
+        request.send(listener);
+        return listener.future();
     }
 
-    private static final class KvCall extends EngineResponseListener<KvEventsResponse> {
-        private final EngineJsonCodec json;
+    private static final class KvResponseListener extends EngineResponseListener<KvEventsResponse> {
+        private final EngineJsonCodec codec;
 
-        KvCall(EngineJsonCodec json, int maxBytes) {
+        KvResponseListener(EngineJsonCodec codec, int maxBytes) {
             super(maxBytes);
-            this.json = json;
+            this.codec = codec;
         }
 
         @Override
@@ -101,19 +106,19 @@
 
         private KvEventsResponse parse(byte[] body) {
             try {
-                return json.readKvEvents(body);
+                return codec.readKvEvents(body);
             } catch (IOException e) {
                 return KvEventsResponse.failed(KvEventsResponse.Status.INVALID);
             }
         }
     }
 
-    private static final class ReportCall extends EngineResponseListener<Optional<EngineReport>> {
-        private final EngineJsonCodec json;
+    private static final class ReportResponseListener extends EngineResponseListener<Optional<EngineReport>> {
+        private final EngineJsonCodec codec;
 
-        ReportCall(EngineJsonCodec json) {
-            super(MAX_SMALL_BYTES);
-            this.json = json;
+        ReportResponseListener(EngineJsonCodec codec) {
+            super(MAX_CONTROL_RESPONSE_BYTES);
+            this.codec = codec;
         }
 
         @Override
@@ -122,16 +127,16 @@
                 return Optional.empty();
             }
             try {
-                return Optional.of(json.readReport(body));
+                return Optional.of(codec.readReport(body));
             } catch (IOException e) {
                 return Optional.empty();
             }
         }
     }
 
-    private static final class OrderCall extends EngineResponseListener<OrderResult> {
-        OrderCall() {
-            super(MAX_SMALL_BYTES);
+    private static final class OrderResponseListener extends EngineResponseListener<OrderResult> {
+        OrderResponseListener() {
+            super(MAX_CONTROL_RESPONSE_BYTES);
         }
 
         @Override
--- a/engine-client/src/main/java/burlarch/engine/EngineControlClient.java
+++ b/engine-client/src/main/java/burlarch/engine/EngineControlClient.java
@@ -5,11 +5,14 @@
 import java.util.Optional;
 import java.util.concurrent.CompletableFuture;
 
-/** The calls of a rollout of weights. Failures are values of the results: the futures do not fail. */
+/**
+ * Client for the calls to engines that a rollout of weights needs. A failed call is a value of its result: the futures
+ * do not complete exceptionally if an engine fails or does not respond.
+ */
 public interface EngineControlClient {
-    /** Requests the engine's report; empty if it gave none. */
+    /** Requests the engine's report; empty if no valid report was received. */
     CompletableFuture<Optional<EngineReport>> report(EngineAddress target);
 
-    /** Sends an order once, without a retry. */
+    /** Sends an order to load weights once, without a retry. */
     CompletableFuture<OrderResult> order(EngineAddress target, WeightsOrder order);
 }
--- a/engine-client/src/main/java/burlarch/engine/EngineHttpClientFactory.java
+++ b/engine-client/src/main/java/burlarch/engine/EngineHttpClientFactory.java
@@ -9,8 +9,8 @@
 import org.eclipse.jetty.util.thread.Scheduler;
 
 /**
- * Creates the HTTP client for calls to engines that are no requests of clients, from threads and buffers that
- * the process has already.
+ * Factory of the HTTP client for control calls to engines and KV stores. The client uses the threads, the scheduler
+ * and the buffers that the process has already.
  */
 public final class EngineHttpClientFactory {
     private static final long CONNECT_TIMEOUT_MILLIS = 800;
@@ -19,9 +19,13 @@
 
     private EngineHttpClientFactory() {}
 
-    /** Creates and starts a client; the caller stops it. */
+    /**
+     * Creates and starts a client without TLS, redirects and content decoding; the caller stops it.
+     *
+     * @throws Exception if the client cannot be started
+     */
     public static HttpClient start(Executor executor, Scheduler scheduler, ByteBufferPool buffers) throws Exception {
-        ClientConnector connector = new PlainConnector();
+        ClientConnector connector = new PlaintextConnector();
         connector.setSelectors(1);
         connector.setExecutor(executor);
         connector.setScheduler(scheduler);
@@ -40,8 +44,8 @@
         return client;
     }
 
-    /** Engines are called without TLS, so neither its providers nor the certificates of the system are loaded. */
-    private static final class PlainConnector extends ClientConnector {
+    /** Connector without TLS: it loads neither the TLS providers nor the certificates of the system. */
+    private static final class PlaintextConnector extends ClientConnector {
         @Override
         protected SslContextFactory.Client newSslContextFactory() {
             return new SslContextFactory.Client() {
--- a/engine-client/src/main/java/burlarch/engine/EngineJsonCodec.java
+++ b/engine-client/src/main/java/burlarch/engine/EngineJsonCodec.java
@@ -14,18 +14,20 @@
 import java.util.List;
 
 /**
- * Reads and writes the JSON bodies of the engines' own calls, token by token. May be used on any thread.
+ * Streaming codec for the JSON bodies of the control calls to engines and KV stores. Unknown fields are skipped; a body
+ * that is not of the expected form causes an {@link IOException}. Thread-safe.
  */
 final class EngineJsonCodec {
+    /** Radix of a segment id, and the most digits that a 64-bit id has. */
     private static final int HEX_DIGITS = 16;
 
     private final JsonFactory factory = new JsonFactory();
-    private final StringInterner strings = new StringInterner();
+    private final StringInterner interner = new StringInterner();
 
-    /** Reads the body of a response to a call for events or for a snapshot. */
+    /** Parses the response to a call for events or for a snapshot. The field {@code epoch} is required. */
     KvEventsResponse readKvEvents(byte[] body) throws IOException {
         long epoch = 0;
-        long next = 0;
+        long nextOffset = 0;
         boolean lost = false;
         boolean epochRead = false;
         List<KvEvent> events = List.of();
@@ -39,7 +41,7 @@
                         epoch = parser.getLongValue();
                         epochRead = true;
                     }
-                    case "next_page_token" -> next = parser.getLongValue();
+                    case "next_page_token" -> nextOffset = parser.getLongValue();
                     case "lost" -> lost = parser.getBooleanValue();
                     case "events" -> events = readNumberedEvents(parser);
                     case "held" -> events = readSnapshotEntries(parser);
@@ -48,13 +50,13 @@
             }
             expect(parser, parser.currentToken(), JsonToken.END_OBJECT);
             if (!epochRead) {
-                throw new JsonParseException(parser, "no epoch");
+                throw new JsonParseException(parser, "required field epoch is missing");
             }
         }
-        return new KvEventsResponse(KvEventsResponse.Status.OK, epoch, next, lost, events);
+        return new KvEventsResponse(KvEventsResponse.Status.OK, epoch, nextOffset, lost, events);
     }
 
-    /** Entries of the form [number, "+" or "-", salt, segment, tokens, model, ...]. */
+    /** Parses an array of events of the form [number, "+" or "-", salt, segment, tokens, model, ...]. */
     private List<KvEvent> readNumberedEvents(JsonParser parser) throws IOException {
         expect(parser, parser.currentToken(), JsonToken.START_ARRAY);
         List<KvEvent> events = new ArrayList<>();
@@ -62,27 +64,27 @@
             expect(parser, parser.nextToken(), JsonToken.VALUE_NUMBER_INT);
             expect(parser, parser.nextToken(), JsonToken.VALUE_STRING);
             boolean added = parser.getTextLength() == 1 && parser.getTextCharacters()[parser.getTextOffset()] == '+';
-            events.add(readRestOfEntry(parser, added));
+            events.add(readSegmentFields(parser, added));
         }
         expect(parser, parser.currentToken(), JsonToken.END_ARRAY);
         return events;
     }
 
-    /** Entries of the form [salt, segment, tokens, model, ...]. */
+    /** Parses an array of cached segments of the form [salt, segment, tokens, model, ...]. */
     private List<KvEvent> readSnapshotEntries(JsonParser parser) throws IOException {
         expect(parser, parser.currentToken(), JsonToken.START_ARRAY);
         List<KvEvent> entries = new ArrayList<>();
         while (parser.nextToken() == JsonToken.START_ARRAY) {
-            entries.add(readRestOfEntry(parser, true));
+            entries.add(readSegmentFields(parser, true));
         }
         expect(parser, parser.currentToken(), JsonToken.END_ARRAY);
         return entries;
     }
 
-    private KvEvent readRestOfEntry(JsonParser parser, boolean added) throws IOException {
+    private KvEvent readSegmentFields(JsonParser parser, boolean added) throws IOException {
         String salt = readText(parser);
         expect(parser, parser.nextToken(), JsonToken.VALUE_STRING);
-        long segment = readHex(parser);
+        long segment = readSegmentId(parser);
         expect(parser, parser.nextToken(), JsonToken.VALUE_NUMBER_INT);
         int tokens = parser.getIntValue();
         String model = readText(parser);
@@ -100,28 +102,28 @@
             return "";
         }
         expect(parser, parser.currentToken(), JsonToken.VALUE_STRING);
-        return strings.intern(parser.getTextCharacters(), parser.getTextOffset(), parser.getTextLength());
+        return interner.intern(parser.getTextCharacters(), parser.getTextOffset(), parser.getTextLength());
     }
 
-    private static long readHex(JsonParser parser) throws IOException {
+    private static long readSegmentId(JsonParser parser) throws IOException {
         int length = parser.getTextLength();
         int offset = parser.getTextOffset();
         char[] characters = parser.getTextCharacters();
         if (length == 0 || length > HEX_DIGITS) {
-            throw new JsonParseException(parser, "segment id expected");
+            throw new JsonParseException(parser, "segment id must consist of 1 to 16 hexadecimal digits");
         }
         long value = 0;
         for (int i = offset; i < offset + length; i++) {
             int digit = Character.digit(characters[i], HEX_DIGITS);
             if (digit < 0) {
-                throw new JsonParseException(parser, "segment id expected");
+                throw new JsonParseException(parser, "segment id must consist of 1 to 16 hexadecimal digits");
             }
             value = value << 4 | digit;
         }
         return value;
     }
 
-    /** Reads the body of a report. */
+    /** Parses the report of an engine; a field that is absent counts as 0, false or empty. */
     EngineReport readReport(byte[] body) throws IOException {
         List<ServedModel> models = List.of();
         boolean busy = false;
@@ -178,10 +180,10 @@
         return new ServedModel(model, version);
     }
 
-    /** The body of an order. */
+    /** Serializes an order to load weights; {@code if_revision} is omitted if the order applies to any revision. */
     byte[] writeOrder(WeightsOrder order) {
-        ByteArrayOutputStream out = new ByteArrayOutputStream(256);
-        try (JsonGenerator json = factory.createGenerator(out)) {
+        ByteArrayOutputStream buffer = new ByteArrayOutputStream(256);
+        try (JsonGenerator json = factory.createGenerator(buffer)) {
             json.writeStartObject();
             json.writeStringField("op", "config_version");
             json.writeStringField("model", order.model());
@@ -194,14 +196,14 @@
             }
             json.writeEndObject();
         } catch (IOException e) {
-            throw new IllegalStateException("writing to memory failed", e);
+            throw new IllegalStateException("cannot write JSON to a buffer in memory", e);
         }
-        return out.toByteArray();
+        return buffer.toByteArray();
     }
 
     private static void expect(JsonParser parser, JsonToken found, JsonToken expected) throws IOException {
         if (found != expected) {
-            throw new JsonParseException(parser, "unexpected token");
+            throw new JsonParseException(parser, "unexpected JSON token");
         }
     }
 }
--- a/engine-client/src/main/java/burlarch/engine/KvEventSubscriber.java
+++ b/engine-client/src/main/java/burlarch/engine/KvEventSubscriber.java
@@ -15,12 +15,12 @@
 import java.util.function.LongSupplier;
 
 /**
- * Subscribes to the prefix-cache events of a changing set of engines and stores by long polling, with one call
- * in flight for each of them. Which process reads which source is decided elsewhere. Its methods may be called
- * on any thread; the set of subscriptions is guarded by this.
+ * Subscriber to the prefix-cache events of a changing set of engines and KV stores. It uses long polling with one call
+ * in flight per source. The caller decides which process reads which source. Thread-safe; the map of subscriptions is
+ * guarded by {@code this}.
  */
 public final class KvEventSubscriber implements AutoCloseable {
-    /** How long a source may hold a call; longer waits cost nothing more. */
+    /** How long a source may delay its response while it has no events; a longer wait costs no more. */
     public static final long WAIT_MILLIS = 900;
 
     private final EngineClient client;
@@ -28,24 +28,24 @@
     private final DelayedExecutor delays;
     private final LongSupplier clock;
     private final DoubleSupplier random;
-    /** By name of the source. */
+    /** Key: name of the source. */
     private final Map<String, Subscription> subscriptions = new HashMap<>();
 
     /**
-     * An engine or a store.
+     * Engine or KV store whose events are read.
      *
      * @param name id of the instance, or name of the store's service
-     * @param address IP:PORT
-     * @param store whether it is a store
+     * @param address in the form {@code IP:PORT}
+     * @param store whether the source is a KV store rather than an engine
      */
     public record Source(String name, String address, boolean store) {}
 
     /**
-     * A subscriber without sources.
+     * Creates a subscriber without sources.
      *
-     * @param listener is called on threads of the client
-     * @param clock nanoseconds of a monotonic clock
-     * @param random numbers from 0 (inclusive) to 1 (exclusive)
+     * @param listener receives the updates, on threads of the client
+     * @param clock monotonic clock in nanoseconds
+     * @param random random numbers from 0 (inclusive) to 1 (exclusive)
      */
     public KvEventSubscriber(
             EngineClient client,
@@ -60,26 +60,27 @@
         this.random = random;
     }
 
-    /** Replaces the set of sources; new ones are read from their oldest event. */
+    /** Replaces the set of sources; each new source is read from its oldest event. */
     public void subscribe(Collection<Source> sources) {
         subscribe(sources, source -> Optional.empty());
     }
 
     /**
-     * Replaces the set of sources; those that stay are not interrupted.
+     * Replaces the set of sources; calls to sources that remain are not interrupted.
      *
-     * @param offsets up to which offset the source of that name is known; empty if it is unknown
+     * @param offsets returns the known offset of a new source by its name; empty if its events are read from the
+     *     oldest one
      */
     public synchronized void subscribe(Collection<Source> sources, Function<String, Optional<KvOffset>> offsets) {
-        Set<Source> added = new HashSet<>(sources);
-        for (Iterator<Subscription> all = subscriptions.values().iterator(); all.hasNext(); ) {
-            Subscription subscription = all.next();
-            if (!added.remove(subscription.source)) {
+        Set<Source> newSources = new HashSet<>(sources);
+        for (Iterator<Subscription> iterator = subscriptions.values().iterator(); iterator.hasNext(); ) {
+            Subscription subscription = iterator.next();
+            if (!newSources.remove(subscription.source)) {
                 subscription.stopped = true;
-                all.remove();
+                iterator.remove();
             }
         }
-        for (Source source : added) {
+        for (Source source : newSources) {
             Subscription subscription = new Subscription(source, offsets.apply(source.name()));
             Subscription replaced = subscriptions.put(source.name(), subscription);
             if (replaced != null) {
@@ -89,7 +90,7 @@
         }
     }
 
-    /** Requests a snapshot of each source soon, because others may have missed its earlier updates. */
+    /** Makes a snapshot of each source due soon, because other readers may have missed earlier updates. */
     public synchronized void requestSnapshotsSoon() {
         for (Subscription subscription : subscriptions.values()) {
             subscription.snapshotRequested = true;
@@ -101,15 +102,18 @@
         subscribe(Set.of());
     }
 
-    /** One source. Each step begins after the one before has ended, so only the two flags are shared. */
+    /**
+     * Long-polling loop of one source. Each step begins after the previous one has ended, so only the two volatile
+     * flags are shared between threads.
+     */
     private final class Subscription implements Runnable, BiConsumer<KvEventsResponse, Throwable> {
         private final Source source;
         private final EngineAddress address;
         private final KvSubscriptionState state;
         private volatile boolean stopped;
         private volatile boolean snapshotRequested;
-        private long startedNanos;
-        private boolean callIsForSnapshot;
+        private long callStartNanos;
+        private boolean snapshotCall;
 
         Subscription(Source source, Optional<KvOffset> offset) {
             this.source = source;
@@ -124,36 +128,34 @@
             if (stopped) {
                 return;
             }
-            startedNanos = clock.getAsLong();
+            callStartNanos = clock.getAsLong();
             if (snapshotRequested) {
                 snapshotRequested = false;
-                state.requestSnapshot(startedNanos);
+                state.requestSnapshot(callStartNanos);
             }
-            callIsForSnapshot = state.isSnapshotDue(startedNanos);
+            snapshotCall = state.isSnapshotDue(callStartNanos);
             startCall().whenComplete(this);
         }
 
         private CompletableFuture<KvEventsResponse> startCall() {
             try {
-                return callIsForSnapshot
-                        ? client.kvList(address)
-                        : client.kvEvents(address, state.since(), WAIT_MILLIS);
+                return snapshotCall ? client.kvList(address) : client.kvEvents(address, state.since(), WAIT_MILLIS);
             } catch (RuntimeException e) {
                 return CompletableFuture.failedFuture(e);
             }
         }
 
-        /** A call has ended: delivers its update and schedules the next call. */
+        /** Handles the end of a call: delivers its update and schedules the next call. */
         @Override
         public void accept(KvEventsResponse response, Throwable failure) {
             if (stopped) {
                 return;
             }
             long nowNanos = clock.getAsLong();
-            KvEventsResponse known =
+            KvEventsResponse responseOrInvalid =
                     response != null ? response : KvEventsResponse.failed(KvEventsResponse.Status.INVALID);
             try {
-                deliver(known, nowNanos);
+                deliver(responseOrInvalid, nowNanos);
             } finally {
                 long delayNanos = Math.max(0, state.delayNanos(nowNanos));
                 delays.schedule(this, TimeUnit.NANOSECONDS.toMillis(delayNanos));
@@ -161,9 +163,7 @@
         }
 
         private void deliver(KvEventsResponse response, long nowNanos) {
-            (callIsForSnapshot
-                            ? state.onSnapshot(response, nowNanos)
-                            : state.onEvents(response, startedNanos, nowNanos))
+            (snapshotCall ? state.onSnapshot(response, nowNanos) : state.onEvents(response, callStartNanos, nowNanos))
                     .ifPresent(listener::onUpdate);
         }
     }
--- a/engine-client/src/main/java/burlarch/engine/KvEventsResponse.java
+++ b/engine-client/src/main/java/burlarch/engine/KvEventsResponse.java
@@ -4,28 +4,31 @@
 import java.util.List;
 
 /**
- * The response to a call for prefix-cache events or for a snapshot.
+ * Response to a call for prefix-cache events or for a snapshot. All fields except the status are 0, false or empty
+ * unless the status is {@link Status#OK}.
  *
- * @param next the {@code since} of the next call
+ * @param epoch identifies the sequence of offsets; the source begins a new one when its offsets restart
+ * @param next offset to pass as {@code since} in the next call
  * @param lost whether events before these are missing
- * @param events the events, or for a snapshot what is cached; all fields are empty unless the status is OK
+ * @param events the events in their order, or for a snapshot one entry per cached segment
  */
 public record KvEventsResponse(Status status, long epoch, long next, boolean lost, List<KvEvent> events) {
 
-    /** How the call ended. */
+    /** Outcome of the call. */
     public enum Status {
         /** A valid response was received. */
         OK,
-        /** 429: the source holds too many such calls. */
+        /** HTTP status 429: too many such calls are waiting at the source. */
         LIMITED,
-        /** 421: another instance has that address. */
+        /** HTTP status 421: another instance has this address. */
         MISDIRECTED,
-        /** The response is unusable: another status, not the expected JSON, or larger than the limit. */
+        /** The response is unusable: another HTTP status, unexpected JSON, or a body above the size limit. */
         INVALID,
-        /** No response in time, or the connection failed. */
+        /** No response was received before the timeout, or the connection failed. */
         NO_RESPONSE
     }
 
+    /** Returns a response without content, for a call that failed with {@code status}. */
     static KvEventsResponse failed(Status status) {
         return new KvEventsResponse(status, 0, 0, false, List.of());
     }
--- a/engine-client/src/main/java/burlarch/engine/KvOffset.java
+++ b/engine-client/src/main/java/burlarch/engine/KvOffset.java
@@ -1,9 +1,9 @@
 package burlarch.engine;
 
 /**
- * Up to which offset the events of a source are known.
+ * Position in the event sequence of a source, up to which a reader knows the events.
  *
- * @param epoch of the source; offsets of different epochs cannot be compared
- * @param next the {@code since} of the call that returns the events after it
+ * @param epoch epoch of the source; offsets of different epochs cannot be compared
+ * @param next offset to pass as {@code since} to read the events that follow
  */
 public record KvOffset(long epoch, long next) {}
--- a/engine-client/src/main/java/burlarch/engine/KvSubscriptionState.java
+++ b/engine-client/src/main/java/burlarch/engine/KvSubscriptionState.java
@@ -7,15 +7,16 @@
 import java.util.function.DoubleSupplier;
 
 /**
- * State of the subscription to one source: up to which offset its events are known, and what is to be
- * requested next and when. No I/O, no clock, not thread-safe; times are nanoseconds of one monotonic clock.
+ * State machine of the subscription to one source: the offset up to which its events are known, and the kind and time
+ * of the next call. It does no I/O and reads no clock; all times are nanoseconds of one monotonic clock. Not
+ * thread-safe.
  *
- * <p>A response in a new epoch restarts the subscription at offset 0. Missing events, an unusable response or
- * the request of a caller make a snapshot due; a snapshot is requested at most once in about
- * {@link #SNAPSHOT_INTERVAL_NANOS}. Failures are retried with an exponential backoff with jitter.
+ * <p>A response in a new epoch restarts the subscription at offset 0. A snapshot becomes due if events were lost, if a
+ * response is unusable, or if a caller requests it, and is requested at most once in about
+ * {@link #SNAPSHOT_INTERVAL_NANOS}. Failed calls are retried with exponential backoff and jitter.
  */
 final class KvSubscriptionState {
-    /** Events gather for this long between calls; otherwise a busy source would respond to each single one. */
+    /** Least time between the starts of two calls, so that a busy source returns several events per response. */
     static final long MIN_CALL_INTERVAL_NANOS = TimeUnit.MILLISECONDS.toNanos(250);
 
     private static final long MIN_BACKOFF_NANOS = TimeUnit.MILLISECONDS.toNanos(300);
@@ -23,70 +24,78 @@
     private static final long LIMITED_BACKOFF_NANOS = TimeUnit.SECONDS.toNanos(1);
     private static final long SNAPSHOT_INTERVAL_NANOS = TimeUnit.SECONDS.toNanos(10);
     private static final long SNAPSHOT_SPREAD_NANOS = TimeUnit.MILLISECONDS.toNanos(500);
+    /** Width of the range of random factors, as a fraction of the mean. */
     private static final double JITTER = 0.5;
+
     private static final int MAX_DOUBLINGS = 4;
 
     private final String source;
     private final DoubleSupplier random;
-    /** Whether {@code epoch} and {@code since} come from the source or from another reader. */
+    /** Whether {@code epoch} and {@code since} are valid, from the source itself or from another reader. */
     private boolean epochKnown;
 
     private long epoch;
-    /** The offset of the next call for events. */
+    /** Offset to pass in the next call for events. */
     private long since;
-    /** The offset after the update that was delivered last. */
-    private long delivered;
+    /** Offset after the update that was delivered last. */
+    private long deliveredOffset;
 
     private long nextCallNanos;
+    /** Consecutive failed calls except rate-limited ones, at most {@link #MAX_DOUBLINGS}. */
     private int failures;
+
     private boolean snapshotRequested;
-    private boolean snapshotTaken;
+    private boolean snapshotAttempted;
     /** No snapshot is requested before this time. */
     private long nextSnapshotNanos;
 
-    /** @param random numbers from 0 (inclusive) to 1 (exclusive) */
+    /** @param random random numbers from 0 (inclusive) to 1 (exclusive) */
     KvSubscriptionState(String source, DoubleSupplier random, long nowNanos) {
         this.source = source;
         this.random = random;
         this.nextCallNanos = nowNanos;
     }
 
-    /** Continues after what others have read, rather than from the oldest event of the source. */
+    /** Continues from the offset that another reader reached, rather than from the oldest event of the source. */
     void continueFrom(KvOffset offset) {
         epochKnown = true;
         epoch = offset.epoch();
         since = offset.next();
-        delivered = since;
+        deliveredOffset = since;
     }
 
-    /** The offset of the next call for events. */
+    /** Returns the offset to pass in the next call for events. */
     long since() {
         return since;
     }
 
-    /** How long to wait until the next call; 0 or less if it is due. */
+    /** Returns the time until the next call in nanoseconds; 0 or less if it is due. */
     long delayNanos(long nowNanos) {
         return nextCallNanos - nowNanos;
     }
 
-    /** Whether the next call is for a snapshot rather than for events. */
+    /** Returns whether the next call must request a snapshot rather than events. */
     boolean isSnapshotDue(long nowNanos) {
         return snapshotRequested && nowNanos - nextSnapshotNanos >= 0;
     }
 
-    /** A call for events that began at {@code startedNanos} has ended. Returns the update to deliver, if any. */
-    Optional<KvUpdate> onEvents(KvEventsResponse response, long startedNanos, long nowNanos) {
+    /**
+     * Handles the end of a call for events; returns the update to deliver, if any.
+     *
+     * @param callStartNanos when the call began
+     */
+    Optional<KvUpdate> onEvents(KvEventsResponse response, long callStartNanos, long nowNanos) {
         if (response.status() != KvEventsResponse.Status.OK) {
             onFailure(response.status(), nowNanos);
             return Optional.empty();
         }
         failures = 0;
-        nextCallNanos = startedNanos + MIN_CALL_INTERVAL_NANOS;
+        nextCallNanos = callStartNanos + MIN_CALL_INTERVAL_NANOS;
         boolean newEpoch = !epochKnown || response.epoch() != epoch;
-        boolean fromOldest = since == 0;
+        boolean startedAtOldest = since == 0;
         epochKnown = true;
         epoch = response.epoch();
-        if (newEpoch && !fromOldest) {
+        if (newEpoch && !startedAtOldest) {
             return Optional.of(restart(nowNanos));
         }
         since = response.next();
@@ -96,24 +105,24 @@
         if (!newEpoch && !response.lost() && response.events().isEmpty()) {
             return Optional.empty();
         }
-        long from = delivered;
-        delivered = since;
+        long previousOffset = deliveredOffset;
+        deliveredOffset = since;
         KvEvents events = new KvEvents(source, epoch, response.lost(), KvEventCompactor.compact(response.events()));
-        return Optional.of(new KvUpdate(events, false, from, since));
+        return Optional.of(new KvUpdate(events, false, previousOffset, since));
     }
 
-    /** The source has a new epoch, and the call did not ask for its oldest events: read them at once. */
+    /** Restarts at the oldest event, at once: the epoch is new and the call did not start at its oldest event. */
     private KvUpdate restart(long nowNanos) {
         since = 0;
         snapshotRequested = false;
         nextCallNanos = nowNanos;
-        delivered = 0;
+        deliveredOffset = 0;
         return new KvUpdate(new KvEvents(source, epoch, false, List.of()), false, 0, 0);
     }
 
-    /** A call for a snapshot has ended. Returns the update to deliver, if any. */
+    /** Handles the end of a call for a snapshot; returns the update to deliver, if any. */
     Optional<KvUpdate> onSnapshot(KvEventsResponse response, long nowNanos) {
-        snapshotTaken = true;
+        snapshotAttempted = true;
         nextSnapshotNanos = nowNanos + withJitter(SNAPSHOT_INTERVAL_NANOS);
         if (response.status() != KvEventsResponse.Status.OK) {
             onFailure(response.status(), nowNanos);
@@ -124,20 +133,20 @@
         epochKnown = true;
         epoch = response.epoch();
         since = response.next();
-        delivered = since;
+        deliveredOffset = since;
         nextCallNanos = nowNanos;
         return Optional.of(new KvUpdate(new KvEvents(source, epoch, false, response.events()), true, since, since));
     }
 
-    /** Makes a snapshot due soon, unless the last one is too recent. */
+    /** Makes a snapshot due after a short random delay, or once the interval since the last one has passed if later. */
     void requestSnapshot(long nowNanos) {
         if (snapshotRequested) {
             return;
         }
         snapshotRequested = true;
-        long soonNanos = nowNanos + (long) (SNAPSHOT_SPREAD_NANOS * random.getAsDouble());
-        if (!snapshotTaken || soonNanos - nextSnapshotNanos > 0) {
-            nextSnapshotNanos = soonNanos;
+        long earliestNanos = nowNanos + (long) (SNAPSHOT_SPREAD_NANOS * random.getAsDouble());
+        if (!snapshotAttempted || earliestNanos - nextSnapshotNanos > 0) {
+            nextSnapshotNanos = earliestNanos;
         }
     }
 
@@ -155,7 +164,7 @@
         failures = Math.min(MAX_DOUBLINGS, failures + 1);
     }
 
-    /** From three quarters to five quarters of that time. */
+    /** Returns a random time from three quarters to five quarters of {@code nanos}. */
     private long withJitter(long nanos) {
         return (long) (nanos * (1 - JITTER / 2 + JITTER * random.getAsDouble()));
     }
--- a/engine-client/src/main/java/burlarch/engine/KvUpdate.java
+++ b/engine-client/src/main/java/burlarch/engine/KvUpdate.java
@@ -3,9 +3,9 @@
 import burlarch.routing.KvEvents;
 
 /**
- * What one response of a source contained, with its offsets: a reader that knows everything up to
- * {@code since} knows everything up to {@code next} with this update.
+ * Update of the known cache content of one source, from one response. A reader that knows the content as of offset
+ * {@code since} knows it as of offset {@code next} after applying the update.
  *
- * @param snapshot whether this is everything that is cached as of {@code next}; events otherwise
+ * @param snapshot whether {@code events} are the whole cache content as of {@code next} rather than changes
  */
 public record KvUpdate(KvEvents events, boolean snapshot, long since, long next) {}
--- a/engine-client/src/main/java/burlarch/engine/KvUpdateListener.java
+++ b/engine-client/src/main/java/burlarch/engine/KvUpdateListener.java
@@ -1,7 +1,7 @@
 package burlarch.engine;
 
-/** Receives updates of sources. The calls for one source come one after another, on any thread. */
+/** Listener for cache updates of sources. Calls for one source are sequential and may come on any thread. */
 public interface KvUpdateListener {
-    /** Events in their order, or a snapshot. A new epoch invalidates everything that was known before. */
+    /** Receives events in their order, or a snapshot. An update with a new epoch invalidates all earlier ones. */
     void onUpdate(KvUpdate update);
 }
--- a/engine-client/src/main/java/burlarch/engine/StringInterner.java
+++ b/engine-client/src/main/java/burlarch/engine/StringInterner.java
@@ -1,35 +1,37 @@
 package burlarch.engine;
 
 /**
- * Returns the same String for the same characters, so that frequent names are allocated once. A table of fixed
- * size without locks: a race costs at most one more String. May be called on any thread.
+ * Cache of strings that returns an existing String for equal characters, so that frequent names are allocated once.
+ * The table has a fixed size and no locks: a collision replaces the entry, and a race costs at most one more String.
+ * Thread-safe.
  */
 final class StringInterner {
-    private static final int SLOTS = 256;
+    private static final int SLOT_COUNT = 256;
 
-    private final String[] slots = new String[SLOTS];
+    private final String[] slots = new String[SLOT_COUNT];
 
+    /** Returns a String with these characters, the cached one if there is one. */
     String intern(char[] characters, int offset, int length) {
         int hash = 0;
         for (int i = offset; i < offset + length; i++) {
             hash = 31 * hash + characters[i];
         }
-        int slot = (hash ^ hash >>> 8 ^ hash >>> 16) & SLOTS - 1;
-        String known = slots[slot];
-        if (known != null && equals(known, characters, offset, length)) {
-            return known;
+        int slot = (hash ^ hash >>> 8 ^ hash >>> 16) & SLOT_COUNT - 1;
+        String cached = slots[slot];
+        if (cached != null && equals(cached, characters, offset, length)) {
+            return cached;
         }
         String created = new String(characters, offset, length);
         slots[slot] = created;
         return created;
     }
 
-    private static boolean equals(String known, char[] characters, int offset, int length) {
-        if (known.length() != length) {
+    private static boolean equals(String cached, char[] characters, int offset, int length) {
+        if (cached.length() != length) {
             return false;
         }
         for (int i = 0; i < length; i++) {
-            if (known.charAt(i) != characters[offset + i]) {
+            if (cached.charAt(i) != characters[offset + i]) {
                 return false;
             }
         }
