--- a/node/src/main/java/burlarch/node/HangupSignal.java
+++ b/node/src/main/java/burlarch/node/HangupSignal.java
@@ -3,9 +3,10 @@
 import sun.misc.Signal;
 
 /**
- * SIGHUP, by which an operator says that the settings file has changed. A program installs the handler before anything
- * else, because the signal would end the process without it. A signal that arrives before there is a listener is
- * pending for it. Any thread; the listener runs on the signal's thread.
+ * Handler of SIGHUP, with which an operator requests that the settings file be read again. A program installs the
+ * handler first of all, because without it the signal ends the process. A signal that arrives before a listener is set
+ * stays pending and is delivered to the listener. Thread-safe; the listener runs on the thread of the signal, or on the
+ * thread that sets it if a signal is pending.
  */
 public final class HangupSignal {
     private static Runnable listener;
@@ -13,13 +14,13 @@
 
     private HangupSignal() {}
 
-    /** Handles the signal from now on, so that it does not end the process. */
+    /** Installs the handler, so that the signal no longer ends the process. */
     @SuppressWarnings("sunapi")
     public static void install() {
         Signal.handle(new Signal("HUP"), signal -> onSignal());
     }
 
-    /** A signal arrived. */
+    /** Runs the listener, or marks the signal as pending if there is none. */
     static synchronized void onSignal() {
         if (listener == null) {
             pending = true;
--- a/node/src/main/java/burlarch/node/MembershipService.java
+++ b/node/src/main/java/burlarch/node/MembershipService.java
@@ -23,17 +23,19 @@
 import org.tinylog.Logger;
 
 /**
- * The membership protocol {@link Swim} on a UDP port: sends and receives its datagrams, runs its one timer and notifies
- * listeners of changes. Runs on the event loop and owns the Swim; methods are called there unless they say otherwise.
+ * Service that runs the membership protocol {@link Swim} on a UDP port: sends and receives its datagrams, runs its
+ * timer and notifies listeners of changes. It owns the protocol state, which is confined to the event loop; methods must be
+ * called there unless they say otherwise.
  */
 public final class MembershipService implements AutoCloseable {
-    /** The most cached socket addresses; beyond it the cache starts anew. */
-    private static final int MAX_CACHED_ADDRESSES = 4_096;
+    /** Capacity of the cache of socket addresses, which is cleared when it is full. */
+    private static final int MAX_CACHED_SOCKET_ADDRESSES = 4_096;
 
     private static final long LEAVE_TIMEOUT_MILLIS = 300;
 
     /**
-     * CREATED to RUNNING by {@link #start()}; any to CLOSED by {@link #close()} or {@link #leave()}; CLOSED is final.
+     * State of the service. {@link #start()} changes CREATED to RUNNING; {@link #close()} and {@link #leave()} change
+     * any state to CLOSED, which is final.
      */
     private enum Lifecycle {
         CREATED,
@@ -45,29 +47,29 @@
     private final DatagramEndpoint endpoint;
     private final Swim swim;
     private final List<Listener> listeners = new ArrayList<>();
-    private final Map<String, InetSocketAddress> sockets = new HashMap<>();
+    private final Map<String, InetSocketAddress> socketsByAddress = new HashMap<>();
     private EventLoop.Timer timer;
     private long timerDueAtNanos;
     private Lifecycle lifecycle = Lifecycle.CREATED;
 
     /**
-     * Who this process is among the members.
+     * Identity of this process in the membership.
      *
-     * @param processId drawn anew at each start, never 0
+     * @param processId random number of this run of the process, never 0
      */
     public record Self(String name, String role, String zone, long processId) {}
 
-    /** Notified on the event loop. */
+    /** Listener for membership changes; called on the event loop. */
     public interface Listener {
-        /** The changes that one datagram or timer caused, in order; never empty. */
+        /** Receives the changes that one datagram or timer caused, in order; the list is never empty. */
         void onChanges(List<MemberChange> changes);
     }
 
     /**
-     * Binds the port. Nothing is sent, and datagrams are ignored, before {@link #start()}.
+     * Binds the port. Before {@link #start()} nothing is sent and received datagrams are ignored.
      *
-     * @param bind the address to receive datagrams at
-     * @param seeds addresses IP:PORT at which other members may be
+     * @param bind local address to receive datagrams at
+     * @param seeds addresses, in the form {@code IP:PORT}, at which other members may be found
      * @throws IOException if the address cannot be bound
      */
     public MembershipService(
@@ -75,17 +77,17 @@
             throws IOException {
         this.loop = loop;
         endpoint = new DatagramEndpoint(loop, bind, this::onDatagram);
-        MemberInfo own =
-                new MemberInfo(self.name(), text(endpoint.address()), self.role(), self.zone(), self.processId());
-        swim = new Swim(own, seeds, settings, self.processId(), loop.nanoTime());
+        MemberInfo ownInfo =
+                new MemberInfo(self.name(), format(endpoint.address()), self.role(), self.zone(), self.processId());
+        swim = new Swim(ownInfo, seeds, settings, self.processId(), loop.nanoTime());
     }
 
-    /** Adds a listener; it hears of later changes only. */
+    /** Adds a listener, which is notified of later changes only. */
     public void addListener(Listener listener) {
         listeners.add(listener);
     }
 
-    /** Starts to look for the other members; may be called on any thread. */
+    /** Starts the protocol, which looks for the other members; may be called on any thread. */
     public void start() {
         loop.execute(() -> {
             if (lifecycle == Lifecycle.CREATED) {
@@ -95,43 +97,43 @@
         });
     }
 
-    /** The address IP:PORT at which other members reach this one; may be called on any thread. */
+    /** Returns the address, {@code IP:PORT}, at which other members reach this one; may be called on any thread. */
     public String address() {
         return swim.own().address();
     }
 
-    /** Whether any other member is known. */
+    /** Returns whether any other member is known. */
     public boolean hasJoined() {
         return swim.joined();
     }
 
-    /** The live members without this one, in no particular order. */
+    /** Returns the live members except this one, in no particular order. */
     public List<MemberInfo> members() {
         return swim.members();
     }
 
-    /** The member's state in the local view, empty where the member isn't known. */
+    /** Returns the state of a member in the local view; empty if the member is not known. */
     public Optional<MemberState> stateOf(String name) {
         return swim.stateOf(name);
     }
 
     /**
-     * Announces to some members that this process leaves, and closes. May be called on any thread; done when the
-     * announcement has been sent.
+     * Announces to some members that this process leaves, and closes the service. May be called on any thread. The
+     * future completes when the announcement has been sent.
      */
     public CompletableFuture<Void> leave() {
-        CompletableFuture<Void> sent = new CompletableFuture<>();
+        CompletableFuture<Void> announced = new CompletableFuture<>();
         loop.execute(() -> {
             if (lifecycle != Lifecycle.CLOSED) {
                 handle(swim.leave(loop.nanoTime()));
                 close();
             }
-            sent.complete(null);
+            announced.complete(null);
         });
-        return sent;
+        return announced;
     }
 
-    /** Calls {@link #leave()} and waits a short time for it; must not be called on the event loop. */
+    /** Calls {@link #leave()} and waits for it up to a short timeout; must not be called on the event loop. */
     public void leaveWithinTimeout() {
         try {
             leave().get(LEAVE_TIMEOUT_MILLIS, TimeUnit.MILLISECONDS);
@@ -142,7 +144,7 @@
         }
     }
 
-    /** The addresses of the members with this role that became live by the changes. */
+    /** Returns the addresses of the members with {@code role} that became live by these changes. */
     public static List<String> appearedAddresses(List<MemberChange> changes, String role) {
         List<String> addresses = new ArrayList<>(0);
         for (MemberChange change : changes) {
@@ -153,7 +155,10 @@
         return addresses;
     }
 
-    /** Closes without an announcement, so that the others have to detect it; may be called on any thread. */
+    /**
+     * Closes the service without an announcement, so that the other members detect it as a failure; may be called on
+     * any thread.
+     */
     @Override
     public void close() {
         endpoint.close();
@@ -171,9 +176,9 @@
         }
     }
 
-    private void onDatagram(InetSocketAddress from, byte[] content) {
+    private void onDatagram(InetSocketAddress sender, byte[] content) {
         if (lifecycle == Lifecycle.RUNNING) {
-            handle(swim.onDatagram(text(from), content, loop.nanoTime()));
+            handle(swim.onDatagram(format(sender), content, loop.nanoTime()));
         }
     }
 
@@ -187,7 +192,7 @@
     private void handle(SwimStep step) {
         wakeUpAt(step.wakeUpAtNanos());
         for (SwimStep.Datagram datagram : step.datagrams()) {
-            endpoint.send(socket(datagram.to()), datagram.bytes());
+            endpoint.send(resolve(datagram.to()), datagram.bytes());
         }
         if (!step.changes().isEmpty()) {
             step.changes().forEach(MembershipService::log);
@@ -195,30 +200,30 @@
         }
     }
 
-    private void wakeUpAt(long due) {
+    private void wakeUpAt(long dueAtNanos) {
         if (timer != null) {
-            if (timerDueAtNanos == due) {
+            if (timerDueAtNanos == dueAtNanos) {
                 return;
             }
             timer.cancel();
         }
-        timerDueAtNanos = due;
-        timer = loop.schedule(due - loop.nanoTime(), this::onTimer);
+        timerDueAtNanos = dueAtNanos;
+        timer = loop.schedule(dueAtNanos - loop.nanoTime(), this::onTimer);
     }
 
-    private InetSocketAddress socket(String address) {
-        InetSocketAddress known = sockets.get(address);
-        if (known == null) {
-            if (sockets.size() >= MAX_CACHED_ADDRESSES) {
-                sockets.clear();
+    private InetSocketAddress resolve(String address) {
+        InetSocketAddress socketAddress = socketsByAddress.get(address);
+        if (socketAddress == null) {
+            if (socketsByAddress.size() >= MAX_CACHED_SOCKET_ADDRESSES) {
+                socketsByAddress.clear();
             }
-            known = NodeAddresses.socket(address);
-            sockets.put(address, known);
+            socketAddress = NodeAddresses.socket(address);
+            socketsByAddress.put(address, socketAddress);
         }
-        return known;
+        return socketAddress;
     }
 
-    private static String text(InetSocketAddress address) {
+    private static String format(InetSocketAddress address) {
         return address.getAddress().getHostAddress() + ":" + address.getPort();
     }
 
--- a/node/src/main/java/burlarch/node/NodeBounds.java
+++ b/node/src/main/java/burlarch/node/NodeBounds.java
@@ -1,32 +1,35 @@
 package burlarch.node;
 
 /**
- * The figures of the rules that hold for this run. Times are in nanoseconds.
+ * Time and rate bounds of the guarantees that the fleet must keep, from the table {@code bounds} of the settings file.
+ * Times are in nanoseconds.
  *
- * @param seedLagNanos how long the list of seeds may be behind
- * @param reuseAfterNanos after which an address that was left may be another's
- * @param contactNanos how long a machine must have been undisturbed to count as in touch
- * @param ackNanos how long an acknowledgement may take
- * @param catchUpNanos how long a machine that came back still counts as lost
- * @param drainTimeoutNanos after the acknowledgement of a drain no request may arrive
- * @param graceNanos between SIGTERM and the end by force
- * @param lossSlackNanos how much later than its last byte a request counts as read
- * @param configApplyNanos after the acknowledgement a configuration holds everywhere
- * @param downgradeNanos after an effect of a version was seen, no older one may show
- * @param outerNanos how much an unstable core stretches the bound of the configuration
- * @param revocation whether the withdrawal of keys has a bound of its own
- * @param revokeNanos that bound
- * @param retryBudget further sends, as a share of the requests in a window
- * @param budgetWindowNanos the length of that window
- * @param budgetSlack further sends in a window beside the share
- * @param recoveryNanos after a final fault requests are served again
- * @param transitNanos how long an event of a stream may be on its way through a router
- * @param againNanos how long a part counts as used lately
+ * @param seedLagNanos longest time for which the list of seeds may be out of date
+ * @param reuseAfterNanos time after which an address that its instance gave up may belong to another instance
+ * @param contactNanos time without faults after which a machine counts as being in contact
+ * @param ackNanos longest time until an acknowledgement
+ * @param catchUpNanos time for which a machine that has returned still counts as lost
+ * @param drainTimeoutNanos time after the acknowledgement of a drain from which no request may arrive
+ * @param graceNanos time between SIGTERM and the forced end of the process
+ * @param lossSlackNanos time after the last byte of a request at which the request counts as read
+ * @param configApplyNanos time after its acknowledgement from which a configuration is in force everywhere
+ * @param downgradeNanos time after an effect of a version was observed from which no older version may take effect
+ * @param unstableCoreExtraNanos time by which an unstable core extends {@code configApplyNanos}
+ * @param revocation whether the revocation of keys has a bound of its own
+ * @param revokeNanos bound for the revocation of keys
+ * @param retryBudget allowed retries, as a fraction of the requests in a window
+ * @param budgetWindowNanos length of the window of {@code retryBudget}
+ * @param budgetSlack allowed retries in a window in addition to the fraction
+ * @param recoveryNanos time after the last fault from which requests are served again
+ * @param transitNanos longest time that a router may take to forward an event of a stream
+ * @param recentUseNanos time for which a part counts as recently used
  * @param fencing whether engines check fencing tokens
- * @param leaseNanos between two holders' orders to one engine
- * @param thawNanos after a thaw or a heal orders of the one that was away don't count
- * @param versionNanos after its acknowledgement requests run on a version of a model, in one stretch
- * @param versionAllNanos the same over all stretches
+ * @param leaseNanos least time between the orders of two lease holders to one engine
+ * @param resumeExemptionNanos time after a process resumes or a partition heals in which orders of the node that was
+ *     away do not count
+ * @param versionNanos time after its acknowledgement from which requests run on a version of a model, in one
+ *     uninterrupted period
+ * @param versionAllNanos the same bound as {@code versionNanos}, over all periods together
  */
 public record NodeBounds(
         long seedLagNanos,
@@ -39,7 +42,7 @@
         long lossSlackNanos,
         long configApplyNanos,
         long downgradeNanos,
-        long outerNanos,
+        long unstableCoreExtraNanos,
         boolean revocation,
         long revokeNanos,
         double retryBudget,
@@ -47,9 +50,9 @@
         int budgetSlack,
         long recoveryNanos,
         long transitNanos,
-        long againNanos,
+        long recentUseNanos,
         boolean fencing,
         long leaseNanos,
-        long thawNanos,
+        long resumeExemptionNanos,
         long versionNanos,
         long versionAllNanos) {}
--- a/node/src/main/java/burlarch/node/NodeSettings.java
+++ b/node/src/main/java/burlarch/node/NodeSettings.java
@@ -7,18 +7,18 @@
 import java.util.Map;
 
 /**
- * The settings of a process, read from its file. Immutable. Texts that the file does not contain are empty.
+ * Settings of a process, read from its settings file. Immutable. A string that the file does not contain is empty.
  *
- * @param serves what is served to the outside: {@code edge}, {@code control_plane}
- * @param ip the machine's address
- * @param portRange free on every machine for messages between nodes
- * @param seeds control addresses of up to three machines, IP:PORT
+ * @param serves services to clients and operators: {@link #SERVES_CLIENTS}, {@link #SERVES_CONTROL}
+ * @param ip IP address of the machine
+ * @param portRange ports that are free on every machine, for messages between nodes
+ * @param seeds control addresses of up to three machines, each in the form {@code IP:PORT}
  * @param bootstrap whether the whole fleet starts for the first time, with empty disks
  * @param countsForQuorum whether this machine is one of those that {@code faultTolerance} counts
- * @param dataDir folder of the disk; null if the machine has none
+ * @param dataDir directory on the disk of the machine; null if it has no disk
  * @param heartbeatNanos time between the announcements of an instance
  * @param contracts names of the contracts that are in force
- * @param zones the region of each zone
+ * @param zones region by zone
  */
 public record NodeSettings(
         String nodeName,
@@ -42,28 +42,28 @@
         Limits limits,
         FaultTolerance faultTolerance,
         NodeBounds bounds) {
-    /** Value of {@code serves}: clients' requests. */
+    /** Value of {@code serves}: requests of clients. */
     public static final String SERVES_CLIENTS = "edge";
     /** Value of {@code serves}: calls of operators and instances. */
     public static final String SERVES_CONTROL = "control_plane";
-    /** The environment variable that names the file. */
+    /** Environment variable with the path of the settings file. */
     public static final String FILE_VARIABLE = "BURLARCH_NODE_FILE";
 
-    /** Ports from the first to the last, both included. */
+    /** Range of ports; {@code first} and {@code last} are inclusive. */
     public record PortRange(int first, int last) {}
 
-    /** The addresses that the process serves at; each null if it does not serve there. */
+    /** Addresses that the process listens on; each is null if it does not listen there. */
     public record Listen(InetSocketAddress front, InetSocketAddress readiness, InetSocketAddress control) {}
 
     /**
-     * The resources of the machine.
+     * Resource limits of the machine.
      *
-     * @param cpuShare of one core
-     * @param cpuCores how much faster than usual that core is
-     * @param memoryMegabytes a process that uses more is killed
-     * @param maxDescriptors of one process
-     * @param linkMegabits per second
-     * @param diskMegabytes 0 if there is no disk
+     * @param cpuShare share of one core, 1 for a whole core
+     * @param cpuCores speed of that core relative to a standard core
+     * @param memoryMegabytes memory limit; a process that exceeds it is killed
+     * @param maxDescriptors most open file descriptors of one process
+     * @param linkMegabits rate of the network link in megabits per second
+     * @param diskMegabytes size of the disk; 0 if there is none
      */
     public record Limits(
             double cpuShare,
@@ -73,19 +73,23 @@
             double linkMegabits,
             int diskMegabytes) {}
 
-    /** How many counted machines, zones or regions may be lost at the same time while all promises hold. */
+    /** Numbers of counted machines, zones or regions that may fail at the same time with all guarantees kept. */
     public record FaultTolerance(int machines, int zones, int regions) {}
 
     /**
-     * Reads and checks a file. Unknown fields are ignored.
+     * Reads and validates a settings file. Unknown fields are ignored.
      *
-     * @throws SettingsException with all mistakes, one per line
+     * @throws SettingsException with all errors of the file, one per line
      */
     public static NodeSettings load(Path file) throws SettingsException {
         return NodeSettingsReader.load(file);
     }
 
-    /** Reads the file that {@link #FILE_VARIABLE} names. */
+    /**
+     * Reads the settings file that {@link #FILE_VARIABLE} names.
+     *
+     * @throws SettingsException if the variable is not set or the file is invalid
+     */
     public static NodeSettings fromEnvironment() throws SettingsException {
         String file = System.getenv(FILE_VARIABLE);
         if (file == null || file.isBlank()) {
@@ -95,18 +99,18 @@
     }
 
     /**
-     * Checks that the process is to serve what its program serves.
+     * Checks that the settings assign a service to this process.
      *
-     * @param served {@link #SERVES_CLIENTS} or {@link #SERVES_CONTROL}
-     * @throws SettingsException if the settings are those of another program
+     * @param service {@link #SERVES_CLIENTS} or {@link #SERVES_CONTROL}
+     * @throws SettingsException if {@code serves} does not contain the service: the settings are for another program
      */
-    public void requireServed(String served) throws SettingsException {
-        if (!serves.contains(served)) {
-            throw new SettingsException("serves must contain \"" + served + "\" for this program, it is " + serves);
+    public void requireServed(String service) throws SettingsException {
+        if (!serves.contains(service)) {
+            throw new SettingsException("serves must contain \"" + service + "\" for this program, it is " + serves);
         }
     }
 
-    /** Whether that contract is in force. */
+    /** Returns whether the contract with this name is in force. */
     public boolean hasContract(String name) {
         return contracts.contains(name);
     }
--- a/node/src/main/java/burlarch/node/RandomIds.java
+++ b/node/src/main/java/burlarch/node/RandomIds.java
@@ -7,36 +7,36 @@
 import java.security.SecureRandom;
 
 /**
- * Random identities of processes and disks. They come from the system's source, because processes of many machines may
- * start in the same instant: a generator that is seeded by the time would give some of them the same identity. The
- * source is read directly; the security providers that {@link SecureRandom} loads make each start slower.
+ * Generator of random ids of processes and disks. It reads the random device of the operating system, because processes
+ * on many machines may start at the same instant, and a generator seeded with the time could give them equal ids.
+ * It reads the device directly, because the security providers that {@link SecureRandom} loads slow down each start.
  */
 public final class RandomIds {
-    private static final String SYSTEM_SOURCE = "/dev/urandom";
+    private static final String RANDOM_DEVICE = "/dev/urandom";
 
     private RandomIds() {}
 
-    /** A random number other than 0. */
+    /** Returns a random number other than 0. */
     public static long nonZero() {
-        long drawn = 0;
-        while (drawn == 0) {
-            drawn = ByteBuffer.wrap(bytes(Long.BYTES)).getLong();
+        long id = 0;
+        while (id == 0) {
+            id = ByteBuffer.wrap(bytes(Long.BYTES)).getLong();
         }
-        return drawn;
+        return id;
     }
 
-    /** So many random bytes. */
+    /** Returns {@code count} random bytes. */
     public static byte[] bytes(int count) {
-        try (InputStream source = new FileInputStream(SYSTEM_SOURCE)) {
-            byte[] drawn = source.readNBytes(count);
-            if (drawn.length == count) {
-                return drawn;
+        try (InputStream device = new FileInputStream(RANDOM_DEVICE)) {
+            byte[] randomBytes = device.readNBytes(count);
+            if (randomBytes.length == count) {
+                return randomBytes;
             }
         } catch (IOException e) {
-            // The system has no such source: the one below serves.
+            // The system has no such device: falls back to SecureRandom.
         }
-        byte[] drawn = new byte[count];
-        new SecureRandom().nextBytes(drawn);
-        return drawn;
+        byte[] randomBytes = new byte[count];
+        new SecureRandom().nextBytes(randomBytes);
+        return randomBytes;
     }
 }
--- a/node/src/main/java/burlarch/node/SettingsFileWatcher.java
+++ b/node/src/main/java/burlarch/node/SettingsFileWatcher.java
@@ -10,27 +10,27 @@
 import org.tinylog.Logger;
 
 /**
- * Reads the settings file again on SIGHUP, and when its modification time has changed. A file that is missing or
- * invalid changes nothing: the settings that were read before stay in force.
+ * Watcher that reloads the settings file on SIGHUP and when its modification time has changed. A missing or invalid
+ * file changes nothing: the settings that were read before stay in force.
  */
 public final class SettingsFileWatcher implements Runnable {
     private static final long POLL_PERIOD_MILLIS = TimeUnit.SECONDS.toMillis(2);
 
     private final Path file;
     private final Consumer<NodeSettings> listener;
-    private final Object wake = new Object();
-    private FileTime lastSeenModified;
-    private boolean signalled;
+    private final Object lock = new Object();
+    private FileTime lastModificationTime;
+    private boolean reloadRequested;
 
     SettingsFileWatcher(Path file, Consumer<NodeSettings> listener) {
         this.file = file;
         this.listener = listener;
-        lastSeenModified = modified();
+        lastModificationTime = readModificationTime();
     }
 
     /**
-     * Watches the file that the environment variable names, on a thread of its own, on which the listener is called
-     * too. Does nothing if the variable is not set, because the settings did not come from a file then.
+     * Watches the file that {@link NodeSettings#FILE_VARIABLE} names, on a thread of its own that also calls the
+     * listener. Does nothing if the variable is not set, because then the settings do not come from a file.
      */
     public static void start(Consumer<NodeSettings> listener) {
         String file = System.getenv(NodeSettings.FILE_VARIABLE);
@@ -44,11 +44,11 @@
         thread.start();
     }
 
-    /** The file is read again soon, whether it has changed or not. */
+    /** Requests a reload, whether the file has changed or not; may be called on any thread. */
     void onSignal() {
-        synchronized (wake) {
-            signalled = true;
-            wake.notifyAll();
+        synchronized (lock) {
+            reloadRequested = true;
+            lock.notifyAll();
         }
     }
 
@@ -56,8 +56,8 @@
     public void run() {
         try {
             while (true) {
-                if (await()) {
-                    read();
+                if (awaitReloadDue()) {
+                    reload();
                 }
             }
         } catch (InterruptedException e) {
@@ -65,21 +65,23 @@
         }
     }
 
-    /** Waits for a signal or the end of the period; true if the file has to be read. */
-    private boolean await() throws InterruptedException {
-        synchronized (wake) {
-            if (!signalled) {
-                wake.wait(POLL_PERIOD_MILLIS);
+    /** Waits for a signal or the end of the poll period; returns whether the file has to be read. */
+    private boolean awaitReloadDue() throws InterruptedException {
+        synchronized (lock) {
+            if (!reloadRequested) {
+                lock.wait(POLL_PERIOD_MILLIS);
             }
-            FileTime now = modified();
-            boolean due = signalled || now != null && !now.equals(lastSeenModified);
-            signalled = false;
-            lastSeenModified = now == null ? lastSeenModified : now;
-            return due;
+            FileTime modificationTime = readModificationTime();
+            boolean reloadDue =
+                    reloadRequested || modificationTime != null && !modificationTime.equals(lastModificationTime);
+            reloadRequested = false;
+            lastModificationTime = modificationTime == null ? lastModificationTime : modificationTime;
+            return reloadDue;
         }
     }
 
-    private FileTime modified() {
+    /** Returns null if the file cannot be read. */
+    private FileTime readModificationTime() {
         try {
             return Files.getLastModifiedTime(file);
         } catch (IOException e) {
@@ -87,7 +89,7 @@
         }
     }
 
-    private void read() {
+    private void reload() {
         try {
             listener.accept(NodeSettings.load(file));
             Logger.info("settings reloaded: file={}", file);
--- a/node/src/main/java/burlarch/node/http/RequestBodyBudget.java
+++ b/node/src/main/java/burlarch/node/http/RequestBodyBudget.java
@@ -2,17 +2,17 @@
 
 import java.util.concurrent.atomic.AtomicLong;
 
-/** Bounds the memory that the bodies of all open requests of one server hold together. Safe for use by many threads. */
+/** Memory budget for the bodies of all open requests of one server. Thread-safe. */
 public final class RequestBodyBudget {
     private final long maxBytes;
     private final AtomicLong reservedBytes = new AtomicLong();
 
-    /** @param maxBytes the most bytes that are reserved at any time */
+    /** @param maxBytes limit of the bytes that are reserved at any time */
     public RequestBodyBudget(long maxBytes) {
         this.maxBytes = maxBytes;
     }
 
-    /** Reserves that many bytes; returns false, and reserves none, if they are not available. */
+    /** Reserves {@code bytes} bytes; returns false and reserves none if that would exceed the limit. */
     public boolean tryReserve(long bytes) {
         if (reservedBytes.addAndGet(bytes) <= maxBytes) {
             return true;
@@ -21,7 +21,7 @@
         return false;
     }
 
-    /** Releases reserved bytes. */
+    /** Releases {@code bytes} bytes that were reserved before. */
     public void release(long bytes) {
         reservedBytes.addAndGet(-bytes);
     }
--- a/node/src/main/java/burlarch/node/http/package-info.java
+++ b/node/src/main/java/burlarch/node/http/package-info.java
@@ -1,2 +1,2 @@
-/** What the HTTP servers of routers and controllers share. No thread and no state of its own. */
+/** Parts that the HTTP servers of routers and controllers share. The package has no thread and no global state. */
 package burlarch.node.http;
--- a/node/src/main/java/burlarch/node/package-info.java
+++ b/node/src/main/java/burlarch/node/package-info.java
@@ -1,8 +1,8 @@
 /**
- * What every process of the fleet embeds: settings, addresses, membership, signals and shutdown.
+ * Common parts of every process of the fleet: settings, addresses, membership, signals and shutdown.
  *
- * <p>Thread: {@link burlarch.node.MembershipService} runs on the process's event loop and owns the membership
- * protocol's state, in memory only. {@link burlarch.node.SettingsFileWatcher} has a thread of its own. Settings are
- * immutable.
+ * <p>Threads: {@link burlarch.node.MembershipService} runs on the event loop of the process and owns the state of the
+ * membership protocol, which is in memory only. {@link burlarch.node.SettingsFileWatcher} has a thread of its own.
+ * Settings are immutable.
  */
 package burlarch.node;
