--- a/node-testing/src/main/java/burlarch/testing/RecordingLink.java
+++ b/node-testing/src/main/java/burlarch/testing/RecordingLink.java
@@ -6,23 +6,23 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** A connection to a controller that delivers nothing, and keeps the messages sent on it. */
+/** Test double of a connection to a controller: delivers nothing and records the messages sent on it. */
 public final class RecordingLink implements PeerConnection {
-    private static final String ZONE = "zone";
+    private static final String DEFAULT_ZONE = "zone";
     private static final String STORAGE_PREFIX = "disk-";
     private static final String INCARNATION = "1";
 
-    /** In the order in which they were sent. */
+    /** Recorded messages in the order in which they were sent. */
     public final List<NodeMessage> sent = new ArrayList<>();
 
     private final NodeMessage.Hello peer;
 
-    /** To the controller that is named by its address, in the one zone there is. */
+    /** Creates a connection to the controller at {@code address}, which is also its name, in the default zone. */
     public RecordingLink(String address) {
-        this(address, ZONE);
+        this(address, DEFAULT_ZONE);
     }
 
-    /** To the controller of that zone that is named by its address. */
+    /** Creates a connection to the controller in {@code zone} at {@code address}, which is also its name. */
     public RecordingLink(String address, String zone) {
         String storage = STORAGE_PREFIX + address;
         peer = new NodeMessage.Hello(address, NodeRoles.CONTROLLER, address, zone, storage, INCARNATION);
@@ -43,16 +43,16 @@
         sent.add(message);
     }
 
-    /** @throws UnsupportedOperationException always: what is under test here sends single messages */
+    /** @throws UnsupportedOperationException always: the code under test sends messages, not encoded frames */
     @Override
     public void sendFrame(byte[] frame) {
         throw new UnsupportedOperationException();
     }
 
-    /** What was sent since the last call. */
+    /** Returns the messages that were sent since the last call, and clears the record. */
     public List<NodeMessage> takeSent() {
-        List<NodeMessage> taken = List.copyOf(sent);
+        List<NodeMessage> messages = List.copyOf(sent);
         sent.clear();
-        return taken;
+        return messages;
     }
 }
--- a/node-testing/src/main/java/burlarch/testing/RecordingLinks.java
+++ b/node-testing/src/main/java/burlarch/testing/RecordingLinks.java
@@ -6,21 +6,21 @@
 import java.util.LinkedHashSet;
 import java.util.Set;
 
-/** Opens no connection, and keeps the addresses to which connections are wanted. */
+/** Test double of the set of connections: opens none and records the addresses to which connections are requested. */
 public final class RecordingLinks implements PeerConnections {
-    /** Each as {@code host:port}, the one asked for first in front. */
+    /** Requested addresses as {@code host:port}, in the order of the requests. */
     public final Set<String> targets = new LinkedHashSet<>();
 
     private final FrameCodec codec = new FrameCodec();
 
     @Override
     public void connect(InetSocketAddress target) {
-        targets.add(text(target));
+        targets.add(format(target));
     }
 
     @Override
     public void disconnect(InetSocketAddress target) {
-        targets.remove(text(target));
+        targets.remove(format(target));
     }
 
     @Override
@@ -28,7 +28,7 @@
         return codec;
     }
 
-    private static String text(InetSocketAddress target) {
+    private static String format(InetSocketAddress target) {
         return target.getHostString() + ":" + target.getPort();
     }
 }
--- a/node-testing/src/main/java/burlarch/testing/VirtualLoop.java
+++ b/node-testing/src/main/java/burlarch/testing/VirtualLoop.java
@@ -4,16 +4,16 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** A loop whose time passes when a test says so. */
+/** Event loop in virtual time, which a test advances. */
 public final class VirtualLoop implements EventLoop {
-    private record Planned(long due, Runnable task) {}
+    private record ScheduledTask(long dueAtNanos, Runnable task) {}
 
-    private final List<Planned> planned = new ArrayList<>();
-    private long now;
+    private final List<ScheduledTask> scheduledTasks = new ArrayList<>();
+    private long nowNanos;
 
     @Override
     public long nanoTime() {
-        return now;
+        return nowNanos;
     }
 
     @Override
@@ -23,22 +23,22 @@
 
     @Override
     public Timer schedule(long delayNanos, Runnable task) {
-        Planned added = new Planned(now + delayNanos, task);
-        planned.add(added);
-        return () -> planned.remove(added);
+        ScheduledTask scheduledTask = new ScheduledTask(nowNanos + delayNanos, task);
+        scheduledTasks.add(scheduledTask);
+        return () -> scheduledTasks.remove(scheduledTask);
     }
 
-    /** Tasks that wait for their time. */
+    /** Returns the number of tasks that are scheduled and have not run. */
     public int plannedTasks() {
-        return planned.size();
+        return scheduledTasks.size();
     }
 
-    /** Lets time pass and runs what is due by then, but not what that plans. */
+    /** Advances time by {@code nanos} and runs the tasks that are due by then, but not those that they schedule. */
     public void pass(long nanos) {
-        now += nanos;
-        List<Planned> due = new ArrayList<>(planned);
-        due.removeIf(one -> one.due() > now);
-        planned.removeAll(due);
-        due.forEach(one -> one.task().run());
+        nowNanos += nanos;
+        List<ScheduledTask> dueTasks = new ArrayList<>(scheduledTasks);
+        dueTasks.removeIf(scheduled -> scheduled.dueAtNanos() > nowNanos);
+        scheduledTasks.removeAll(dueTasks);
+        dueTasks.forEach(scheduled -> scheduled.task().run());
     }
 }
--- a/node/src/main/java/burlarch/node/MembershipService.java
+++ b/node/src/main/java/burlarch/node/MembershipService.java
@@ -24,8 +24,8 @@
 
 /**
  * Service that runs the membership protocol {@link Swim} on a UDP port: sends and receives its datagrams, runs its
- * timer and notifies listeners of changes. It owns the protocol state, which is confined to the event loop; methods must be
- * called there unless they say otherwise.
+ * timer and notifies listeners of changes. It owns the protocol state, which is confined to the event loop; methods
+ * must be called there unless they say otherwise.
  */
 public final class MembershipService implements AutoCloseable {
     /** Capacity of the cache of socket addresses, which is cleared when it is full. */
