--- a/lab/src/main/java/burlarch/lab/report/RunComparison.java
+++ b/lab/src/main/java/burlarch/lab/report/RunComparison.java
@@ -26,7 +26,7 @@
     /**
      * Means and ranges of one figure over two sets of repeats.
      *
-     * @param enoughRepeats whether both sets have enoughRepeats repeats to compare their ranges
+     * @param enoughRepeats whether both sets have enough repeats to compare their ranges
      */
     public record FigureComparison(
             String figure,
--- a/proxy/src/main/java/burlarch/proxy/RequestReader.java
+++ b/proxy/src/main/java/burlarch/proxy/RequestReader.java
@@ -133,8 +133,8 @@
     }
 
     /** Whether the policy regards the request as expired, which it does one time quantum before the deadline. */
-    public boolean timeIsUp(RequestTable.ClientRequest arrival) {
-        return clock.nowNanos() >= arrival.deadlineNanos() - instance.settings.quantumNanos();
+    public boolean timeIsUp(RequestTable.ClientRequest clientRequest) {
+        return clock.nowNanos() >= clientRequest.deadlineNanos() - instance.settings.quantumNanos();
     }
 
     private static long parseNumber(FullHttpRequest request, CharSequence header, long defaultNumber) throws Rejection {
--- a/proxy/src/main/java/burlarch/proxy/RequestTable.java
+++ b/proxy/src/main/java/burlarch/proxy/RequestTable.java
@@ -71,7 +71,7 @@
     /** Listener for the table's events. Called on the event loop; must not change the table. */
     public interface Observer {
         /** A request has entered the table. */
-        default void requestAccepted(ClientRequest arrival) {}
+        default void requestAccepted(ClientRequest clientRequest) {}
 
         /** A request has had its final response, or its client has disconnected. */
         default void requestFinished(int requestClass) {}
@@ -98,11 +98,11 @@
 
         ScheduledFuture<?> deadlineTimer;
 
-        OpenRequest(long id, ClientRequest arrival, ResponseHandler responseHandler) {
+        OpenRequest(long id, ClientRequest clientRequest, ResponseHandler responseHandler) {
             this.id = id;
-            this.requestClass = arrival.requestClass();
-            this.upstream = arrival.upstream();
-            this.deadlineNanos = arrival.deadlineNanos();
+            this.requestClass = clientRequest.requestClass();
+            this.upstream = clientRequest.upstream();
+            this.deadlineNanos = clientRequest.deadlineNanos();
             this.responseHandler = responseHandler;
         }
     }
@@ -175,8 +175,8 @@
     }
 
     /** Whether the body of one more request fits the budget; bodies of ordinary length always do. */
-    boolean hasRoomFor(ClientRequest arrival) {
-        return requestBodies.hasRoomFor(arrival.upstream().body().length);
+    boolean hasRoomFor(ClientRequest clientRequest) {
+        return requestBodies.hasRoomFor(clientRequest.upstream().body().length);
     }
 
     /** The number of requests without a final response. */
@@ -221,25 +221,25 @@
      *
      * @return the request's number, for {@link #clientDisconnected}
      */
-    public long take(ClientRequest arrival, ResponseHandler responseHandler) {
+    public long take(ClientRequest clientRequest, ResponseHandler responseHandler) {
         long id = ++lastId;
-        OpenRequest openRequest = new OpenRequest(id, arrival, responseHandler);
+        OpenRequest openRequest = new OpenRequest(id, clientRequest, responseHandler);
         openRequests.put(id, openRequest);
         requestBodies.take(openRequest.upstream.body().length);
-        openClientIds.add(arrival.upstream().requestId());
+        openClientIds.add(clientRequest.upstream().requestId());
         unfinishedCount++;
-        observers.forEach(observer -> observer.requestAccepted(arrival));
+        observers.forEach(observer -> observer.requestAccepted(clientRequest));
         openRequest.deadlineTimer = loop.schedule(
-                () -> expire(openRequest), arrival.deadlineNanos() - clock.nowNanos(), TimeUnit.NANOSECONDS);
-        boolean write = !arrival.upstream().method().name().equals("GET");
+                () -> expire(openRequest), clientRequest.deadlineNanos() - clock.nowNanos(), TimeUnit.NANOSECONDS);
+        boolean write = !clientRequest.upstream().method().name().equals("GET");
         Request request = new Request(
                 id,
-                arrival.requestClass(),
-                arrival.tenant(),
-                arrival.keyed(),
-                arrival.key(),
-                arrival.deadlineNanos(),
-                arrival.workNanos(),
+                clientRequest.requestClass(),
+                clientRequest.tenant(),
+                clientRequest.keyed(),
+                clientRequest.key(),
+                clientRequest.deadlineNanos(),
+                clientRequest.workNanos(),
                 write);
         notifyModule(nowNanos -> {
             try {
--- a/proxy/src/main/java/burlarch/proxy/SingleRequestHandler.java
+++ b/proxy/src/main/java/burlarch/proxy/SingleRequestHandler.java
@@ -24,19 +24,19 @@
 
     @Override
     public Runnable handle(FullHttpRequest request, long readNanos, Reply reply) throws Rejection {
-        RequestTable.ClientRequest arrival = reader.parse(request, readNanos);
-        if (table.isOpen(arrival.upstream().requestId())) {
+        RequestTable.ClientRequest clientRequest = reader.parse(request, readNanos);
+        if (table.isOpen(clientRequest.upstream().requestId())) {
             throw new Rejection(HttpResponseStatus.CONFLICT);
         }
-        if (loadGate != null && !loadGate.admits(arrival)) {
+        if (loadGate != null && !loadGate.admits(clientRequest)) {
             reply.refused(loadGate.retryAfterNanos(), false);
             return () -> {};
         }
-        if (!table.hasRoomFor(arrival)) {
+        if (!table.hasRoomFor(clientRequest)) {
             reply.refused(0, false);
             return () -> {};
         }
-        long id = table.take(arrival, reply);
+        long id = table.take(clientRequest, reply);
         return () -> table.clientDisconnected(id);
     }
 }
--- a/proxy/src/main/java/burlarch/proxy/hotlist/HotList.java
+++ b/proxy/src/main/java/burlarch/proxy/hotlist/HotList.java
@@ -35,11 +35,13 @@
 
     /** Counts an accepted request; requests without a key are not counted. */
     @Override
-    public void requestAccepted(RequestTable.ClientRequest arrival) {
-        if (arrival.keyed()) {
+    public void requestAccepted(RequestTable.ClientRequest clientRequest) {
+        if (clientRequest.keyed()) {
             summaries
-                    .get(arrival.requestClass())
-                    .add(HotKey.of(arrival.tenantName(), arrival.keyText(), arrival.key()), clockNanos.getAsLong());
+                    .get(clientRequest.requestClass())
+                    .add(
+                            HotKey.of(clientRequest.tenantName(), clientRequest.keyText(), clientRequest.key()),
+                            clockNanos.getAsLong());
         }
     }
 
--- a/proxy/src/main/java/burlarch/proxy/multiget/Batch.java
+++ b/proxy/src/main/java/burlarch/proxy/multiget/Batch.java
@@ -23,8 +23,8 @@
         int status;
         byte[] body = NO_BODY;
 
-        BatchRequest(RequestTable.ClientRequest arrival) {
-            this.arrival = arrival;
+        BatchRequest(RequestTable.ClientRequest clientRequest) {
+            this.arrival = clientRequest;
         }
 
         @Override
@@ -79,7 +79,7 @@
         this.byteBudget = byteBudget;
         this.isTimeUp = isTimeUp;
         this.onComplete = onComplete;
-        arrivals.forEach(arrival -> requests.add(new BatchRequest(arrival)));
+        arrivals.forEach(clientRequest -> requests.add(new BatchRequest(clientRequest)));
         // Set before any request is sent: the first may be final before the second is sent.
         pendingCount = requests.size();
     }
--- a/proxy/src/main/java/burlarch/proxy/ownload/LoadGate.java
+++ b/proxy/src/main/java/burlarch/proxy/ownload/LoadGate.java
@@ -49,11 +49,11 @@
     }
 
     /** Returns whether the request is admitted; if not, the caller refuses it at once. */
-    public boolean admits(RequestTable.ClientRequest arrival) {
+    public boolean admits(RequestTable.ClientRequest clientRequest) {
         return ownLoad.admits(
-                settings.classes().get(arrival.requestClass()).worth(),
+                settings.classes().get(clientRequest.requestClass()).worth(),
                 lagNanos.getAsLong(),
-                TimeUnit.MILLISECONDS.toNanos(arrival.timeoutMs()));
+                TimeUnit.MILLISECONDS.toNanos(clientRequest.timeoutMs()));
     }
 
     /** Returns the retry delay for a request that was just refused; 0 if the settings disable retry advice. */
--- a/proxy/src/main/java/burlarch/proxy/status/StatusCollector.java
+++ b/proxy/src/main/java/burlarch/proxy/status/StatusCollector.java
@@ -58,8 +58,8 @@
     }
 
     @Override
-    public void requestAccepted(RequestTable.ClientRequest arrival) {
-        ClassCounts counts = classCounts.get(arrival.requestClass());
+    public void requestAccepted(RequestTable.ClientRequest clientRequest) {
+        ClassCounts counts = classCounts.get(clientRequest.requestClass());
         counts.inFlight++;
         counts.requestsSinceSnapshot++;
     }
--- a/proxy/src/main/java/burlarch/proxy/trace/TraceRecorder.java
+++ b/proxy/src/main/java/burlarch/proxy/trace/TraceRecorder.java
@@ -112,19 +112,19 @@
     }
 
     @Override
-    public void requestAccepted(RequestTable.ClientRequest arrival) {
+    public void requestAccepted(RequestTable.ClientRequest clientRequest) {
         if (ended) {
             return;
         }
         TraceRecord record = new TraceRecord(
                 clockNanos.getAsLong() - startNanos,
-                classes.get(arrival.requestClass()),
-                truncate(arrival.tenantName()),
-                truncate(arrival.keyText()),
-                !arrival.upstream().method().name().equals("GET"),
-                arrival.timeoutMs(),
-                TimeUnit.NANOSECONDS.toMicros(arrival.workNanos()),
-                arrival.upstream().body().length);
+                classes.get(clientRequest.requestClass()),
+                truncate(clientRequest.tenantName()),
+                truncate(clientRequest.keyText()),
+                !clientRequest.upstream().method().name().equals("GET"),
+                clientRequest.timeoutMs(),
+                TimeUnit.NANOSECONDS.toMicros(clientRequest.workNanos()),
+                clientRequest.upstream().body().length);
         if (!queue.offer(record)) {
             droppedRecords.incrementAndGet();
         }
--- a/standins/src/main/java/burlarch/standins/fleet/Discovery.java
+++ b/standins/src/main/java/burlarch/standins/fleet/Discovery.java
@@ -107,7 +107,7 @@
     /**
      * Binds the listener of each proxy. Must not be called on the event loop.
      *
-     * @throws IOException if an address cannot be bindFuture; the message names it
+     * @throws IOException if an address cannot be bound; the message names it
      */
     void listen() throws IOException {
         for (FleetPlan.ProxyPlan proxyPlan : plan.proxyPlans()) {
--- a/standins/src/main/java/burlarch/standins/fleet/FleetControl.java
+++ b/standins/src/main/java/burlarch/standins/fleet/FleetControl.java
@@ -12,7 +12,7 @@
 import java.util.concurrent.Executors;
 
 /**
- * The HTTP control server of a running fleet. {@code GET /formatState} returns the state of each node, one a line, and
+ * The HTTP control server of a running fleet. {@code GET /state} returns the state of each node, one a line, and
  * {@code POST /faults} injects a fault; its body has the keys of an {@code [[at]]} table.
  */
 public final class FleetControl implements AutoCloseable {
