--- a/simulation/src/main/java/burlarch/simulation/coordination/check/Violation.java
+++ b/simulation/src/main/java/burlarch/simulation/coordination/check/Violation.java
@@ -4,10 +4,10 @@
 import java.util.Locale;
 
 /**
- * A rule that was seen to be violated.
+ * A violation of a rule that a checker detected.
  *
- * @param atNanos virtual time at which the checker saw it
- * @param detail who did what, for a reader
+ * @param atNanos virtual time at which the checker detected it
+ * @param detail human-readable description of what happened, with the machines involved
  */
 public record Violation(Rule rule, long atNanos, String detail) {
     @Override
