--- a/simulation/src/main/java/burlarch/simulation/coordination/CoordinationScenario.java
+++ b/simulation/src/main/java/burlarch/simulation/coordination/CoordinationScenario.java
@@ -5,10 +5,10 @@
 import java.util.List;
 
 /**
- * A fleet and the faults that strike it. As text: a line that begins with {@code fleet}, then the steps of a
- * {@link burlarch.simulation.scenario.Scenario}. The same text always gives the same run.
+ * A fleet plan and the fault steps of a run. The text form is a line that begins with {@code fleet}, then the steps of
+ * a {@link burlarch.simulation.scenario.Scenario}. Runs are deterministic: the same text always gives the same run.
  *
- * @param faultSteps lines of a scenario
+ * @param faultSteps scenario lines, one step each
  */
 public record CoordinationScenario(FleetPlan plan, List<String> faultSteps) {
     /** Copies the steps. */
@@ -16,7 +16,7 @@
         faultSteps = List.copyOf(faultSteps);
     }
 
-    /** Parses what {@link #toString} wrote; skips comments and empty lines. */
+    /** Parses the text form that {@link #toString} returns; skips comments and empty lines. */
     public static CoordinationScenario parse(String text) {
         FleetPlan plan = null;
         List<String> faultSteps = new ArrayList<>();
@@ -29,14 +29,14 @@
             }
         }
         if (plan == null) {
-            throw new IllegalArgumentException("no line that begins with " + FleetPlan.KEYWORD);
+            throw new IllegalArgumentException("scenario has no line that begins with " + FleetPlan.KEYWORD);
         }
         return new CoordinationScenario(plan, faultSteps);
     }
 
-    /** The same fleet with other faults. */
-    CoordinationScenario withFaultSteps(List<String> others) {
-        return new CoordinationScenario(plan, others);
+    /** Returns a scenario with the same fleet and other fault steps. */
+    CoordinationScenario withFaultSteps(List<String> otherSteps) {
+        return new CoordinationScenario(plan, otherSteps);
     }
 
     @Override
--- a/simulation/src/main/java/burlarch/simulation/coordination/check/Connectivity.java
+++ b/simulation/src/main/java/burlarch/simulation/coordination/check/Connectivity.java
@@ -16,7 +16,8 @@
  * the fleet can do under the current faults.
  *
  * <p>A machine is <em>connected</em> when it runs, no fault has begun or ended at it or at any controller for
- * {@link FleetTimings#SETTLING_NANOS}, and it has a network path in both directions to all controllers that form a majority.
+ * {@link FleetTimings#SETTLING_NANOS}, and it has a network path in both directions to all controllers that form a
+ * majority.
  */
 public final class Connectivity {
     private final Simulation simulation;
--- a/simulation/src/main/java/burlarch/simulation/coordination/check/RouterChecker.java
+++ b/simulation/src/main/java/burlarch/simulation/coordination/check/RouterChecker.java
@@ -36,7 +36,7 @@
         if (!chain.isCommitted(version, json)) {
             violations.add(
                     Rule.ROUTER_APPLIES_COMMITTED,
-                    router + " has version " + version + ", which was not committed like that");
+                    router + " has version " + version + ", which was not committed with this content");
         }
         if (version <= previousVersion) {
             violations.add(Rule.ROUTER_VERSION_RISES, router + " goes from " + previousVersion + " to " + version);
--- a/simulation/src/main/java/burlarch/simulation/coordination/check/Rule.java
+++ b/simulation/src/main/java/burlarch/simulation/coordination/check/Rule.java
@@ -1,13 +1,15 @@
 package burlarch.simulation.coordination.check;
 
 /**
- * Properties of a fleet that the checkers verify. Reports, file names and measurements refer to a rule by its id, so the
- * ids are stable.
+ * Properties of a fleet that the checkers verify. Reports, file names and measurements refer to a rule by its id, so
+ * the ids are stable.
  */
 public enum Rule {
     /** Committed values form one chain: each holds all that values of lower proposal numbers hold. */
     COMMITTED_CHAIN("chain"),
-    /** An acknowledged change is committed, and no read returns a version older than one acknowledged before it began. */
+    /**
+     * An acknowledged change is committed, and no read returns a version older than one acknowledged before it began.
+     */
     ACKNOWLEDGED_IS_DURABLE("lost"),
     /** A rejected change is never applied, and never acknowledged. */
     REJECTED_IS_FINAL("refused"),
--- a/simulation/src/main/java/burlarch/simulation/coordination/fleet/NetworkStepHandler.java
+++ b/simulation/src/main/java/burlarch/simulation/coordination/fleet/NetworkStepHandler.java
@@ -10,7 +10,7 @@
 import java.util.Set;
 import java.util.function.Function;
 
-/** Steps that partition the network, break connections, or lose, duplicate and delay messages. */
+/** Handler of the steps that partition the network, break connections, or lose, duplicate and delay messages. */
 final class NetworkStepHandler implements ScenarioStepHandler {
     private final CoordinationFleet fleet;
     private final Simulation simulation;
@@ -29,7 +29,7 @@
             case "break" -> breakConnections(step, machines);
             case "loss", "duplicate", "delay" -> messageFaults.begin(step);
             case "heal" -> {
-                // The built-in step heals; what matters here is that something ends at all machines.
+                // The built-in step heals the network; this only records that a fault may end at every machine.
                 fleet.connectivity().onFault(simulation.machineNames());
                 return false;
             }
--- a/simulation/src/main/java/burlarch/simulation/coordination/package-info.java
+++ b/simulation/src/main/java/burlarch/simulation/coordination/package-info.java
@@ -1,6 +1,6 @@
 /**
- * The search for faults of control: whole fleets with the real controllers under drawn faults, and the rules that
- * they have to keep.
+ * Randomized fault search for the control plane: simulated fleets with the real controllers run under randomly drawn
+ * faults, and checkers verify the rules that the fleets have to keep.
  *
  * <p>{@link burlarch.simulation.coordination.CoordinationSearch} draws and shrinks scenarios, {@link
  * burlarch.simulation.coordination.CoordinationRun} runs one. A run owns its simulation and all state in it, and uses
--- a/simulation/src/main/java/burlarch/simulation/coordination/plan/package-info.java
+++ b/simulation/src/main/java/burlarch/simulation/coordination/plan/package-info.java
@@ -1,5 +1,5 @@
 /**
- * The size, the names and the times of a simulated fleet: immutable values, which all other packages of the
- * coordination simulation use.
+ * Parameters of a simulated fleet: its size, machine names and timings. All are immutable, and all other packages of
+ * the coordination simulation use them.
  */
 package burlarch.simulation.coordination.plan;
