--- a/simulation/src/main/java/burlarch/simulation/coordination/node/ConfigurationBodies.java
+++ b/simulation/src/main/java/burlarch/simulation/coordination/node/ConfigurationBodies.java
@@ -4,9 +4,9 @@
 import java.util.stream.Collectors;
 import java.util.stream.IntStream;
 
-/** Bodies of the changes that operators send. Each holds a mark, so that no two bodies are equal. */
+/** Request bodies of the changes that operators send. Each contains a unique mark, so that no two bodies are equal. */
 public final class ConfigurationBodies {
-    /** Number of ways in which {@link #broken} can break a configuration. */
+    /** Number of kinds of invalid configurations that {@link #broken} creates. */
     static final int BROKEN_KINDS = 6;
 
     private static final String ROUTE =
@@ -20,31 +20,35 @@
             "max_connections":100,"protocol":"h1","tls":false}],"limits":{"max_header_bytes":16384,
             "max_body_bytes":65536,"header_timeout_ms":3000,"idle_timeout_ms":15000},"tenants":[]}""";
     private static final String PATCH = "{\"config_version\":%d,\"upsert\":{\"routes\":[%s]}}";
-    private static final int ROUTES = 4;
-    private static final int MANY_ROUTES = 60;
+    private static final int SMALL_PATCH_ROUTES = 4;
+    private static final int LARGE_PATCH_ROUTES = 60;
 
     private ConfigurationBodies() {}
 
-    /** A complete configuration with one route. */
+    /** Returns a complete configuration with one route, as JSON. */
     public static byte[] configuration(long version, String mark) {
         return utf8(CONFIGURATION.formatted(version, route(1, mark)));
     }
 
-    /** A patch of one route, which follows from the mark. */
+    /** Returns a patch of one route; the mark determines the route's number. */
     public static byte[] patch(long version, String mark) {
-        int number = 2 + Math.floorMod(mark.hashCode(), ROUTES);
+        int number = 2 + Math.floorMod(mark.hashCode(), SMALL_PATCH_ROUTES);
         return utf8(PATCH.formatted(version, route(number, mark)));
     }
 
-    /** A patch of many routes. */
+    /** Returns a patch of {@link #LARGE_PATCH_ROUTES} routes. */
     static byte[] largePatch(long version, String mark) {
-        String routes = IntStream.rangeClosed(ROUTES + 2, ROUTES + 1 + MANY_ROUTES)
+        String routes = IntStream.rangeClosed(SMALL_PATCH_ROUTES + 2, SMALL_PATCH_ROUTES + 1 + LARGE_PATCH_ROUTES)
                 .mapToObj(number -> route(number, mark))
                 .collect(Collectors.joining(","));
         return utf8(PATCH.formatted(version, routes));
     }
 
-    /** A configuration that is malformed or breaks a rule of its own. */
+    /**
+     * Returns a configuration that is malformed or inconsistent.
+     *
+     * @param kind which defect it has, from 0 to {@link #BROKEN_KINDS} - 1
+     */
     static byte[] broken(int kind, long version, String mark) {
         String valid = CONFIGURATION.formatted(version, route(1, mark));
         String broken =
--- a/simulation/src/main/java/burlarch/simulation/coordination/node/ControlAction.java
+++ b/simulation/src/main/java/burlarch/simulation/coordination/node/ControlAction.java
@@ -13,7 +13,7 @@
     /** Reads the configuration. */
     record Read() implements ControlAction {}
 
-    /** Names the version of a model's weights that engines have to load. */
+    /** Sets the version of a model's weights that engines have to load. */
     record NameWeights(String model, long version) implements ControlAction {}
 
     /** Announces an instance and its state. */
@@ -22,7 +22,7 @@
     /** Removes an instance. */
     record Leave(String id) implements ControlAction {}
 
-    /** Whether it changes the configuration. */
+    /** Returns whether the call changes the configuration. */
     default boolean changesConfiguration() {
         return this instanceof Put || this instanceof Patch;
     }
--- a/simulation/src/main/java/burlarch/simulation/coordination/node/ControlEndpoint.java
+++ b/simulation/src/main/java/burlarch/simulation/coordination/node/ControlEndpoint.java
@@ -16,8 +16,8 @@
 import java.util.function.Consumer;
 
 /**
- * A controller's end of the calls of operators and instances: hands each to the {@link ControlService} and responds
- * with the HTTP status of its result, as the real control API does. Runs on the controller's event loop.
+ * Server side of the calls of operators and instances at a controller: passes each to the {@link ControlService} and
+ * responds with the HTTP status of its result, as the real control API does. Runs on the controller's event loop.
  */
 final class ControlEndpoint {
     private static final long CALL_TIMEOUT_NANOS = 930 * Simulation.MILLISECOND;
@@ -29,7 +29,7 @@
     private final ControlService service;
     private final Consumer<Throwable> failures;
     private final ControllerNode.Observer observer;
-    /** Ids of all requests: real calls use connections, on which none arrives twice. */
+    /** Ids of all requests, to drop duplicates: on the connections of real calls no request arrives twice. */
     private final Set<Long> seenRequests = new HashSet<>();
 
     /** @param failures called with exceptions that the service should not throw */
--- a/simulation/src/main/java/burlarch/simulation/coordination/node/FleetEnvironment.java
+++ b/simulation/src/main/java/burlarch/simulation/coordination/node/FleetEnvironment.java
@@ -5,11 +5,11 @@
 import burlarch.simulation.coordination.plan.FleetPlan;
 
 /**
- * What all nodes of one simulated fleet share.
+ * Objects that all nodes of one simulated fleet share.
  *
- * @param checkers told of what the nodes do
+ * @param checkers notified of what the nodes do
  * @param overrides substitutes for components of the nodes
- * @param triggers told of the events that steps of a scenario wait for
+ * @param triggers notified of the events that scenario steps wait for
  */
 public record FleetEnvironment(
         Simulation simulation,
--- a/simulation/src/main/java/burlarch/simulation/coordination/node/OperatorChange.java
+++ b/simulation/src/main/java/burlarch/simulation/coordination/node/OperatorChange.java
@@ -3,9 +3,9 @@
 import burlarch.controller.state.AppliedChange;
 
 /**
- * A change of the configuration as an operator sends it. Sending it again repeats the same change.
+ * Configuration change as an operator sends it. Sending it again retries the same change.
  *
- * @param change what controllers remember of it once it was applied
+ * @param change record that controllers keep of the change once it is applied
  * @param ifMatch version that it is based on
  */
 record OperatorChange(ControlAction action, AppliedChange change, long ifMatch) {}
--- a/simulation/src/main/java/burlarch/simulation/coordination/node/RouterNode.java
+++ b/simulation/src/main/java/burlarch/simulation/coordination/node/RouterNode.java
@@ -22,7 +22,7 @@
 import java.util.Optional;
 import java.util.Set;
 
-/** A router as far as controllers steer it: the real {@link ControllerLinks}, without requests of clients. */
+/** Simulated router process: the real {@link ControllerLinks}, without client requests. */
 public final class RouterNode implements SimulatedNode, RouterView {
     private final NodeContext context;
     private final List<String> seeds;
@@ -53,7 +53,7 @@
                 ? Optional.of(new ConfigurationConfirmer(
                         loop, overrides.keyValidityNanos().getAsLong()))
                 : Optional.empty();
-        controllers = new ControllerLinks(overrides.routerEffects(new RecordingEffects()), confirmer);
+        controllers = new ControllerLinks(overrides.routerEffects(new RecordingUpdateHandler()), confirmer);
         NodeMessage.Hello hello = new NodeMessage.Hello(
                 context.name(),
                 NodeRoles.ROUTER,
@@ -65,10 +65,10 @@
                 context,
                 loop,
                 hello,
-                new MeetingRecorder(overrides.routerListener(controllers)),
+                new ConnectionRecorder(overrides.routerListener(controllers)),
                 failure -> checkers.onUnexpectedException(context.name(), failure));
         controllers.start(connections, seeds);
-        confirmer.ifPresent(started -> started.start(controllers::connectedControllers));
+        confirmer.ifPresent(confirmerToStart -> confirmerToStart.start(controllers::connectedControllers));
         membership = new SimulatedMembership(
                 context,
                 loop,
@@ -130,11 +130,11 @@
                         && instance.state() != InstanceState.GONE);
     }
 
-    /** Passes all events on, and records the controllers that connections came up with. */
-    private final class MeetingRecorder implements PeerConnectionListener {
+    /** Listener that records the controllers with which connections were established. */
+    private final class ConnectionRecorder implements PeerConnectionListener {
         private final PeerConnectionListener delegate;
 
-        MeetingRecorder(PeerConnectionListener delegate) {
+        ConnectionRecorder(PeerConnectionListener delegate) {
             this.delegate = delegate;
         }
 
@@ -155,8 +155,8 @@
         }
     }
 
-    /** Records what a router would apply. */
-    private final class RecordingEffects implements ControllerLinks.UpdateHandler {
+    /** Handler that records what a router would apply. */
+    private final class RecordingUpdateHandler implements ControllerLinks.UpdateHandler {
         @Override
         public boolean onConfiguration(long newVersion, byte[] json) {
             checkers.routers().onConfigurationApplied(context.name(), version, newVersion, json);
@@ -171,7 +171,7 @@
 
         @Override
         public void onRouterCount(int live) {
-            // The number of routers sets budgets of requests, which are not simulated.
+            // The router count only sets request budgets, and requests are not simulated.
         }
 
         @Override
@@ -181,7 +181,7 @@
 
         @Override
         public void onPrefixCacheBatch(byte[] batch) {
-            // Prefix-cache events steer the placement of requests, which is not simulated.
+            // Prefix-cache events only affect request placement, which is not simulated.
         }
     }
 }
