--- a/simulation/src/main/java/burlarch/simulation/coordination/check/EngineOrderChecker.java
+++ b/simulation/src/main/java/burlarch/simulation/coordination/check/EngineOrderChecker.java
@@ -11,7 +11,7 @@
 
 /** Checker of {@link Rule#ONE_LEASE_HOLDER} and {@link Rule#NO_DUPLICATE_ORDER} for the orders sent to engines. */
 public final class EngineOrderChecker {
-    /** Identity of an order: two orders that are equal in these fields are the same order. */
+    /** Identity of an order from one lease holder to one incarnation of an engine. */
     private record SentOrder(String instance, String model, long version, long fenceToken, long ifRevision) {
         static SentOrder of(String instance, WeightsOrder order) {
             return new SentOrder(instance, order.model(), order.version(), order.fenceToken(), order.ifRevision());
