--- a/simulation/src/main/java/burlarch/simulation/disk/DiskOperationLog.java
+++ b/simulation/src/main/java/burlarch/simulation/disk/DiskOperationLog.java
@@ -12,29 +12,31 @@
 import java.util.Random;
 
 /**
- * The operations of a disk since it was last known to be durable as a whole. From them follows what is left after a
- * crash of the process or of the machine.
+ * Log of the operations on a disk since its last fully durable image. It computes the files that remain after a process
+ * crash or a power loss.
  *
- * <p>Invariant (synced is durable): an operation that a later, completed sync covers survives every loss of power; any
- * other may survive, vanish, or survive in part.
+ * <p>Invariant (synced data is durable): an operation that is covered by a later, completed sync survives every power
+ * loss. Any other operation may survive, be lost, or survive in part.
  *
- * <p>Owned by one {@link SimulatedDisk}.
+ * <p>Not thread-safe; owned by one {@link SimulatedDisk}.
  */
 final class DiskOperationLog {
-    private static final int LONGEST_TORN_BYTES = 64;
+    private static final int MAX_TORN_BYTES = 64;
 
     private DiskImage durable = new DiskImage();
     private final List<DiskOperation> operations = new ArrayList<>();
 
+    /** Appends an operation. */
     void add(DiskOperation operation) {
         operations.add(operation);
     }
 
+    /** Returns the number of operations in the log. */
     int size() {
         return operations.size();
     }
 
-    /** Discards the log in favour of {@code image} if all operations are durable; does nothing otherwise. */
+    /** If all operations are durable, replaces the durable image by {@code image} and clears the log. */
     void compact(DiskImage image, long nowNanos) {
         for (int i = 0; i < operations.size(); i++) {
             if (operations.get(i).endNanos() > nowNanos || !isDurable(i, nowNanos)) {
@@ -45,15 +47,15 @@
         operations.clear();
     }
 
-    /** What is left after the process was killed: all that it had requested by then, in order. */
+    /** Returns the files after a process crash: every operation that began by {@code nowNanos} is applied in order. */
     DiskImage imageAfterKill(long nowNanos) {
         DiskImage image = durable.copy();
-        dropOperationsAfter(nowNanos);
+        discardOperationsBegunAfter(nowNanos);
         operations.forEach(operation -> apply(operation, image));
         return image;
     }
 
-    /** What is left after a loss of power: of each operation that was not synced all, nothing, or a part. */
+    /** Returns the files after a power loss: an operation not synced is applied fully, in part, or not at all. */
     DiskImage imageAfterPowerLoss(long nowNanos, Random random) {
         DiskImage image = durable.copy();
         for (int i = 0; i < operations.size(); i++) {
@@ -64,45 +66,45 @@
             if (isDurable(i, nowNanos)) {
                 apply(operation, image);
             } else if (random.nextInt(3) > 0) {
-                apply(maybeTorn(operation, random), image);
+                apply(tearAtRandom(operation, random), image);
             }
         }
-        restartFrom(image);
+        resetTo(image);
         return image;
     }
 
-    /** What is left after a loss of power of a disk that writes in order but ignores syncs: a prefix of the log. */
+    /** Returns the files after a power loss of a disk that ignores syncs but writes in order: a prefix of the log. */
     DiskImage imageAfterLosingTail(long nowNanos, Random random) {
-        dropOperationsAfter(nowNanos);
-        int survivors = random.nextInt(operations.size() + 1);
+        discardOperationsBegunAfter(nowNanos);
+        int survivingCount = random.nextInt(operations.size() + 1);
         DiskImage image = durable.copy();
-        operations.subList(0, survivors).forEach(operation -> apply(operation, image));
-        restartFrom(image);
+        operations.subList(0, survivingCount).forEach(operation -> apply(operation, image));
+        resetTo(image);
         return image;
     }
 
-    private void dropOperationsAfter(long nowNanos) {
+    private void discardOperationsBegunAfter(long nowNanos) {
         operations.removeIf(operation -> operation.beginNanos() > nowNanos);
     }
 
-    private void restartFrom(DiskImage image) {
+    private void resetTo(DiskImage image) {
         operations.clear();
         durable = image.copy();
     }
 
-    private static DiskOperation maybeTorn(DiskOperation operation, Random random) {
-        return operation instanceof Write write && random.nextBoolean() ? torn(write, random) : operation;
+    private static DiskOperation tearAtRandom(DiskOperation operation, Random random) {
+        return operation instanceof Write write && random.nextBoolean() ? tear(write, random) : operation;
     }
 
-    /** A write of which a part is lost: its end, or some bytes in its middle. */
-    private static Write torn(Write write, Random random) {
+    /** Returns a torn write: the end of the data is missing, or a range of bytes within it reads as zeros. */
+    private static Write tear(Write write, Random random) {
         byte[] data = write.data().clone();
         if (data.length > 0 && random.nextBoolean()) {
             data = Arrays.copyOf(data, random.nextInt(data.length));
         } else if (data.length > 0) {
-            // The new length reached the medium, some of the content did not.
+            // The new file length reached the medium, but a part of the content did not.
             int from = random.nextInt(data.length);
-            int to = Math.min(data.length, from + 1 + random.nextInt(LONGEST_TORN_BYTES));
+            int to = Math.min(data.length, from + 1 + random.nextInt(MAX_TORN_BYTES));
             Arrays.fill(data, from, to, (byte) 0);
         }
         return new Write(write.beginNanos(), write.endNanos(), write.file(), write.position(), data);
@@ -124,7 +126,7 @@
         return operation instanceof SyncFile || operation instanceof SyncDirectory;
     }
 
-    /** Whether the sync makes an earlier operation durable. */
+    /** Returns whether {@code sync} makes an earlier operation durable. */
     private static boolean covers(DiskOperation sync, DiskOperation operation) {
         if (operation instanceof Write write) {
             return isSyncOf(sync, write.file());
