--- a/simulation/src/main/java/burlarch/simulation/scenario/Expectation.java
+++ b/simulation/src/main/java/burlarch/simulation/scenario/Expectation.java
@@ -3,13 +3,13 @@
 import java.util.List;
 
 /**
- * A condition that has to hold at one moment, or throughout a span of time.
+ * A condition of a scenario that must hold at one point in time or throughout an interval.
  *
- * @param line number in the scenario's text, from 1
- * @param fromNanos begin of the span
- * @param toNanos end of the span; the same as {@code fromNanos} for a moment
- * @param machines selector of the machines for which it has to hold, as far as a process runs there and isn't frozen
- * @param verb what is expected, such as {@code see}
+ * @param line line number in the scenario's text, from 1
+ * @param fromNanos start of the interval in virtual time
+ * @param toNanos end of the interval in virtual time; equal to {@code fromNanos} for a point in time
+ * @param machines selector of the machines for which it must hold; machines that are stopped or frozen are ignored
+ * @param verb kind of condition, such as {@code see}
  * @param arguments the words after the verb
  */
 public record Expectation(
--- a/simulation/src/main/java/burlarch/simulation/scenario/ScenarioStepHandler.java
+++ b/simulation/src/main/java/burlarch/simulation/scenario/ScenarioStepHandler.java
@@ -3,16 +3,16 @@
 import java.util.Set;
 import java.util.function.Function;
 
-/** Performs steps that only one kind of simulation knows, or that it performs in its own way. */
+/** Performs the steps that one kind of simulation adds to the built-in ones or overrides. */
 public interface ScenarioStepHandler {
-    /** A handler that leaves all steps to the built-in ones. */
+    /** Declines every step, so that only built-in steps are performed. */
     ScenarioStepHandler NONE = (step, machines) -> false;
 
     /**
      * Performs a step now.
      *
-     * @param machines resolves a selector of the step to the names of machines
-     * @return false where the step's verb is not one of this handler's
+     * @param machines resolves a machine selector to machine names
+     * @return whether this handler performed the step; false if it does not handle the verb
      */
     boolean perform(ScenarioStep step, Function<String, Set<String>> machines);
 }
