--- a/simulation/src/main/java/burlarch/simulation/EventQueue.java
+++ b/simulation/src/main/java/burlarch/simulation/EventQueue.java
@@ -3,10 +3,10 @@
 import java.util.PriorityQueue;
 
 /**
- * The event queue of a discrete-event simulation, and its virtual clock.
+ * Event queue and virtual clock of a discrete-event simulation.
  *
  * <p>Invariant (total order): events run in the order of their due time; events with the same due time run in the
- * order in which they were scheduled. A run therefore depends on nothing but what was scheduled, and repeats exactly.
+ * order in which they were scheduled. A run therefore depends only on the scheduled events, and is reproducible.
  *
  * <p>Owned by one {@link Simulation}; not thread-safe.
  */
@@ -23,17 +23,17 @@
     private long nextSequence;
     private long nowNanos;
 
-    /** Current virtual time, in nanoseconds since the start of the simulation. */
+    /** Returns the virtual time, in nanoseconds since the start of the simulation. */
     long nowNanos() {
         return nowNanos;
     }
 
-    /** Schedules an action. A due time in the past counts as the current time. */
+    /** Schedules an action. A due time in the past is treated as the current time. */
     void schedule(long dueNanos, Runnable action) {
         events.add(new Event(Math.max(nowNanos, dueNanos), nextSequence++, action));
     }
 
-    /** Runs all events that are due up to {@code timeNanos}, and then sets the clock to that time. */
+    /** Runs all events that are due at or before {@code timeNanos}, then advances the clock to that time. */
     void runUntil(long timeNanos) {
         while (!events.isEmpty() && events.peek().dueNanos() <= timeNanos) {
             Event event = events.remove();
--- a/simulation/src/main/java/burlarch/simulation/SimulatedNode.java
+++ b/simulation/src/main/java/burlarch/simulation/SimulatedNode.java
@@ -1,23 +1,23 @@
 package burlarch.simulation;
 
 /**
- * A process under simulation. The simulation calls it on its single thread, one event at a time; an event takes no
- * virtual time. Times are nanoseconds of the machine's own monotonic clock.
+ * Simulated process. The simulation calls it on its single thread, one event at a time; an event takes no virtual time.
+ * Times are nanoseconds of the machine's own monotonic clock.
  */
 public interface SimulatedNode {
-    /** The process starts. Called once, before any other method. */
+    /** Starts the process. Called once, before any other method. */
     void start(long now);
 
     /**
-     * A message has arrived.
+     * Handles a message that has arrived.
      *
      * @param from address of the sender
      */
     void onMessage(String from, Object message, long now);
 
-    /** The timer that was requested by {@link NodeContext#setTimer} is due. */
+    /** Handles the expiry of the timer that was set with {@link NodeContext#setTimer}. */
     void onTimer(long now);
 
-    /** The process is being killed. It may still send what its machine's kernel would send, such as resets. */
+    /** Called before the process is killed. It may send what the kernel of its machine would send, such as resets. */
     default void onKilled() {}
 }
--- a/simulation/src/main/java/burlarch/simulation/scenario/BuiltInStepHandler.java
+++ b/simulation/src/main/java/burlarch/simulation/scenario/BuiltInStepHandler.java
@@ -41,8 +41,8 @@
     }
 
     /**
-     * Returns the names of the machines that a selector matches: in the order of its comma-separated parts, and within a
-     * part in the simulation's order. Throws IllegalArgumentException if a part other than {@code others} adds none.
+     * Returns the names of the machines that a selector matches, in the order of its comma-separated parts and, within
+     * a part, in the simulation's order. Throws IllegalArgumentException if a part other than {@code others} adds none.
      *
      * @param excluded names that {@code others} does not match
      */
--- a/simulation/src/main/java/burlarch/simulation/scenario/Scenario.java
+++ b/simulation/src/main/java/burlarch/simulation/scenario/Scenario.java
@@ -22,8 +22,8 @@
  * </pre>
  *
  * <p>WHO selects machines: a name, a prefix followed by {@code *}, {@code all}, or several of these joined by commas.
- * As the second WHO of a cut, {@code others} selects all machines that the first does not. An {@link ExpectationEvaluator}
- * defines the verbs of expectations.
+ * As the second WHO of a cut, {@code others} selects all machines that the first does not. An
+ * {@link ExpectationEvaluator} defines the verbs of expectations.
  */
 public record Scenario(List<ScenarioStep> steps, List<Expectation> expectations) {
     /** Number of words before the verb of a step: {@code at} and the time. */
