--- a/simulation/src/main/java/burlarch/simulation/Simulation.java
+++ b/simulation/src/main/java/burlarch/simulation/Simulation.java
@@ -12,7 +12,7 @@
  * Deterministic discrete-event simulation of machines, their processes and the network between them.
  *
  * <p>Invariant (reproducibility): all random numbers derive from one seed, events run in a total order
- * {@link EventQueue}), and nothing reads a real clock or uses another thread. The same seed and the same calls produce
+ * ({@link EventQueue}), and nothing reads a real clock or uses another thread. The same seed and the same calls produce
  * the same run.
  *
  * <p>Times are nanoseconds of virtual time, from 0. Not thread-safe: a single thread must make all calls.
