--- a/controller/src/main/java/burlarch/controller/ControllerRuntime.java
+++ b/controller/src/main/java/burlarch/controller/ControllerRuntime.java
@@ -139,7 +139,7 @@
     /** Handles membership changes. */
     public void onMembers(List<MemberChange> changes) {
         membershipView.onChanges(changes);
-        addControllerAddresses(MembershipService.appearedAddresses(changes, NodeRoles.CONTROLLER));
+        addControllerAddresses(MembershipService.addressesOfNewMembers(changes, NodeRoles.CONTROLLER));
     }
 
     /** Adds addresses at which other controllers may be reached. */
--- a/node-testing/src/main/java/burlarch/testing/VirtualLoop.java
+++ b/node-testing/src/main/java/burlarch/testing/VirtualLoop.java
@@ -29,7 +29,7 @@
     }
 
     /** Returns the number of tasks that are scheduled and have not run. */
-    public int plannedTasks() {
+    public int scheduledTaskCount() {
         return scheduledTasks.size();
     }
 
--- a/node/src/main/java/burlarch/node/MembershipService.java
+++ b/node/src/main/java/burlarch/node/MembershipService.java
@@ -145,7 +145,7 @@
     }
 
     /** Returns the addresses of the members with {@code role} that became live by these changes. */
-    public static List<String> appearedAddresses(List<MemberChange> changes, String role) {
+    public static List<String> addressesOfNewMembers(List<MemberChange> changes, String role) {
         List<String> addresses = new ArrayList<>(0);
         for (MemberChange change : changes) {
             if (change.appeared() && change.member().role().equals(role)) {
--- a/router/src/main/java/burlarch/router/RouterProgram.java
+++ b/router/src/main/java/burlarch/router/RouterProgram.java
@@ -149,7 +149,7 @@
             membership.addListener(changes -> sources.onMembers(membership.members()));
             membership.addListener(changes -> onMembers.accept(membership.members()));
             membership.addListener(changes ->
-                    links.addControllers(MembershipService.appearedAddresses(changes, NodeRoles.CONTROLLER)));
+                    links.addControllers(MembershipService.addressesOfNewMembers(changes, NodeRoles.CONTROLLER)));
             membership.start();
         });
         return membership;
--- a/simulation/src/main/java/burlarch/simulation/coordination/node/RouterNode.java
+++ b/simulation/src/main/java/burlarch/simulation/coordination/node/RouterNode.java
@@ -75,7 +75,7 @@
                 NodeRoles.ROUTER,
                 seeds,
                 changes ->
-                        controllers.addControllers(MembershipService.appearedAddresses(changes, NodeRoles.CONTROLLER)));
+                        controllers.addControllers(MembershipService.addressesOfNewMembers(changes, NodeRoles.CONTROLLER)));
         loop.endEvent();
     }
 
