--- a/simulation/src/main/java/burlarch/simulation/coordination/node/RouterNode.java
+++ b/simulation/src/main/java/burlarch/simulation/coordination/node/RouterNode.java
@@ -74,8 +74,8 @@
                 loop,
                 NodeRoles.ROUTER,
                 seeds,
-                changes ->
-                        controllers.addControllers(MembershipService.addressesOfNewMembers(changes, NodeRoles.CONTROLLER)));
+                changes -> controllers.addControllers(
+                        MembershipService.addressesOfNewMembers(changes, NodeRoles.CONTROLLER)));
         loop.endEvent();
     }
 
