--- a/proxy/src/main/java/burlarch/proxy/BodyBudget.java
+++ b/proxy/src/main/java/burlarch/proxy/BodyBudget.java
@@ -25,8 +25,8 @@
     }
 
     /**
-     * A budget that bounds only the bytes beyond {@link #ORDINARY_BODY_BYTES} of each body, for bodies whose number is bounded
-     * elsewhere.
+     * A budget that bounds only the bytes beyond {@link #ORDINARY_BODY_BYTES} of each body, for bodies whose number is
+     * bounded elsewhere.
      */
     static BodyBudget boundingExcessOnly() {
         return new BodyBudget(Long.MAX_VALUE, MAX_EXCESS_BYTES);
