--- a/emulator/src/main/java/burlarch/emulator/demo/BenchFleet.java
+++ b/emulator/src/main/java/burlarch/emulator/demo/BenchFleet.java
@@ -10,64 +10,68 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** The processes of a bench: three controllers and a router, each started as the deployment does. */
+/** Processes of the bench: three controllers and a router, each started with the command of the deployment. */
 final class BenchFleet implements AutoCloseable {
-    private static final int CONTROLLERS = 3;
-    private static final long START_NANOS = 30_000_000_000L;
-    private static final long POLL_MILLIS = 5;
-    /** The controller that is measured starts into a fleet that waits for it no more. */
-    private static final long OTHERS_FIRST_MILLIS = 3_000;
+    private static final int CONTROLLER_COUNT = 3;
+    private static final long START_TIMEOUT_NANOS = 30_000_000_000L;
+    private static final long POLL_INTERVAL_MILLIS = 5;
+    /** Delay of the measured controller, by which time the others no longer wait for it. */
+    private static final long LAST_CONTROLLER_DELAY_MILLIS = 3_000;
 
-    private static final Duration PROBE = Duration.ofMillis(500);
+    private static final Duration PROBE_TIMEOUT = Duration.ofMillis(500);
 
     private final LoopbackNetwork network;
     private final Path home;
-    private final Path folder;
+    private final Path directory;
     private final HttpClient http;
     private final List<FleetProcess> controllers = new ArrayList<>();
     private FleetProcess router;
 
-    /** What a start took. */
-    record Start(double cpuSeconds, double wallSeconds) {}
+    /** CPU time and wall-clock time of a process from its start until it is ready. */
+    record StartupCost(double cpuSeconds, double wallSeconds) {}
 
-    /** @param home the folder that the run lines are written for */
-    BenchFleet(LoopbackNetwork network, Path home, Path folder, HttpClient http) {
+    /**
+     * @param home directory in which the commands of the deployment run
+     * @param directory directory for settings files and logs
+     */
+    BenchFleet(LoopbackNetwork network, Path home, Path directory, HttpClient http) {
         this.network = network;
         this.home = home;
-        this.folder = folder;
+        this.directory = directory;
         this.http = http;
     }
 
     List<String> seeds() {
         List<String> addresses = new ArrayList<>();
-        for (int i = 1; i <= CONTROLLERS; i++) {
-            addresses.add(network.controller(i) + ":" + LoopbackNetwork.CONTROL);
+        for (int i = 1; i <= CONTROLLER_COUNT; i++) {
+            addresses.add(network.controller(i) + ":" + LoopbackNetwork.CONTROL_PORT);
         }
         return addresses;
     }
 
-    String front() {
-        return network.router(1) + ":" + LoopbackNetwork.FRONT;
+    String frontAddress() {
+        return network.router(1) + ":" + LoopbackNetwork.FRONT_PORT;
     }
 
-    /** Starts the controllers; returns the time of the last one until its first response that needs a quorum. */
-    Start startControllers() throws IOException, InterruptedException {
-        for (int i = 1; i <= CONTROLLERS; i++) {
-            Path file = NodeSettingsFile.controller(folder, "controller-" + i, network.controller(i), seeds(), true);
+    /** Starts the controllers; returns the cost of the last one until its first response that needs a quorum. */
+    StartupCost startControllers() throws IOException, InterruptedException {
+        for (int i = 1; i <= CONTROLLER_COUNT; i++) {
+            Path file = NodeSettingsFile.controller(directory, "controller-" + i, network.controller(i), seeds(), true);
             controllers.add(process("controller", file));
         }
-        for (FleetProcess process : controllers.subList(0, CONTROLLERS - 1)) {
+        for (FleetProcess process : controllers.subList(0, CONTROLLER_COUNT - 1)) {
             process.start();
         }
-        Thread.sleep(OTHERS_FIRST_MILLIS);
-        int last = CONTROLLERS - 1;
-        return start(controllers.get(last), seeds().get(last), "/burlarch/config", false);
+        Thread.sleep(LAST_CONTROLLER_DELAY_MILLIS);
+        int lastIndex = CONTROLLER_COUNT - 1;
+        return measureStartup(controllers.get(lastIndex), seeds().get(lastIndex), "/burlarch/config", false);
     }
 
-    /** Starts the router; returns its time until it reports that it is ready. */
-    Start startRouter() throws IOException, InterruptedException {
-        router = process("router", NodeSettingsFile.router(folder, "router-1", network.router(1), seeds()));
-        return start(router, network.router(1) + ":" + LoopbackNetwork.READINESS, "/burlarch/readyz", true);
+    /** Starts the router; returns its cost until it reports that it is ready. */
+    StartupCost startRouter() throws IOException, InterruptedException {
+        router = process("router", NodeSettingsFile.router(directory, "router-1", network.router(1), seeds()));
+        return measureStartup(
+                router, network.router(1) + ":" + LoopbackNetwork.READINESS_PORT, "/burlarch/readyz", true);
     }
 
     long routerPid() {
@@ -78,34 +82,34 @@
         return controllers.get(index).pid();
     }
 
-    int controllers() {
-        return CONTROLLERS;
+    int controllerCount() {
+        return CONTROLLER_COUNT;
     }
 
     private FleetProcess process(String role, Path file) throws IOException {
-        return new FleetProcess(DeploymentCommand.of(home, role), home, file, folder.resolve(role + ".log"));
+        return new FleetProcess(DeploymentCommand.of(home, role), home, file, directory.resolve(role + ".log"));
     }
 
-    private Start start(FleetProcess process, String address, String path, boolean ready)
+    private StartupCost measureStartup(FleetProcess process, String address, String path, boolean mustBeReady)
             throws IOException, InterruptedException {
-        long began = System.nanoTime();
+        long startNanos = System.nanoTime();
         process.start();
         while (true) {
-            int status = status(address, path);
-            if (ready ? status == 200 : status != 0) {
-                double cpu = ProcessStatistics.cpuNanos(process.pid()) / 1e9;
-                return new Start(cpu, (System.nanoTime() - began) / 1e9);
+            int status = probeStatus(address, path);
+            if (mustBeReady ? status == 200 : status != 0) {
+                double cpuSeconds = ProcessStatistics.cpuNanos(process.pid()) / 1e9;
+                return new StartupCost(cpuSeconds, (System.nanoTime() - startNanos) / 1e9);
             }
-            if (!process.alive() || System.nanoTime() - began > START_NANOS) {
-                throw new IOException("a process did not become ready; its log is in " + folder);
+            if (!process.isAlive() || System.nanoTime() - startNanos > START_TIMEOUT_NANOS) {
+                throw new IOException("a process did not become ready; its log is in " + directory);
             }
-            Thread.sleep(POLL_MILLIS);
+            Thread.sleep(POLL_INTERVAL_MILLIS);
         }
     }
 
-    private int status(String address, String path) throws InterruptedException {
+    private int probeStatus(String address, String path) throws InterruptedException {
         HttpRequest request = HttpRequest.newBuilder(URI.create("http://" + address + path))
-                .timeout(PROBE)
+                .timeout(PROBE_TIMEOUT)
                 .build();
         try {
             return http.send(request, HttpResponse.BodyHandlers.discarding()).statusCode();
@@ -114,14 +118,14 @@
         }
     }
 
-    /** Kills all processes: nothing of them is needed any more. */
+    /** Kills all processes, because none of their state is needed any more. */
     @Override
     public void close() throws InterruptedException {
         if (router != null) {
-            router.killForGood();
+            router.killPermanently();
         }
         for (FleetProcess controller : controllers) {
-            controller.killForGood();
+            controller.killPermanently();
         }
     }
 }
--- a/emulator/src/main/java/burlarch/emulator/demo/DemoClient.java
+++ b/emulator/src/main/java/burlarch/emulator/demo/DemoClient.java
@@ -10,26 +10,27 @@
 import java.util.concurrent.ThreadLocalRandom;
 
 /**
- * A client that retries: each request is attempted at random routers, each attempt with its own id, until it is
- * served, must not be retried, or its time is over. Thread-safe; one call is one request.
+ * HTTP client with retries: each request is attempted at random routers, each with an id of its own, until it is
+ * served, must not be retried, or its timeout expires. Thread-safe; one call of {@link #send} is one request.
  */
 final class DemoClient {
     private static final int MAX_ATTEMPTS = 4;
     private static final long RETRY_DELAY_MILLIS = 60;
 
     private final HttpClient http;
-    private final RouterProbe routers;
+    private final RouterProbe routerProbe;
     private final RequestLog log;
 
     /**
-     * A request as the client means it.
+     * Request, independent of its attempts.
      *
-     * @param idempotent whether it may run more than once
-     * @param headers names and values in turn
+     * @param idempotent whether it may be executed more than once
+     * @param stream whether the response is an event stream
+     * @param headers alternating names and values
      */
     record ClientRequest(String method, String path, boolean idempotent, boolean stream, String... headers) {}
 
-    /** How an attempt ended. */
+    /** Outcome of an attempt. */
     private enum AttemptOutcome {
         SERVED,
         SERVED_LATE,
@@ -38,27 +39,27 @@
         REFUSED
     }
 
-    DemoClient(HttpClient http, RouterProbe routers, RequestLog log) {
+    DemoClient(HttpClient http, RouterProbe routerProbe, RequestLog log) {
         this.http = http;
-        this.routers = routers;
+        this.routerProbe = routerProbe;
         this.log = log;
     }
 
-    /** Sends a request and retries it; returns when it is served or has failed. */
+    /** Sends a request, with retries if it permits them; returns when it is served or has failed. */
     void send(ClientRequest request) throws InterruptedException {
-        long began = System.nanoTime();
+        long startNanos = System.nanoTime();
         log.onRequest();
-        for (int count = 0; count < MAX_ATTEMPTS; count++) {
-            long left = DemoConfiguration.TIMEOUT_MILLIS - (System.nanoTime() - began) / 1_000_000;
-            if (left <= 0) {
+        for (int attempts = 0; attempts < MAX_ATTEMPTS; attempts++) {
+            long remainingMillis = DemoConfiguration.TIMEOUT_MILLIS - (System.nanoTime() - startNanos) / 1_000_000;
+            if (remainingMillis <= 0) {
                 break;
             }
-            AttemptOutcome end = attempt(request, began, left);
-            if (end == AttemptOutcome.SERVED || end == AttemptOutcome.SERVED_LATE) {
-                log.onServed(end == AttemptOutcome.SERVED);
+            AttemptOutcome outcome = attempt(request, startNanos, remainingMillis);
+            if (outcome == AttemptOutcome.SERVED || outcome == AttemptOutcome.SERVED_LATE) {
+                log.onServed(outcome == AttemptOutcome.SERVED);
                 return;
             }
-            if (end == AttemptOutcome.REFUSED || end == AttemptOutcome.UNKNOWN && !request.idempotent()) {
+            if (outcome == AttemptOutcome.REFUSED || outcome == AttemptOutcome.UNKNOWN && !request.idempotent()) {
                 break;
             }
             Thread.sleep(RETRY_DELAY_MILLIS);
@@ -66,13 +67,15 @@
         log.onFailed();
     }
 
-    private AttemptOutcome attempt(ClientRequest request, long began, long leftMillis) throws InterruptedException {
+    private AttemptOutcome attempt(ClientRequest request, long startNanos, long remainingMillis)
+            throws InterruptedException {
         String id = Long.toHexString(ThreadLocalRandom.current().nextLong());
-        HttpRequest.Builder builder = HttpRequest.newBuilder(URI.create("http://" + routers.any() + request.path()))
-                .timeout(Duration.ofMillis(leftMillis))
+        HttpRequest.Builder builder = HttpRequest.newBuilder(
+                        URI.create("http://" + routerProbe.randomAddress() + request.path()))
+                .timeout(Duration.ofMillis(remainingMillis))
                 .header("Host", DemoConfiguration.HOST)
                 .header("X-Request-Id", id)
-                .header("X-Request-Deadline", Long.toString(leftMillis))
+                .header("X-Request-Deadline", Long.toString(remainingMillis))
                 .headers(request.headers())
                 .method(
                         request.method(),
@@ -80,13 +83,13 @@
                                 ? HttpRequest.BodyPublishers.noBody()
                                 : HttpRequest.BodyPublishers.ofString("{}"));
         if (!request.idempotent()) {
-            log.atMostOnce(id);
+            log.requireAtMostOnce(id);
         }
-        StreamVerifier check = new StreamVerifier();
+        StreamVerifier verifier = new StreamVerifier();
         try {
             HttpResponse<Void> response =
-                    http.send(builder.build(), HttpResponse.BodyHandlers.fromLineSubscriber(check));
-            return outcomeOf(request, id, response, check, began);
+                    http.send(builder.build(), HttpResponse.BodyHandlers.fromLineSubscriber(verifier));
+            return outcomeOf(request, id, response, verifier, startNanos);
         } catch (ConnectException notSent) {
             return AttemptOutcome.NOT_EXECUTED;
         } catch (IOException broken) {
@@ -95,7 +98,7 @@
     }
 
     private AttemptOutcome outcomeOf(
-            ClientRequest request, String id, HttpResponse<Void> response, StreamVerifier check, long began) {
+            ClientRequest request, String id, HttpResponse<Void> response, StreamVerifier verifier, long startNanos) {
         int status = response.statusCode();
         if (status == 429 || status == 503 || status == 408 || status == 421) {
             log.onReportedUnexecuted(id);
@@ -108,11 +111,11 @@
                 .firstValue("X-Response-Signature")
                 .filter(signature -> signature.endsWith("." + id))
                 .isPresent();
-        if (status != 200 || !hasSignature || request.stream() && !check.complete()) {
+        if (status != 200 || !hasSignature || request.stream() && !verifier.isComplete()) {
             return AttemptOutcome.UNKNOWN;
         }
-        long responseNanos = request.stream() ? check.firstNanos() : System.nanoTime();
-        return responseNanos - began <= DemoConfiguration.TARGET_LATENCY_MILLIS * 1_000_000
+        long responseNanos = request.stream() ? verifier.firstNanos() : System.nanoTime();
+        return responseNanos - startNanos <= DemoConfiguration.TARGET_LATENCY_MILLIS * 1_000_000
                 ? AttemptOutcome.SERVED
                 : AttemptOutcome.SERVED_LATE;
     }
--- a/emulator/src/main/java/burlarch/emulator/demo/DemoConfiguration.java
+++ b/emulator/src/main/java/burlarch/emulator/demo/DemoConfiguration.java
@@ -2,7 +2,7 @@
 
 import java.util.Locale;
 
-/** The configurations that the operator of the demo submits. */
+/** JSON configurations that the operators of the demo and the bench submit. */
 final class DemoConfiguration {
     static final String HOST = "shop.demo";
     static final String READ = "/read/";
@@ -12,21 +12,22 @@
     static final String ENGINES = "engines";
     static final String SHOP = "shop";
     static final String SHOP_NEW = "shop-new";
-    /** Latency target of a plain response, or of a stream's first event. */
+    /** Target latency of a plain response, or of the first event of a stream. */
     static final long TARGET_LATENCY_MILLIS = 1_000;
 
     static final long TIMEOUT_MILLIS = 4_000;
     static final String[] KEYS = {"key-of-red", "key-of-green"};
-    /** A public route that exists in one version only, so that a router reveals which version it has in force. */
+    /** Path of a public route that exists in one version only, which shows the version that a router has in force. */
     private static final String VERSION_PATH = "/version-%d/";
 
     private DemoConfiguration() {}
 
-    /** The path of the version's public route. */
+    /** Returns the path of the public route of a version. */
     static String versionPath(long version) {
         return String.format(Locale.ROOT, VERSION_PATH, version);
     }
 
+    /** Returns the first configuration of the demo. */
     static String initial(long version, String storeAddress) {
         return "{\"config_version\":" + version + ",\"routes\":["
                 + route("read", READ, "idempotent", SHOP, "") + ","
@@ -38,7 +39,7 @@
                         ENGINES,
                         ",\"session_affinity\":true,\"resumable\":true,\"gap_aim_ms\":500")
                 + ","
-                + versionRoute(version) + "],\"services\":[" + plain(SHOP) + "," + plain(SHOP_NEW) + ","
+                + versionRoute(version) + "],\"services\":[" + plainService(SHOP) + "," + plainService(SHOP_NEW) + ","
                 + "{\"name\":\"" + ENGINES + "\",\"health_check\":\"/healthz\",\"max_connections\":200,"
                 + "\"protocol\":\"h1\",\"tls\":false,\"engine\":{\"capacity\":16,\"kv_capacity\":65536,"
                 + "\"kv_token_bytes\":1024,\"link_mbps\":10000.0,\"stride\":1,\"max_in_flight\":8,"
@@ -51,7 +52,7 @@
                 + "{\"name\":\"green\",\"api_keys\":[\"" + KEYS[1] + "\"]}]}";
     }
 
-    /** One streaming route to engines with so many slots. */
+    /** Returns the configuration of the bench: one streaming route to engines with {@code slots} slots. */
     static String bench(int slots) {
         return "{\"config_version\":1,\"routes\":[{\"name\":\"talk\",\"hostname\":\"" + HOST
                 + "\",\"path_prefix\":\"" + TALK + "\",\"route_type\":\"streaming\",\"timeout_ms\":60000,"
@@ -67,26 +68,26 @@
                 + "\"tenants\":[{\"name\":\"red\",\"api_keys\":[\"" + KEYS[0] + "\"],\"isolated\":true}]}";
     }
 
-    /** A patch that routes reads to another service and replaces the public route of the version. */
-    static String patch(long version, long former, String readsGoTo) {
+    /** Returns a patch that routes reads to another service and replaces the public route of the previous version. */
+    static String patch(long version, long previousVersion, String readService) {
         return "{\"config_version\":" + version + ",\"upsert\":{\"routes\":["
-                + route("read", READ, "idempotent", readsGoTo, "") + "," + versionRoute(version)
-                + "]},\"delete\":{\"routes\":[\"mark-" + former + "\"]}}";
+                + route("read", READ, "idempotent", readService, "") + "," + versionRoute(version)
+                + "]},\"delete\":{\"routes\":[\"mark-" + previousVersion + "\"]}}";
     }
 
     private static String versionRoute(long version) {
         return route("mark-" + version, versionPath(version), "idempotent", SHOP, ",\"public\":true");
     }
 
-    private static String plain(String name) {
+    private static String plainService(String name) {
         return "{\"name\":\"" + name + "\",\"health_check\":\"/healthz\",\"max_connections\":200,"
                 + "\"protocol\":\"h1\",\"tls\":false}";
     }
 
-    private static String route(String name, String prefix, String type, String service, String more) {
+    private static String route(String name, String prefix, String type, String service, String extraFields) {
         return "{\"name\":\"" + name + "\",\"hostname\":\"" + HOST + "\",\"path_prefix\":\"" + prefix
                 + "\",\"route_type\":\"" + type + "\",\"timeout_ms\":" + TIMEOUT_MILLIS
                 + ",\"target_latency_ms\":" + TARGET_LATENCY_MILLIS + ",\"priority\":1,\"service\":\"" + service
-                + "\",\"retries\":2" + more + "}";
+                + "\",\"retries\":2" + extraFields + "}";
     }
 }
--- a/emulator/src/main/java/burlarch/emulator/demo/DemoInstances.java
+++ b/emulator/src/main/java/burlarch/emulator/demo/DemoInstances.java
@@ -15,14 +15,14 @@
 import java.util.List;
 import java.util.Map;
 
-/** The emulated engines, store and plain instances of the demo. */
+/** Emulated engines, KV store and plain instances of the demo. Its methods may be called on any thread. */
 final class DemoInstances implements AutoCloseable {
     private static final int ENGINE_SLOTS = 16;
     private static final int PLAIN_SLOTS = 32;
-    private static final long PLAIN_MILLIS = 15;
+    private static final long PLAIN_WORK_MILLIS = 15;
     private static final int MAX_IN_FLIGHT = 8;
     private static final int STORE_TOKENS = 200_000;
-    /** How long an instance that shuts down serves beyond the drain timeout. */
+    /** How long an instance that shuts down keeps serving after the drain timeout. */
     private static final long LINGER_MILLIS = 500;
 
     private final LoopbackNetwork network;
@@ -30,8 +30,8 @@
     private final HttpClient http;
     private final List<String> controllers;
     private final List<EngineServer> engines = new ArrayList<>();
-    private final List<EmulatedInstance> others = new ArrayList<>();
-    private int started;
+    private final List<EmulatedInstance> otherInstances = new ArrayList<>();
+    private int instanceCount;
 
     DemoInstances(LoopbackNetwork network, ExecutionListener executions, HttpClient http, List<String> controllers) {
         this.network = network;
@@ -40,72 +40,74 @@
         this.controllers = controllers;
     }
 
-    private InstanceIdentity next(String service, int capacity) {
-        started++;
+    private InstanceIdentity nextIdentity(String service, int capacity) {
+        instanceCount++;
         return new InstanceIdentity(
-                "i-" + service + "-" + started,
+                "i-" + service + "-" + instanceCount,
                 service,
-                network.instance(started),
-                LoopbackNetwork.INSTANCE,
+                network.instance(instanceCount),
+                LoopbackNetwork.INSTANCE_PORT,
                 "hall",
                 capacity);
     }
 
-    private void begin(EmulatedInstance instance) {
+    private void startAndRegister(EmulatedInstance instance) {
         instance.start();
-        instance.register(new ControllerClient(http, controllers, started), NodeSettingsFile.HEARTBEAT_MILLIS);
+        instance.register(
+                new ControllerClient(http, controllers, instanceCount), NodeSettingsFile.HEARTBEAT_INTERVAL_MILLIS);
     }
 
-    synchronized EngineServer engine(long weights) throws IOException {
-        InstanceIdentity info = next(DemoConfiguration.ENGINES, ENGINE_SLOTS);
+    synchronized EngineServer startEngine(long weightsVersion) throws IOException {
+        InstanceIdentity identity = nextIdentity(DemoConfiguration.ENGINES, ENGINE_SLOTS);
         EngineServer engine = new EngineServer(
-                info,
+                identity,
                 executions,
                 EngineParameters.small(),
-                Map.of(DemoConfiguration.MODEL, weights),
+                Map.of(DemoConfiguration.MODEL, weightsVersion),
                 MAX_IN_FLIGHT,
-                started,
+                instanceCount,
                 http);
         engines.add(engine);
-        begin(engine);
+        startAndRegister(engine);
         return engine;
     }
 
-    synchronized void plain(String service) throws IOException {
-        PlainServer plain = new PlainServer(next(service, PLAIN_SLOTS), executions, PLAIN_MILLIS);
-        others.add(plain);
-        begin(plain);
+    synchronized void startPlainInstance(String service) throws IOException {
+        PlainServer plain = new PlainServer(nextIdentity(service, PLAIN_SLOTS), executions, PLAIN_WORK_MILLIS);
+        otherInstances.add(plain);
+        startAndRegister(plain);
     }
 
-    /** Starts the store, which is not announced to controllers; returns its address. */
-    synchronized String store() throws IOException {
-        StoreServer store = new StoreServer(next("store", 1), executions, STORE_TOKENS, MAX_IN_FLIGHT, started);
-        others.add(store);
+    /** Starts the KV store, which is not announced to controllers; returns its address. */
+    synchronized String startStore() throws IOException {
+        StoreServer store =
+                new StoreServer(nextIdentity("store", 1), executions, STORE_TOKENS, MAX_IN_FLIGHT, instanceCount);
+        otherInstances.add(store);
         store.start();
         return store.address();
     }
 
     /**
-     * Starts an engine as a replacement of the first one, which is drained; returns whether that was acknowledged.
+     * Starts an engine to replace the oldest one, and drains that; returns whether a controller acknowledged the drain.
      */
-    boolean replaceEngine(long weights) throws IOException, InterruptedException {
-        EngineServer leaving;
+    boolean replaceEngine(long weightsVersion) throws IOException, InterruptedException {
+        EngineServer drainingEngine;
         synchronized (this) {
-            leaving = engines.get(0);
+            drainingEngine = engines.get(0);
         }
-        engine(weights);
-        boolean acknowledged = leaving.shutDown(NodeSettingsFile.DRAIN_MILLIS, LINGER_MILLIS);
+        startEngine(weightsVersion);
+        boolean acknowledged = drainingEngine.shutDown(NodeSettingsFile.DRAIN_TIMEOUT_MILLIS, LINGER_MILLIS);
         synchronized (this) {
-            engines.remove(leaving);
+            engines.remove(drainingEngine);
         }
         return acknowledged;
     }
 
-    /** Versions of the weights by engine. */
-    synchronized Map<String, Long> weights() {
+    /** Returns the version of the weights by engine. */
+    synchronized Map<String, Long> weightsVersions() {
         Map<String, Long> versions = new LinkedHashMap<>();
         for (EngineServer engine : engines) {
-            versions.put(engine.info().id(), engine.versions().get(DemoConfiguration.MODEL));
+            versions.put(engine.identity().id(), engine.versions().get(DemoConfiguration.MODEL));
         }
         return versions;
     }
@@ -113,6 +115,6 @@
     @Override
     public synchronized void close() {
         engines.forEach(EmulatedInstance::close);
-        others.forEach(EmulatedInstance::close);
+        otherInstances.forEach(EmulatedInstance::close);
     }
 }
--- a/emulator/src/main/java/burlarch/emulator/demo/DemoOperator.java
+++ b/emulator/src/main/java/burlarch/emulator/demo/DemoOperator.java
@@ -5,59 +5,62 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** The operator of the demo: submits configurations and announces weights. */
+/** Operator of the demo: submits configurations and announces weights. */
 final class DemoOperator {
-    private static final Duration LIMIT = Duration.ofSeconds(20);
+    private static final Duration CALL_TIMEOUT = Duration.ofSeconds(20);
 
-    private final ControllerClient calls;
-    private final List<Long> sent = new ArrayList<>();
+    private final ControllerClient controllerClient;
+    private final List<Long> submittedVersions = new ArrayList<>();
 
-    DemoOperator(ControllerClient calls) {
-        this.calls = calls;
+    DemoOperator(ControllerClient controllerClient) {
+        this.controllerClient = controllerClient;
     }
 
     /** Submits the first configuration; returns whether it was acknowledged. */
     boolean createConfiguration(long version, String storeAddress) throws InterruptedException {
-        sent.add(version);
-        return calls.call("PUT", "/burlarch/config", DemoConfiguration.initial(version, storeAddress), "0", LIMIT)
+        submittedVersions.add(version);
+        return controllerClient
+                .call("PUT", "/burlarch/config", DemoConfiguration.initial(version, storeAddress), "0", CALL_TIMEOUT)
                 .ok();
     }
 
-    /** Routes reads to another service with a new version; returns whether it was acknowledged. */
-    boolean changeConfiguration(long version, String readsGoTo) throws InterruptedException {
-        long former = newest();
-        sent.add(version);
-        return calls.call(
+    /** Submits a version that routes reads to another service; returns whether it was acknowledged. */
+    boolean changeConfiguration(long version, String readService) throws InterruptedException {
+        long previousVersion = newestVersion();
+        submittedVersions.add(version);
+        return controllerClient
+                .call(
                         "PATCH",
                         "/burlarch/config",
-                        DemoConfiguration.patch(version, former, readsGoTo),
-                        Long.toString(former),
-                        LIMIT)
+                        DemoConfiguration.patch(version, previousVersion, readService),
+                        Long.toString(previousVersion),
+                        CALL_TIMEOUT)
                 .ok();
     }
 
-    /** Announces new weights; returns whether that was acknowledged. */
-    boolean nameWeights(long version) throws InterruptedException {
-        return calls.call(
+    /** Announces a version of the weights; returns whether it was acknowledged. */
+    boolean announceWeights(long version) throws InterruptedException {
+        return controllerClient
+                .call(
                         "POST",
                         "/burlarch/version-put",
                         "{\"model\":\"" + DemoConfiguration.MODEL + "\",\"config_version\":" + version + "}",
                         null,
-                        LIMIT)
+                        CALL_TIMEOUT)
                 .ok();
     }
 
-    /** Whether a read returns the newest version. */
-    boolean readsBack() throws InterruptedException {
-        ControllerClient.Response response = calls.call("GET", "/burlarch/config", null, null, LIMIT);
-        return response.ok() && response.body().contains("\"config_version\":" + newest() + ",");
+    /** Reads the configuration; returns whether it has the newest submitted version. */
+    boolean readReturnsNewestVersion() throws InterruptedException {
+        ControllerClient.Response response = controllerClient.call("GET", "/burlarch/config", null, null, CALL_TIMEOUT);
+        return response.ok() && response.body().contains("\"config_version\":" + newestVersion() + ",");
     }
 
-    long newest() {
-        return sent.get(sent.size() - 1);
+    long newestVersion() {
+        return submittedVersions.get(submittedVersions.size() - 1);
     }
 
     List<Long> versions() {
-        return List.copyOf(sent);
+        return List.copyOf(submittedVersions);
     }
 }
--- a/emulator/src/main/java/burlarch/emulator/demo/DemoReport.java
+++ b/emulator/src/main/java/burlarch/emulator/demo/DemoReport.java
@@ -5,16 +5,16 @@
 import java.util.Locale;
 import java.util.Map;
 
-/** The report of the demo: values beside their requirements. */
+/** Report of the demo: values with their requirements. */
 final class DemoReport {
-    /** Fraction of the requests that has to be served. */
+    /** Minimum fraction of the requests that must be served. */
     static final double MIN_SERVED_FRACTION = 0.95;
 
     private final List<Row> rows = new ArrayList<>();
 
-    private record Row(String name, String value, String requirement, boolean met) {}
+    private record Row(String name, String value, String requirement, boolean isMet) {}
 
-    /** Adds requests: all of them, those served, those served late, and those that failed. */
+    /** Adds the numbers of all requests, of those served, of those served late, and of those that failed. */
     DemoReport requests(int requests, int served, int late, int failed) {
         rows.add(new Row("asked", Integer.toString(requests), "over 0", requests > 0));
         rows.add(new Row(
@@ -27,41 +27,41 @@
         return this;
     }
 
-    private static String percent(double share) {
-        return String.format(Locale.ROOT, "%.0f%%", share * 100);
+    private static String percent(double fraction) {
+        return String.format(Locale.ROOT, "%.0f%%", fraction * 100);
     }
 
     /** Adds a count that must be 0. */
-    DemoReport none(String name, int count) {
+    DemoReport requireZero(String name, int count) {
         rows.add(new Row(name, Integer.toString(count), "0", count == 0));
         return this;
     }
 
-    /** Adds the versions that routers or engines have; each must be the newest. */
-    DemoReport versions(String name, Map<String, Long> found, long newest) {
-        found.forEach((holder, version) -> rows.add(
+    /** Adds the versions that routers or engines have in force; each must be the newest. */
+    DemoReport versions(String name, Map<String, Long> versionByHolder, long newest) {
+        versionByHolder.forEach((holder, version) -> rows.add(
                 new Row(name + " on " + holder, Long.toString(version), Long.toString(newest), version == newest)));
         return this;
     }
 
     /** Adds a step that must have succeeded. */
-    DemoReport step(String name, boolean worked) {
-        rows.add(new Row(name, worked ? "yes" : "no", "yes", worked));
+    DemoReport step(String name, boolean succeeded) {
+        rows.add(new Row(name, succeeded ? "yes" : "no", "yes", succeeded));
         return this;
     }
 
     boolean passes() {
-        return rows.stream().allMatch(Row::met);
+        return rows.stream().allMatch(Row::isMet);
     }
 
-    /** The table, a line a row. */
+    /** Formats the report as a table with one line per row, and the verdict. */
     String table() {
         StringBuilder text = new StringBuilder();
         for (Row row : rows) {
             text.append(String.format(
                     Locale.ROOT,
                     "  %-4s %-44s %8s   %s%n",
-                    row.met() ? "ok" : "BAD",
+                    row.isMet() ? "ok" : "BAD",
                     row.name(),
                     row.value(),
                     row.requirement()));
--- a/emulator/src/main/java/burlarch/emulator/demo/FleetDemo.java
+++ b/emulator/src/main/java/burlarch/emulator/demo/FleetDemo.java
@@ -14,18 +14,19 @@
 import java.util.concurrent.ExecutionException;
 
 /**
- * The script of the demo. It stops each process that it started by its process id, also when it is interrupted.
- * Runs on the main thread; the replacement of an engine on another.
+ * Demo of the fleet: starts all processes, runs traffic with faults and changes, and reports. It stops each process
+ * that it started by process id, also if it is interrupted. Runs on the main thread; an engine is replaced
+ * on another one.
  */
 final class FleetDemo {
-    private static final int CONTROLLERS = 3;
-    private static final int ROUTERS = 2;
-    private static final int ENGINES = 3;
-    private static final int KILLED = 1;
-    private static final long START_MILLIS = 30_000;
-    private static final long POLL_MILLIS = 100;
-    private static final long FIRST = 1;
-    private static final long SEED = 1;
+    private static final int CONTROLLER_COUNT = 3;
+    private static final int ROUTER_COUNT = 2;
+    private static final int ENGINE_COUNT = 3;
+    private static final int KILLED_CONTROLLER_INDEX = 1;
+    private static final long START_TIMEOUT_MILLIS = 30_000;
+    private static final long POLL_INTERVAL_MILLIS = 100;
+    private static final long INITIAL_VERSION = 1;
+    private static final long TRAFFIC_SEED = 1;
 
     private final Main.DemoOptions options;
     private final PrintStream output;
@@ -37,191 +38,192 @@
             .connectTimeout(Duration.ofSeconds(1))
             .build();
     private final DemoReport report = new DemoReport();
-    private long began;
+    private long demoStartNanos;
 
     FleetDemo(Main.DemoOptions options, PrintStream output) {
         this.options = options;
         this.output = output;
     }
 
-    /** Runs the demo; returns whether all requirements are met. */
+    /** Runs the demo and prints the report; returns whether all requirements are met. */
     boolean run() throws Exception {
         Path jar = options.jar().toAbsolutePath();
         if (!Files.isRegularFile(jar)) {
             throw new IOException(jar + " is not there: run 'mvn -q -DskipTests package' first");
         }
-        Path folder = Files.createTempDirectory("burlarch-demo");
-        Path logs = options.logs() == null ? folder : Files.createDirectories(options.logs());
-        Thread atExit = new Thread(() -> abandon(folder), "end-of-demo");
-        Runtime.getRuntime().addShutdownHook(atExit);
+        Path directory = Files.createTempDirectory("burlarch-demo");
+        Path logs = options.logs() == null ? directory : Files.createDirectories(options.logs());
+        Thread shutdownHook = new Thread(() -> killAndCleanUp(directory), "end-of-demo");
+        Runtime.getRuntime().addShutdownHook(shutdownHook);
         try (LoopbackNetwork network = LoopbackNetwork.reserve()) {
-            prepare(network, jar, folder, logs.toAbsolutePath());
-            play(network);
+            startProcesses(network, jar, directory, logs.toAbsolutePath());
+            runScenario(network);
         } finally {
-            endAll();
-            leave(atExit, folder);
+            stopAll();
+            cleanUp(shutdownHook, directory);
         }
         output.println(report.table());
         return report.passes();
     }
 
-    private static void leave(Thread atExit, Path folder) throws IOException {
+    private static void cleanUp(Thread shutdownHook, Path directory) throws IOException {
         try {
-            Runtime.getRuntime().removeShutdownHook(atExit);
-            TemporaryDirectory.delete(folder);
+            Runtime.getRuntime().removeShutdownHook(shutdownHook);
+            TemporaryDirectory.delete(directory);
         } catch (IllegalStateException interrupted) {
-            // The process is ending already, and the shutdown hook deletes the directory.
+            // The process is already shutting down, and the shutdown hook deletes the directory.
         }
     }
 
-    private void prepare(LoopbackNetwork network, Path jar, Path folder, Path logs) throws IOException {
+    private void startProcesses(LoopbackNetwork network, Path jar, Path directory, Path logs) throws IOException {
         List<String> seeds = controlAddresses(network);
-        for (int i = 1; i <= CONTROLLERS; i++) {
+        for (int i = 1; i <= CONTROLLER_COUNT; i++) {
             String name = "controller-" + i;
-            Path file = NodeSettingsFile.controller(folder, name, network.controller(i), seeds, true);
+            Path file = NodeSettingsFile.controller(directory, name, network.controller(i), seeds, true);
             controllers.add(new FleetProcess("controller", jar, file, logs.resolve(name + ".log")));
         }
-        for (int i = 1; i <= ROUTERS; i++) {
+        for (int i = 1; i <= ROUTER_COUNT; i++) {
             String name = "router-" + i;
-            Path file = NodeSettingsFile.router(folder, name, network.router(i), seeds);
+            Path file = NodeSettingsFile.router(directory, name, network.router(i), seeds);
             routers.add(new FleetProcess("router", jar, file, logs.resolve(name + ".log")));
         }
-        began = System.nanoTime();
-        print(CONTROLLERS + " controllers and " + ROUTERS + " routers start");
-        for (FleetProcess process : all()) {
+        demoStartNanos = System.nanoTime();
+        print(CONTROLLER_COUNT + " controllers and " + ROUTER_COUNT + " routers start");
+        for (FleetProcess process : allProcesses()) {
             process.start();
         }
     }
 
     private static List<String> controlAddresses(LoopbackNetwork network) {
         List<String> addresses = new ArrayList<>();
-        for (int i = 1; i <= CONTROLLERS; i++) {
-            addresses.add(network.controller(i) + ":" + LoopbackNetwork.CONTROL);
+        for (int i = 1; i <= CONTROLLER_COUNT; i++) {
+            addresses.add(network.controller(i) + ":" + LoopbackNetwork.CONTROL_PORT);
         }
         return addresses;
     }
 
-    private void play(LoopbackNetwork network) throws Exception {
+    private void runScenario(LoopbackNetwork network) throws Exception {
         List<String> addresses = controlAddresses(network);
         RouterProbe routerProbe = new RouterProbe(http, List.of(network.router(1), network.router(2)));
         DemoOperator operator = new DemoOperator(new ControllerClient(http, addresses, 0));
         try (DemoInstances instances = new DemoInstances(network, log, http, addresses)) {
-            String store = instances.store();
-            report.step("first configuration acknowledged", operator.createConfiguration(FIRST, store));
-            for (int i = 0; i < ENGINES; i++) {
-                instances.engine(FIRST);
+            String storeAddress = instances.startStore();
+            report.step(
+                    "first configuration acknowledged", operator.createConfiguration(INITIAL_VERSION, storeAddress));
+            for (int i = 0; i < ENGINE_COUNT; i++) {
+                instances.startEngine(INITIAL_VERSION);
             }
-            instances.plain(DemoConfiguration.SHOP);
-            instances.plain(DemoConfiguration.SHOP_NEW);
+            instances.startPlainInstance(DemoConfiguration.SHOP);
+            instances.startPlainInstance(DemoConfiguration.SHOP_NEW);
             awaitReady(routerProbe);
-            traffic(operator, routerProbe, instances);
+            runTraffic(operator, routerProbe, instances);
         }
     }
 
     private void awaitReady(RouterProbe routerProbe) throws InterruptedException, IOException {
-        long end = System.nanoTime() + START_MILLIS * 1_000_000;
+        long deadlineNanos = System.nanoTime() + START_TIMEOUT_MILLIS * 1_000_000;
         while (!routerProbe.allReady()) {
-            if (System.nanoTime() - end > 0) {
-                throw new IOException("the routers are not ready after " + START_MILLIS / 1000 + " s");
+            if (System.nanoTime() - deadlineNanos > 0) {
+                throw new IOException("the routers are not ready after " + START_TIMEOUT_MILLIS / 1000 + " s");
             }
-            Thread.sleep(POLL_MILLIS);
+            Thread.sleep(POLL_INTERVAL_MILLIS);
         }
         print("routers are ready");
     }
 
-    private void traffic(DemoOperator operator, RouterProbe routerProbe, DemoInstances instances) throws Exception {
-        long start = System.nanoTime();
-        try (OpenLoopTraffic traffic = new OpenLoopTraffic(new DemoClient(http, routerProbe, log), SEED)) {
+    private void runTraffic(DemoOperator operator, RouterProbe routerProbe, DemoInstances instances) throws Exception {
+        long trafficStartNanos = System.nanoTime();
+        try (OpenLoopTraffic traffic = new OpenLoopTraffic(new DemoClient(http, routerProbe, log), TRAFFIC_SEED)) {
             traffic.start();
             print("traffic starts");
-            injectFaults(operator, instances, start);
-            until(start, options.seconds());
+            injectFaults(operator, instances, trafficStartNanos);
+            sleepUntil(trafficStartNanos, options.seconds());
             traffic.finish();
         }
-        Thread.sleep(NodeSettingsFile.CONFIGURATION_MILLIS);
-        report(operator, routerProbe, instances);
+        Thread.sleep(NodeSettingsFile.CONFIGURATION_APPLY_MILLIS);
+        fillReport(operator, routerProbe, instances);
     }
 
-    private void injectFaults(DemoOperator operator, DemoInstances instances, long start) throws Exception {
-        until(start, 2);
+    private void injectFaults(DemoOperator operator, DemoInstances instances, long trafficStartNanos) throws Exception {
+        sleepUntil(trafficStartNanos, 2);
         report.step("change acknowledged", operator.changeConfiguration(4, DemoConfiguration.SHOP_NEW));
         print("configuration 4 is acknowledged: reads go to another service");
-        until(start, 3.5);
+        sleepUntil(trafficStartNanos, 3.5);
         print("an engine drains, another takes its place");
-        CompletableFuture<Boolean> replaced = CompletableFuture.supplyAsync(() -> replace(instances));
-        until(start, 5);
-        controllers.get(KILLED).kill();
+        CompletableFuture<Boolean> drainAcknowledged = CompletableFuture.supplyAsync(() -> replaceEngine(instances));
+        sleepUntil(trafficStartNanos, 5);
+        controllers.get(KILLED_CONTROLLER_INDEX).kill();
         print("controller 2 is killed");
-        until(start, 6);
+        sleepUntil(trafficStartNanos, 6);
         report.step(
                 "change with a controller down acknowledged", operator.changeConfiguration(9, DemoConfiguration.SHOP));
         print("configuration 9 is acknowledged by the other two");
-        until(start, 7);
-        controllers.get(KILLED).start();
+        sleepUntil(trafficStartNanos, 7);
+        controllers.get(KILLED_CONTROLLER_INDEX).start();
         print("controller 2 starts again");
-        report.step("drain acknowledged", replaced.get());
-        until(start, 8);
-        report.step("new weights acknowledged", operator.nameWeights(2));
-        print("weights 2 are named");
-        until(start, 12);
+        report.step("drain acknowledged", drainAcknowledged.get());
+        sleepUntil(trafficStartNanos, 8);
+        report.step("new weights acknowledged", operator.announceWeights(2));
+        print("weights 2 are announced");
+        sleepUntil(trafficStartNanos, 12);
         report.step("last change acknowledged", operator.changeConfiguration(12, DemoConfiguration.SHOP_NEW));
         print("configuration 12 is acknowledged");
     }
 
-    private static boolean replace(DemoInstances instances) {
+    private static boolean replaceEngine(DemoInstances instances) {
         try {
-            return instances.replaceEngine(FIRST);
+            return instances.replaceEngine(INITIAL_VERSION);
         } catch (IOException | InterruptedException e) {
             return false;
         }
     }
 
-    private static void until(long start, double seconds) throws InterruptedException {
-        long left = start + (long) (seconds * 1e9) - System.nanoTime();
-        if (left > 0) {
-            Thread.sleep(left / 1_000_000, (int) (left % 1_000_000));
+    private static void sleepUntil(long trafficStartNanos, double seconds) throws InterruptedException {
+        long remainingNanos = trafficStartNanos + (long) (seconds * 1e9) - System.nanoTime();
+        if (remainingNanos > 0) {
+            Thread.sleep(remainingNanos / 1_000_000, (int) (remainingNanos % 1_000_000));
         }
     }
 
-    private void report(DemoOperator operator, RouterProbe routerProbe, DemoInstances instances)
+    private void fillReport(DemoOperator operator, RouterProbe routerProbe, DemoInstances instances)
             throws InterruptedException, ExecutionException {
-        report.step("newest configuration read back", operator.readsBack());
+        report.step("newest configuration read back", operator.readReturnsNewestVersion());
         report.requests(log.requestCount(), log.servedCount(), log.lateCount(), log.failedCount());
-        report.none("requests that ran twice", log.duplicateExecutions());
-        report.none("requests that ran after a promise not to", log.executedAfterReport());
-        report.none("requests to a drained instance", log.requestsAfterDrain());
-        report.versions("configuration", routerProbe.versions(operator.versions()), operator.newest());
-        report.versions("weights", instances.weights(), 2);
-        report.none("processes that ended by themselves", (int)
-                all().stream().filter(process -> !process.alive()).count());
+        report.requireZero("requests that were executed twice", log.duplicateExecutions());
+        report.requireZero("requests executed though reported otherwise", log.executedAfterReport());
+        report.requireZero("requests to a drained instance", log.requestsAfterDrain());
+        report.versions("configuration", routerProbe.versions(operator.versions()), operator.newestVersion());
+        report.versions("weights", instances.weightsVersions(), 2);
+        report.requireZero("processes that ended unexpectedly", (int)
+                allProcesses().stream().filter(process -> !process.isAlive()).count());
     }
 
-    private void print(String what) {
-        output.printf(Locale.ROOT, "%6.1f s  %s%n", (System.nanoTime() - began) / 1e9, what);
+    private void print(String event) {
+        output.printf(Locale.ROOT, "%6.1f s  %s%n", (System.nanoTime() - demoStartNanos) / 1e9, event);
     }
 
-    private List<FleetProcess> all() {
-        List<FleetProcess> all = new ArrayList<>(controllers);
-        all.addAll(routers);
-        return all;
+    private List<FleetProcess> allProcesses() {
+        List<FleetProcess> processes = new ArrayList<>(controllers);
+        processes.addAll(routers);
+        return processes;
     }
 
-    private void endAll() throws InterruptedException {
-        all().forEach(FleetProcess::terminate);
-        for (FleetProcess process : all()) {
-            process.end();
+    private void stopAll() throws InterruptedException {
+        allProcesses().forEach(FleetProcess::terminate);
+        for (FleetProcess process : allProcesses()) {
+            process.stop();
         }
     }
 
-    /** The demo is interrupted: stops all processes and deletes the directory. */
-    private void abandon(Path folder) {
+    /** Kills all processes and deletes the directory, if the demo is interrupted. */
+    private void killAndCleanUp(Path directory) {
         try {
-            for (FleetProcess process : all()) {
-                process.killForGood();
+            for (FleetProcess process : allProcesses()) {
+                process.killPermanently();
             }
-            TemporaryDirectory.delete(folder);
+            TemporaryDirectory.delete(directory);
         } catch (IOException | InterruptedException e) {
-            output.println("burlarch: left behind: " + folder);
+            output.println("burlarch: directory not deleted: " + directory);
         }
     }
 }
--- a/emulator/src/main/java/burlarch/emulator/demo/FleetProcess.java
+++ b/emulator/src/main/java/burlarch/emulator/demo/FleetProcess.java
@@ -5,7 +5,7 @@
 import java.util.List;
 import java.util.concurrent.TimeUnit;
 
-/** A router or controller process, started and stopped by its own process id. Thread-safe. */
+/** Router or controller process, which can be started and stopped repeatedly. Thread-safe. */
 final class FleetProcess {
     private static final long SHUTDOWN_TIMEOUT_SECONDS = 5;
 
@@ -14,7 +14,7 @@
     private final Path settings;
     private final Path log;
     private Process process;
-    private boolean closed;
+    private boolean startPrevented;
 
     FleetProcess(String role, Path jar, Path settings, Path log) {
         this(
@@ -33,7 +33,7 @@
                 log);
     }
 
-    /** @param directory in which the command is run */
+    /** @param directory working directory of the process */
     FleetProcess(List<String> command, Path directory, Path settings, Path log) {
         this.command = List.copyOf(command);
         this.directory = directory;
@@ -42,8 +42,8 @@
     }
 
     synchronized void start() throws IOException {
-        if (closed) {
-            throw new IOException("the demo is over");
+        if (startPrevented) {
+            throw new IOException("process cannot be started after it was killed permanently");
         }
         ProcessBuilder builder = new ProcessBuilder(command).directory(directory.toFile());
         builder.environment().put("BURLARCH_NODE_FILE", settings.toString());
@@ -51,22 +51,22 @@
         process = builder.start();
     }
 
-    /** Kills it, as a power failure would. */
+    /** Kills the process without a graceful shutdown, like a power failure. */
     synchronized void kill() throws InterruptedException {
         process.destroyForcibly();
         process.waitFor();
     }
 
-    /** Kills it if it runs; it can not be started again. */
-    synchronized void killForGood() throws InterruptedException {
-        closed = true;
+    /** Kills the process if it runs, and prevents another start. */
+    synchronized void killPermanently() throws InterruptedException {
+        startPrevented = true;
         if (process != null) {
             kill();
         }
     }
 
-    /** Whether it runs. */
-    synchronized boolean alive() {
+    /** Returns whether the process runs. */
+    synchronized boolean isAlive() {
         return process != null && process.isAlive();
     }
 
@@ -74,15 +74,15 @@
         return process.pid();
     }
 
-    /** Sends it a termination signal. */
+    /** Sends a termination signal to the process, if it was started. */
     synchronized void terminate() {
         if (process != null) {
             process.destroy();
         }
     }
 
-    /** Stops it gracefully, or kills it after a time-out. */
-    synchronized void end() throws InterruptedException {
+    /** Stops the process gracefully, or kills it after a timeout. */
+    synchronized void stop() throws InterruptedException {
         if (process != null) {
             process.destroy();
             if (!process.waitFor(SHUTDOWN_TIMEOUT_SECONDS, TimeUnit.SECONDS)) {
--- a/emulator/src/main/java/burlarch/emulator/demo/LoopbackNetwork.java
+++ b/emulator/src/main/java/burlarch/emulator/demo/LoopbackNetwork.java
@@ -6,33 +6,34 @@
 import java.net.ServerSocket;
 
 /**
- * A subnet of 127.0.0.0/8 that no other demo uses: each machine has an address of its own, with the same ports on
- * all. A listening socket reserves it.
+ * Subnet of 127.0.0.0/8 that no other demo or bench uses. Each emulated machine has an address of its own, and all use
+ * the same ports. A bound socket reserves the subnet until it is closed.
  */
 final class LoopbackNetwork implements AutoCloseable {
-    static final int FRONT = 8_782;
-    static final int READINESS = 8_789;
-    static final int CONTROL = 8_783;
-    static final int INSTANCE = 8_080;
+    static final int FRONT_PORT = 8_782;
+    static final int READINESS_PORT = 8_789;
+    static final int CONTROL_PORT = 8_783;
+    static final int INSTANCE_PORT = 8_080;
     static final int FIRST_NODE_PORT = 7_340;
     static final int LAST_NODE_PORT = 7_355;
-    private static final int FIRST = 32;
-    private static final int LAST = 127;
+    private static final int FIRST_SUBNET = 32;
+    private static final int LAST_SUBNET = 127;
 
-    private final int number;
+    private final int subnet;
     private final ServerSocket reservation;
 
-    private LoopbackNetwork(int number, ServerSocket held) {
-        this.number = number;
-        this.reservation = held;
+    private LoopbackNetwork(int subnet, ServerSocket reservation) {
+        this.subnet = subnet;
+        this.reservation = reservation;
     }
 
+    /** Reserves the first free subnet. */
     static LoopbackNetwork reserve() throws IOException {
-        for (int number = FIRST; number <= LAST; number++) {
+        for (int subnet = FIRST_SUBNET; subnet <= LAST_SUBNET; subnet++) {
             ServerSocket socket = new ServerSocket();
             try {
-                socket.bind(new InetSocketAddress(InetAddress.getByName("127." + number + ".0.1"), FIRST_NODE_PORT));
-                return new LoopbackNetwork(number, socket);
+                socket.bind(new InetSocketAddress(InetAddress.getByName("127." + subnet + ".0.1"), FIRST_NODE_PORT));
+                return new LoopbackNetwork(subnet, socket);
             } catch (IOException taken) {
                 socket.close();
             }
@@ -41,15 +42,15 @@
     }
 
     String controller(int index) {
-        return "127." + number + ".1." + index;
+        return "127." + subnet + ".1." + index;
     }
 
     String router(int index) {
-        return "127." + number + ".2." + index;
+        return "127." + subnet + ".2." + index;
     }
 
     String instance(int index) {
-        return "127." + number + ".3." + index;
+        return "127." + subnet + ".3." + index;
     }
 
     @Override
--- a/emulator/src/main/java/burlarch/emulator/demo/Main.java
+++ b/emulator/src/main/java/burlarch/emulator/demo/Main.java
@@ -11,7 +11,7 @@
 import org.kohsuke.args4j.spi.SubCommandHandler;
 import org.kohsuke.args4j.spi.SubCommands;
 
-/** The command line of the emulator. */
+/** Command line of the emulator, with the commands {@code fleet-demo} and {@code fleet-bench}. */
 public final class Main {
     static final int PASSED = 0;
     static final int FAILED = 1;
@@ -22,20 +22,20 @@
             burlarch fleet-demo [--seconds N] [--jar FILE] [--logs FOLDER]
               Starts 3 controllers and 2 routers as processes of their own, and in this process engines, a
               store, plain instances, an operator and clients, all on loopback. While traffic runs it changes
-              the configuration, replaces an engine, kills a controller and names new weights.
+              the configuration, replaces an engine, kills a controller and announces new weights.
               --seconds N    of traffic, 15 or more (default 15)
               --jar FILE     the fleet's program (default target/burlarch.jar)
-              --logs FOLDER  where the programs' logs are kept (default: a folder that goes with the demo)
+              --logs FOLDER  for the logs of the programs (default: a folder that is deleted after the demo)
             burlarch fleet-bench [--seconds N] [--home FOLDER]
               Starts 3 controllers and a router as the deployment does, and in this process an engine and
-              clients, and measures: CPU up to ready, CPU at rest, what the router adds to the age of a
-              stream's events at half a core, memory with 300 open streams.
+              clients, and measures: CPU until ready, CPU while idle, what the router adds to the age of
+              stream events at half a core, memory with 300 open streams.
               --seconds N    of each measurement, 5 or more (default 10)
-              --home FOLDER  with deploy/system.toml and the build (default: where it is called)
+              --home FOLDER  with deploy/system.toml and the build (default: the working directory)
             Exit codes:
-              0  the verdict is good, or all goals are reached
-              1  a bar of the verdict, or a goal, is missed
-              2  it could not run""";
+              0  all requirements or goals are met
+              1  a requirement or a goal is missed
+              2  the command could not run""";
 
     @Option(name = "--help", help = true)
     private boolean help;
@@ -86,17 +86,17 @@
         }
     }
 
-    /** One of the commands with its options. */
+    /** A command with its options. */
     interface Command {
         boolean help();
 
-        /** Runs it; returns whether all requirements are met. */
+        /** Runs the command; returns whether all requirements are met. */
         boolean run(PrintStream output) throws Exception;
     }
 
     /** Options of the bench. Public because args4j creates it. */
     public static final class BenchOptions implements Command {
-        private static final int LEAST_SECONDS = 5;
+        private static final int MIN_SECONDS = 5;
 
         @Option(name = "--help", help = true)
         private boolean help;
@@ -114,19 +114,19 @@
 
         @Override
         public boolean run(PrintStream output) throws Exception {
-            return new FleetBench(home.toAbsolutePath(), Math.max(LEAST_SECONDS, seconds), output).run();
+            return new FleetBench(home.toAbsolutePath(), Math.max(MIN_SECONDS, seconds), output).run();
         }
     }
 
     /** Options of the demo. Public because args4j creates it. */
     public static final class DemoOptions implements Command {
-        private static final int LEAST_SECONDS = 15;
+        private static final int MIN_SECONDS = 15;
 
         @Option(name = "--help", help = true)
         private boolean help;
 
         @Option(name = "--seconds")
-        private int seconds = LEAST_SECONDS;
+        private int seconds = MIN_SECONDS;
 
         @Option(name = "--jar")
         private Path jar = Path.of("target", "burlarch.jar");
@@ -145,7 +145,7 @@
         }
 
         int seconds() {
-            return Math.max(LEAST_SECONDS, seconds);
+            return Math.max(MIN_SECONDS, seconds);
         }
 
         Path jar() {
--- a/emulator/src/main/java/burlarch/emulator/demo/RequestLog.java
+++ b/emulator/src/main/java/burlarch/emulator/demo/RequestLog.java
@@ -7,8 +7,8 @@
 import java.util.concurrent.atomic.AtomicInteger;
 
 /**
- * Counts what clients requested and received, and what instances executed. Clients and instances report on many
- * threads; all state is concurrent. The checks read it once the traffic has ended.
+ * Record of what clients requested and received, and of what instances executed. Thread-safe; the checks are called
+ * after the traffic has ended.
  */
 final class RequestLog implements ExecutionListener {
     private final Map<String, AtomicInteger> executions = new ConcurrentHashMap<>();
@@ -34,12 +34,12 @@
         requests.incrementAndGet();
     }
 
-    /** The attempt with that id may be executed at most once. */
-    void atMostOnce(String requestId) {
+    /** Records that the attempt with this id must be executed at most once. */
+    void requireAtMostOnce(String requestId) {
         atMostOnce.add(requestId);
     }
 
-    /** A response stated that this attempt was not executed and never will be. */
+    /** Records that a response stated that this attempt was not executed and will not be. */
     void onReportedUnexecuted(String requestId) {
         reportedUnexecuted.add(requestId);
     }
@@ -55,12 +55,12 @@
         failed.incrementAndGet();
     }
 
-    /** Attempts that were executed more than once although they must not be. */
+    /** Returns the number of attempts that were executed more than once but must not be. */
     int duplicateExecutions() {
         return (int) atMostOnce.stream().filter(id -> executionsOf(id) > 1).count();
     }
 
-    /** Attempts that were executed although a response stated the contrary. */
+    /** Returns the number of at-most-once attempts that were executed although a response stated the contrary. */
     int executedAfterReport() {
         return (int) reportedUnexecuted.stream()
                 .filter(id -> atMostOnce.contains(id) && executionsOf(id) > 0)
--- a/emulator/src/main/java/burlarch/emulator/demo/RouterProbe.java
+++ b/emulator/src/main/java/burlarch/emulator/demo/RouterProbe.java
@@ -11,9 +11,9 @@
 import java.util.Map;
 import java.util.concurrent.ThreadLocalRandom;
 
-/** Probes the routers from outside: readiness, and which configuration they have in force. */
+/** Probe of the routers from outside: their readiness, and the configuration that they have in force. */
 final class RouterProbe {
-    private static final Duration PROBE = Duration.ofSeconds(1);
+    private static final Duration PROBE_TIMEOUT = Duration.ofSeconds(1);
 
     private final HttpClient http;
     private final List<String> ips;
@@ -23,40 +23,40 @@
         this.ips = ips;
     }
 
-    /** The address of a random router, for a client to connect to. */
-    String any() {
-        return ips.get(ThreadLocalRandom.current().nextInt(ips.size())) + ":" + LoopbackNetwork.FRONT;
+    /** Returns the address at which a random router accepts clients. */
+    String randomAddress() {
+        return ips.get(ThreadLocalRandom.current().nextInt(ips.size())) + ":" + LoopbackNetwork.FRONT_PORT;
     }
 
-    /** Whether every router reports that it is ready. */
+    /** Returns whether every router reports that it is ready. */
     boolean allReady() throws InterruptedException {
         for (String ip : ips) {
-            if (status(ip + ":" + LoopbackNetwork.READINESS, "/burlarch/readyz") != 200) {
+            if (probeStatus(ip + ":" + LoopbackNetwork.READINESS_PORT, "/burlarch/readyz") != 200) {
                 return false;
             }
         }
         return true;
     }
 
-    /** The newest of the candidate versions that each router has in force, 0 for none, by its version route. */
+    /** Returns by router the newest of the versions whose version route it serves, 0 if none. */
     Map<String, Long> versions(List<Long> candidates) throws InterruptedException {
-        Map<String, Long> found = new LinkedHashMap<>();
+        Map<String, Long> versionByRouter = new LinkedHashMap<>();
         for (String ip : ips) {
             long newest = 0;
             for (long version : candidates) {
                 String path = DemoConfiguration.versionPath(version);
-                if (status(ip + ":" + LoopbackNetwork.FRONT, path) == 200) {
+                if (probeStatus(ip + ":" + LoopbackNetwork.FRONT_PORT, path) == 200) {
                     newest = Math.max(newest, version);
                 }
             }
-            found.put("router " + ip, newest);
+            versionByRouter.put("router " + ip, newest);
         }
-        return found;
+        return versionByRouter;
     }
 
-    private int status(String address, String path) throws InterruptedException {
+    private int probeStatus(String address, String path) throws InterruptedException {
         HttpRequest request = HttpRequest.newBuilder(URI.create("http://" + address + path))
-                .timeout(PROBE)
+                .timeout(PROBE_TIMEOUT)
                 .header("Host", DemoConfiguration.HOST)
                 .header("X-Request-Deadline", "1000")
                 .header(
--- a/emulator/src/main/java/burlarch/emulator/demo/StreamVerifier.java
+++ b/emulator/src/main/java/burlarch/emulator/demo/StreamVerifier.java
@@ -3,14 +3,14 @@
 import java.util.concurrent.Flow;
 
 /**
- * Verifies the lines of an event stream: events must be numbered without a gap, up to the one marked as the end.
- * The HTTP client calls it on its threads, one call at a time; the results are read after the response.
+ * Subscriber that verifies the lines of an event stream: events must be numbered without a gap, up to the one marked as
+ * the end. The HTTP client calls it on its threads, one call at a time; the results are read after the response.
  */
 final class StreamVerifier implements Flow.Subscriber<String> {
     private volatile long firstNanos;
     private volatile boolean ended;
-    private volatile boolean broken;
-    private long last;
+    private volatile boolean invalid;
+    private long lastNumber;
 
     @Override
     public void onSubscribe(Flow.Subscription subscription) {
@@ -24,8 +24,8 @@
                 firstNanos = System.nanoTime();
             }
             long number = Long.parseLong(line.substring("id: ".length()));
-            broken |= number != last + 1 || ended;
-            last = number;
+            invalid |= number != lastNumber + 1 || ended;
+            lastNumber = number;
         } else if (line.startsWith("data: ") && line.endsWith(" end")) {
             ended = true;
         }
@@ -33,7 +33,7 @@
 
     @Override
     public void onError(Throwable failure) {
-        broken = true;
+        invalid = true;
     }
 
     @Override
@@ -41,11 +41,12 @@
         // Only the event that is marked as the end counts.
     }
 
-    boolean complete() {
-        return ended && !broken;
+    /** Returns whether all events up to the end were received in order. */
+    boolean isComplete() {
+        return ended && !invalid;
     }
 
-    /** When the first event arrived, 0 before. */
+    /** Returns the {@link System#nanoTime} at which the first event arrived, 0 before. */
     long firstNanos() {
         return firstNanos;
     }
--- a/emulator/src/main/java/burlarch/emulator/demo/TemporaryDirectory.java
+++ b/emulator/src/main/java/burlarch/emulator/demo/TemporaryDirectory.java
@@ -6,12 +6,12 @@
 import java.util.Comparator;
 import java.util.stream.Stream;
 
-/** Deletes the temporary directory of a demo or bench. */
+/** Helper that deletes the temporary directory of a demo or bench, with its content. */
 final class TemporaryDirectory {
     private TemporaryDirectory() {}
 
-    static void delete(Path folder) throws IOException {
-        try (Stream<Path> files = Files.walk(folder)) {
+    static void delete(Path directory) throws IOException {
+        try (Stream<Path> files = Files.walk(directory)) {
             for (Path file : files.sorted(Comparator.reverseOrder()).toList()) {
                 Files.delete(file);
             }
--- a/emulator/src/main/java/burlarch/emulator/demo/TimestampedStreamClients.java
+++ b/emulator/src/main/java/burlarch/emulator/demo/TimestampedStreamClients.java
@@ -14,28 +14,28 @@
 import org.HdrHistogram.ConcurrentHistogram;
 import org.HdrHistogram.Histogram;
 
-/** Clients that read streams of timestamped events concurrently, and record the age of each event on arrival. */
+/** Clients that read streams of timestamped events concurrently and record the age of each event on arrival. */
 final class TimestampedStreamClients {
-    private static final long LONGEST_NANOS = 60_000_000_000L;
-    private static final int DIGITS = 3;
+    private static final long MAX_AGE_NANOS = 60_000_000_000L;
+    private static final int HISTOGRAM_DIGITS = 3;
 
     private final HttpClient http;
     private final String address;
     private final String[] headers;
-    private final Histogram ages = new ConcurrentHistogram(LONGEST_NANOS, DIGITS);
-    private final AtomicInteger begun = new AtomicInteger();
+    private final Histogram ages = new ConcurrentHistogram(MAX_AGE_NANOS, HISTOGRAM_DIGITS);
+    private final AtomicInteger started = new AtomicInteger();
     private final List<CompletableFuture<HttpResponse<Void>>> responses = new ArrayList<>();
-    private volatile long countFrom = Long.MAX_VALUE;
-    private volatile long countTo = Long.MAX_VALUE;
+    private volatile long recordFromNanos = Long.MAX_VALUE;
+    private volatile long recordToNanos = Long.MAX_VALUE;
 
-    /** @param headers names and values in turn, more than all streams have */
+    /** @param headers alternating names and values of additional request headers */
     TimestampedStreamClients(HttpClient http, String address, String... headers) {
         this.http = http;
         this.address = address;
         this.headers = headers;
     }
 
-    /** Opens streams of {@code events} events each. */
+    /** Opens {@code streams} streams of {@code events} events each. */
     void open(int streams, int events, int deadlineMillis) throws InterruptedException {
         for (int i = 0; i < streams; i++) {
             String id = Long.toHexString(ThreadLocalRandom.current().nextLong());
@@ -50,35 +50,36 @@
                     .headers(headers)
                     .POST(HttpRequest.BodyPublishers.ofString("{}"))
                     .build();
-            responses.add(http.sendAsync(request, HttpResponse.BodyHandlers.fromLineSubscriber(new Ages())));
+            responses.add(http.sendAsync(request, HttpResponse.BodyHandlers.fromLineSubscriber(new AgeRecorder())));
             Thread.sleep(2);
         }
     }
 
-    /** Records the ages of the events that are sent within the next {@code millis}. */
-    Histogram count(long millis) throws InterruptedException {
-        countFrom = System.nanoTime();
-        countTo = countFrom + millis * 1_000_000;
+    /** Records the ages of the events that are sent in the next {@code millis} milliseconds; returns all ages in ns. */
+    Histogram recordAges(long millis) throws InterruptedException {
+        recordFromNanos = System.nanoTime();
+        recordToNanos = recordFromNanos + millis * 1_000_000;
         Thread.sleep(millis);
         return ages;
     }
 
-    /** Streams of which an event has arrived. */
-    int begun() {
-        return begun.get();
+    /** Returns the number of streams of which an event has arrived. */
+    int started() {
+        return started.get();
     }
 
     /** Waits until all streams have ended; returns how many ended with status 200. */
     int finish() {
-        int well = 0;
+        int completed = 0;
         for (CompletableFuture<HttpResponse<Void>> response : responses) {
-            well += response.handle((end, failure) -> end != null && end.statusCode() == 200 ? 1 : 0)
+            completed += response.handle((result, failure) -> result != null && result.statusCode() == 200 ? 1 : 0)
                     .join();
         }
-        return well;
+        return completed;
     }
 
-    private final class Ages implements Flow.Subscriber<String> {
+    /** Records the age of each event of one stream. */
+    private final class AgeRecorder implements Flow.Subscriber<String> {
         private boolean first = true;
 
         @Override
@@ -91,26 +92,28 @@
             if (!line.startsWith("data: ")) {
                 return;
             }
-            long now = System.nanoTime();
+            long nowNanos = System.nanoTime();
             if (first) {
                 first = false;
-                begun.incrementAndGet();
+                started.incrementAndGet();
             }
             int end = line.indexOf(' ', "data: ".length());
-            long sent = Long.parseLong(line.substring("data: ".length(), end < 0 ? line.length() : end));
-            if (countFrom != Long.MAX_VALUE && sent - countFrom >= 0 && sent - countTo < 0) {
-                ages.recordValue(Math.min(LONGEST_NANOS, Math.max(0, now - sent)));
+            long sentNanos = Long.parseLong(line.substring("data: ".length(), end < 0 ? line.length() : end));
+            if (recordFromNanos != Long.MAX_VALUE
+                    && sentNanos - recordFromNanos >= 0
+                    && sentNanos - recordToNanos < 0) {
+                ages.recordValue(Math.min(MAX_AGE_NANOS, Math.max(0, nowNanos - sentNanos)));
             }
         }
 
         @Override
         public void onError(Throwable failure) {
-            // Reported by the response's future.
+            // Reported by the future of the response.
         }
 
         @Override
         public void onComplete() {
-            // Reported by the response's future.
+            // Reported by the future of the response.
         }
     }
 }
--- a/emulator/src/main/java/burlarch/emulator/model/GenerationRequest.java
+++ b/emulator/src/main/java/burlarch/emulator/model/GenerationRequest.java
@@ -3,15 +3,15 @@
 import java.util.List;
 
 /**
- * A request to generate tokens.
+ * Request to generate tokens.
  *
- * @param id of the request
- * @param model its name
- * @param salt under which its segments are cached
- * @param segments of the prompt, in order
- * @param firstToken number of the first token to decode; above 1 where a stream is resumed
- * @param lastToken number of the last one
- * @param priority 0 for the most urgent
+ * @param id id of the request
+ * @param model name of the model
+ * @param salt cache salt; only segments with the same salt are shared
+ * @param segments segments of the prompt, in order
+ * @param firstToken number of the first token to decode; above 1 if a stream is resumed
+ * @param lastToken number of the last token to decode
+ * @param priority 0 is the most urgent
  */
 public record GenerationRequest(
         String id,
@@ -22,7 +22,7 @@
         int lastToken,
         int priority) {
 
-    /** Tokens of the whole prompt. */
+    /** Returns the number of tokens of the whole prompt. */
     public int promptTokens() {
         return segments.stream().mapToInt(PromptSegment::tokens).sum();
     }
--- a/emulator/src/main/java/burlarch/emulator/model/package-info.java
+++ b/emulator/src/main/java/burlarch/emulator/model/package-info.java
@@ -1,6 +1,6 @@
 /**
- * The models behind emulated instances: an engine with continuous batching, its KV cache with events, its weights
- * orders, and the validation of requests. Pure: no I/O, no clock, no thread. Not thread-safe; the server holds the
- * lock of the {@link burlarch.emulator.model.KvCache} around all of an engine's model.
+ * Models behind emulated instances: an engine with continuous batching, its KV cache with events, its weights orders,
+ * and the validation of requests. They do no I/O, read no clock and start no thread. Not thread-safe: the server holds
+ * the lock of the {@link burlarch.emulator.model.KvCache} during every use of an engine's model.
  */
 package burlarch.emulator.model;
--- a/emulator/src/main/java/burlarch/emulator/server/BatchExecutor.java
+++ b/emulator/src/main/java/burlarch/emulator/server/BatchExecutor.java
@@ -11,8 +11,8 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Executes a batch model in real time: sleeps for the duration of each step, then delivers its tokens to the
- * streams of their requests. One thread for each engine; the lock of its {@link KvCache} guards all state.
+ * Thread that executes the batch model of one engine in real time: it sleeps for the duration of each step, then
+ * delivers the tokens to the streams of their requests. The lock of the engine's {@link KvCache} guards all state.
  */
 final class BatchExecutor extends Thread {
     private static final long TOKEN_TIMEOUT_SECONDS = 30;
@@ -23,20 +23,21 @@
     private final KvCacheEndpoints kvEndpoints;
     private final Map<String, Stream> streams = new HashMap<>();
 
-    /** The tokens of one request, in order. */
+    /** Queue of the decoded tokens of one request, in order. */
     static final class Stream {
         private final BlockingQueue<ContinuousBatchModel.Token> tokens = new LinkedBlockingQueue<>();
 
+        /** Waits for the next token; throws InterruptedException if none is decoded before the timeout. */
         ContinuousBatchModel.Token next() throws InterruptedException {
             ContinuousBatchModel.Token token = tokens.poll(TOKEN_TIMEOUT_SECONDS, TimeUnit.SECONDS);
             if (token == null) {
-                throw new InterruptedException("the engine has ended");
+                throw new InterruptedException("no token was decoded before the timeout");
             }
             return token;
         }
     }
 
-    /** @param cache whose lock guards the other parameters too */
+    /** @param cache its lock also guards the model, the orders and the endpoints */
     BatchExecutor(
             String name,
             KvCache cache,
@@ -51,7 +52,7 @@
         this.kvEndpoints = kvEndpoints;
     }
 
-    /** Offers a request to the batch; returns its stream, or null if it is not accepted. */
+    /** Offers a request to the batch; returns its stream, or null if the request is not accepted. */
     Stream offer(GenerationRequest request) {
         synchronized (cache) {
             completeDueOrder();
@@ -67,7 +68,7 @@
         }
     }
 
-    /** The client has received the complete response, or has closed its connection. */
+    /** Removes a request, after its client has received the complete response or has closed the connection. */
     void cancel(GenerationRequest request) {
         synchronized (cache) {
             if (streams.remove(request.id()) != null) {
@@ -76,11 +77,11 @@
         }
     }
 
-    /** Completes the weights order in progress if it is due. The caller holds the cache's lock. */
+    /** Completes the weights order in progress if it is due. The caller holds the lock of the cache. */
     void completeDueOrder() {
-        String changed = orders.completeDue(System.nanoTime());
-        if (changed != null) {
-            cache.evictModel(changed);
+        String changedModel = orders.completeDue(System.nanoTime());
+        if (changedModel != null) {
+            cache.evictModel(changedModel);
             kvEndpoints.onChanged();
         }
     }
@@ -101,7 +102,7 @@
                 TimeUnit.NANOSECONDS.sleep(step.durationNanos());
                 deliver(step);
             }
-        } catch (InterruptedException over) {
+        } catch (InterruptedException interrupted) {
             Thread.currentThread().interrupt();
         }
     }
--- a/emulator/src/main/java/burlarch/emulator/server/ControllerClient.java
+++ b/emulator/src/main/java/burlarch/emulator/server/ControllerClient.java
@@ -8,59 +8,60 @@
 import java.time.Duration;
 import java.util.List;
 
-/** Calls controllers: one after another, until one gives a final response. Calls of one client are sequential. */
+/** Client of the controllers: tries one after another until one gives a final response. Calls are serialized. */
 public final class ControllerClient {
     private static final Duration CALL_TIMEOUT = Duration.ofSeconds(1);
     private static final long RETRY_DELAY_MILLIS = 100;
 
     private final HttpClient http;
     private final List<String> controllers;
-    private int next;
+    private int nextIndex;
 
-    /** The response that ended a call. */
+    /** Response that ended a call; status 0 if there was none. */
     public record Response(int status, String body) {
-        /** Whether it acknowledges. */
+        /** Returns whether the status is 2xx. */
         public boolean ok() {
             return status / 100 == 2;
         }
     }
 
     /**
-     * A client of these controllers.
+     * Creates a client of these controllers.
      *
-     * @param controllers addresses, IP:PORT
-     * @param first index of the one to begin with
+     * @param controllers addresses in the form IP:PORT
+     * @param firstIndex index of the controller to call first
      */
-    public ControllerClient(HttpClient http, List<String> controllers, int first) {
+    public ControllerClient(HttpClient http, List<String> controllers, int firstIndex) {
         this.http = http;
         this.controllers = List.copyOf(controllers);
-        this.next = Math.floorMod(first, controllers.size());
+        this.nextIndex = Math.floorMod(firstIndex, controllers.size());
     }
 
     /**
-     * Calls until a response is final: 2xx, or 4xx other than 408 and 429.
+     * Repeats a call until a response is final: 2xx, or 4xx other than 408 and 429.
      *
-     * @param ifMatch value of If-Match, null for none
-     * @param limit time for all attempts together
-     * @return the final response, or the last one when the time is over; status 0 if there was none
+     * @param ifMatch value of the header If-Match, null for none
+     * @param timeout limit for all attempts together; an attempt that has begun is completed
+     * @return the final response, or the last one if the timeout expired
      */
-    public synchronized Response call(String method, String path, String body, String ifMatch, Duration limit)
+    public synchronized Response call(String method, String path, String body, String ifMatch, Duration timeout)
             throws InterruptedException {
-        long end = System.nanoTime() + limit.toNanos();
-        Response last = new Response(0, "no answer");
+        long deadlineNanos = System.nanoTime() + timeout.toNanos();
+        Response lastResponse = new Response(0, "no response");
         while (true) {
-            last = attempt(method, path, body, ifMatch);
-            boolean clear = last.ok() || last.status() / 100 == 4 && last.status() != 408 && last.status() != 429;
-            if (clear || System.nanoTime() - end > 0) {
-                return last;
+            lastResponse = attempt(method, path, body, ifMatch);
+            boolean isFinal = lastResponse.ok()
+                    || lastResponse.status() / 100 == 4 && lastResponse.status() != 408 && lastResponse.status() != 429;
+            if (isFinal || System.nanoTime() - deadlineNanos > 0) {
+                return lastResponse;
             }
-            next = (next + 1) % controllers.size();
+            nextIndex = (nextIndex + 1) % controllers.size();
             Thread.sleep(RETRY_DELAY_MILLIS);
         }
     }
 
     private Response attempt(String method, String path, String body, String ifMatch) throws InterruptedException {
-        HttpRequest.Builder request = HttpRequest.newBuilder(URI.create("http://" + controllers.get(next) + path))
+        HttpRequest.Builder request = HttpRequest.newBuilder(URI.create("http://" + controllers.get(nextIndex) + path))
                 .timeout(CALL_TIMEOUT)
                 .method(
                         method,
@@ -74,8 +75,8 @@
         try {
             HttpResponse<String> response = http.send(request.build(), HttpResponse.BodyHandlers.ofString());
             return new Response(response.statusCode(), response.body());
-        } catch (IOException failure) {
-            return new Response(0, failure.toString());
+        } catch (IOException exception) {
+            return new Response(0, exception.toString());
         }
     }
 }
--- a/emulator/src/main/java/burlarch/emulator/server/EmulatedInstance.java
+++ b/emulator/src/main/java/burlarch/emulator/server/EmulatedInstance.java
@@ -10,43 +10,43 @@
 import java.util.concurrent.Executors;
 
 /**
- * An emulated instance: an HTTP server that validates and serves requests, announces itself to controllers and
- * drains. Subclasses implement what is served.
+ * Base class of emulated instances: an HTTP server that validates and serves requests, announces itself to controllers
+ * and drains. Subclasses implement what is served.
  *
- * <p>Threads: each HTTP exchange has a thread of its own; {@link #shutDown} is called on any other.
+ * <p>Threads: each HTTP exchange has a thread of its own; {@link #shutDown} is called on another one.
  */
 public abstract class EmulatedInstance implements AutoCloseable {
     private static final int BACKLOG = 128;
 
-    private final InstanceIdentity info;
+    private final InstanceIdentity identity;
     private final ExecutionListener executions;
     private final HttpServer server;
-    private final ExecutorService threads;
-    private InstanceAnnouncer registration;
+    private final ExecutorService executor;
+    private InstanceAnnouncer announcer;
     private volatile boolean draining;
     private volatile long noRequestsAfterNanos = Long.MAX_VALUE;
 
-    EmulatedInstance(InstanceIdentity info, ExecutionListener executions) throws IOException {
-        this.info = info;
+    EmulatedInstance(InstanceIdentity identity, ExecutionListener executions) throws IOException {
+        this.identity = identity;
         this.executions = executions;
-        this.server = HttpServer.create(new InetSocketAddress(info.ip(), info.port()), BACKLOG);
-        this.threads = Executors.newCachedThreadPool(work -> {
-            Thread thread = new Thread(work, info.id());
+        this.server = HttpServer.create(new InetSocketAddress(identity.ip(), identity.port()), BACKLOG);
+        this.executor = Executors.newCachedThreadPool(task -> {
+            Thread thread = new Thread(task, identity.id());
             thread.setDaemon(true);
             return thread;
         });
-        server.setExecutor(threads);
+        server.setExecutor(executor);
         server.createContext("/", this::handle);
     }
 
-    /** Its identity, with the configured port. */
-    public InstanceIdentity info() {
-        return info;
+    /** Returns the identity, with the configured port. */
+    public InstanceIdentity identity() {
+        return identity;
     }
 
-    /** IP:PORT, also where the system chose the port. */
+    /** Returns the address IP:PORT with the actual port, which the system chooses if the configured one is 0. */
     public String address() {
-        return info.ip() + ":" + server.getAddress().getPort();
+        return identity.ip() + ":" + server.getAddress().getPort();
     }
 
     ExecutionListener executions() {
@@ -57,23 +57,24 @@
         return draining;
     }
 
-    /** Begins to listen. */
+    /** Starts to accept connections. */
     public void start() {
         server.start();
     }
 
-    /** Begins to announce itself to the controllers. */
-    public void register(ControllerClient calls, long heartbeatMillis) {
-        registration = new InstanceAnnouncer(info, this::versions, calls, heartbeatMillis);
-        registration.start();
+    /** Starts to announce the instance to the controllers. */
+    public void register(ControllerClient controllerClient, long heartbeatMillis) {
+        announcer = new InstanceAnnouncer(identity, this::versions, controllerClient, heartbeatMillis);
+        announcer.start();
     }
 
-    /** Versions of weights by model. */
+    /** Returns the versions of the weights by model; empty for a service without models. */
     abstract Map<String, Long> versions();
 
+    /** Serves a request that has been validated. */
     abstract void serve(HttpExchange exchange) throws IOException, InterruptedException;
 
-    /** Serves a call of a controller or router; false where there is no such call. */
+    /** Serves a call of a controller or router; returns false if this instance has no such call. */
     boolean serveControlCall(HttpExchange exchange, String path, byte[] body) throws IOException, InterruptedException {
         return false;
     }
@@ -83,25 +84,26 @@
             byte[] body = exchange.getRequestBody().readAllBytes();
             String path = exchange.getRequestURI().getPath();
             if (path.equals("/healthz")) {
-                exchange.getResponseHeaders().set("X-Instance-Id", info.id());
+                exchange.getResponseHeaders().set("X-Instance-Id", identity.id());
                 Responses.send(exchange, draining ? 503 : 200, "");
             } else if (!path.startsWith("/burlarch/") || !serveControlCall(exchange, path, body)) {
                 serveRequest(exchange);
             }
-        } catch (InterruptedException over) {
+        } catch (InterruptedException interrupted) {
             Thread.currentThread().interrupt();
         }
     }
 
     private void serveRequest(HttpExchange exchange) throws IOException, InterruptedException {
-        int refusal = RequestValidation.check(exchange.getRequestHeaders()::getFirst, info.id(), versions());
-        if (refusal != RequestValidation.ACCEPTED) {
-            Responses.rejectUnexecuted(exchange, refusal);
+        int rejectionStatus =
+                RequestValidation.check(exchange.getRequestHeaders()::getFirst, identity.id(), versions());
+        if (rejectionStatus != RequestValidation.ACCEPTED) {
+            Responses.rejectUnexecuted(exchange, rejectionStatus);
             return;
         }
         String id = exchange.getRequestHeaders().getFirst("X-Request-Id");
         if (System.nanoTime() - noRequestsAfterNanos > 0 && noRequestsAfterNanos != Long.MAX_VALUE) {
-            executions.onRequestAfterDrain(id, info.id());
+            executions.onRequestAfterDrain(id, identity.id());
         }
         if (draining) {
             exchange.getResponseHeaders().set("Connection", "close");
@@ -109,36 +111,37 @@
         serve(exchange);
     }
 
-    /** Sets the headers that prove which instance produced the response. */
-    void sign(HttpExchange exchange) {
+    /** Sets the response headers that identify the request and the instance that executed it. */
+    void setSignatureHeaders(HttpExchange exchange) {
         String id = exchange.getRequestHeaders().getFirst("X-Request-Id");
         exchange.getResponseHeaders().set("X-Request-Id", id);
-        exchange.getResponseHeaders().set("X-Response-Signature", info.service() + "." + info.id() + "." + id);
+        exchange.getResponseHeaders().set("X-Response-Signature", identity.service() + "." + identity.id() + "." + id);
     }
 
     /**
-     * Shuts down gracefully: announces that it drains, serves on for a while, announces that it is gone, and stops.
+     * Shuts down gracefully: announces that the instance drains, keeps serving for {@code drainMillis} and
+     * {@code lingerMillis}, announces that it is gone, and stops.
      *
-     * @return whether the drain was acknowledged
+     * @return whether a controller acknowledged the drain
      */
     public boolean shutDown(long drainMillis, long lingerMillis) throws InterruptedException {
         draining = true;
-        boolean acknowledged = registration.drain();
+        boolean acknowledged = announcer.drain();
         if (acknowledged) {
             noRequestsAfterNanos = System.nanoTime() + drainMillis * 1_000_000;
         }
         Thread.sleep(drainMillis + lingerMillis);
-        registration.leave();
+        announcer.leave();
         close();
         return acknowledged;
     }
 
     @Override
     public void close() {
-        if (registration != null) {
-            registration.close();
+        if (announcer != null) {
+            announcer.close();
         }
         server.stop(0);
-        threads.shutdownNow();
+        executor.shutdownNow();
     }
 }
--- a/emulator/src/main/java/burlarch/emulator/server/EngineServer.java
+++ b/emulator/src/main/java/burlarch/emulator/server/EngineServer.java
@@ -18,10 +18,10 @@
 import java.util.List;
 import java.util.Map;
 
-/** Emulates a model engine: event streams, reports, weights orders and events of its KV cache. */
+/** Emulated inference engine: serves event streams, reports, weights orders and the events of its KV cache. */
 public final class EngineServer extends EmulatedInstance {
-    /** Events of a KV cache that are retained for readers. */
-    static final int EVENTS = 4_096;
+    /** Maximum number of events of a KV cache that are retained for readers. */
+    static final int MAX_RETAINED_EVENTS = 4_096;
 
     private static final ObjectMapper MAPPER = new ObjectMapper();
 
@@ -30,16 +30,17 @@
     private final ContinuousBatchModel model;
     private final WeightsOrders orders;
     private final KvCacheEndpoints kvEndpoints;
-    private final BatchExecutor worker;
+    private final BatchExecutor batchExecutor;
     private final HttpClient http;
 
     /**
-     * @param versions of weights that it starts with, by model
-     * @param epoch of its KV cache, different for each start
-     * @param http for segments that it fetches from other instances
+     * @param versions initial versions of the weights by model
+     * @param maxInFlight calls for cache events that may wait at once
+     * @param epoch epoch of the KV cache, different for each start
+     * @param http client to fetch segments from other instances and to save them to stores
      */
     public EngineServer(
-            InstanceIdentity info,
+            InstanceIdentity identity,
             ExecutionListener executions,
             EngineParameters parameters,
             Map<String, Long> versions,
@@ -47,27 +48,27 @@
             long epoch,
             HttpClient http)
             throws IOException {
-        super(info, executions);
+        super(identity, executions);
         this.parameters = parameters;
         this.http = http;
-        cache = new KvCache(parameters.blockTokens(), parameters.blocks(), new KvEventLog(epoch, EVENTS));
+        cache = new KvCache(parameters.blockTokens(), parameters.blocks(), new KvEventLog(epoch, MAX_RETAINED_EVENTS));
         model = new ContinuousBatchModel(parameters, cache);
         orders = new WeightsOrders(versions, parameters.loadNanos());
         kvEndpoints = new KvCacheEndpoints(cache, maxInFlight);
-        worker = new BatchExecutor(info.id(), cache, model, orders, kvEndpoints);
+        batchExecutor = new BatchExecutor(identity.id(), cache, model, orders, kvEndpoints);
     }
 
     @Override
     public void start() {
-        worker.start();
+        batchExecutor.start();
         super.start();
     }
 
-    /** Versions of weights by model. */
+    /** Returns the versions of the weights by model. */
     @Override
     public Map<String, Long> versions() {
         synchronized (cache) {
-            worker.completeDueOrder();
+            batchExecutor.completeDueOrder();
             return orders.versions();
         }
     }
@@ -76,12 +77,12 @@
     boolean serveControlCall(HttpExchange exchange, String path, byte[] body) throws IOException, InterruptedException {
         if (path.equals("/burlarch/report") || path.equals("/burlarch/order")) {
             String target = exchange.getRequestHeaders().getFirst("X-Target-Instance");
-            if (target != null && !target.equals(info().id())) {
+            if (target != null && !target.equals(identity().id())) {
                 Responses.rejectUnexecuted(exchange, 421);
             } else if (path.endsWith("report")) {
-                Responses.sendJson(exchange, 200, report());
+                Responses.sendJson(exchange, 200, buildReport());
             } else {
-                Responses.sendJson(exchange, order(body), "{}");
+                Responses.sendJson(exchange, acceptOrder(body), "{}");
             }
             return true;
         }
@@ -91,14 +92,14 @@
     @Override
     public void close() {
         super.close();
-        worker.interrupt();
+        batchExecutor.interrupt();
     }
 
-    private String report() {
+    private String buildReport() {
         ObjectNode json = MAPPER.createObjectNode().put("stage", "hybrid");
         ArrayNode models = json.putArray("models");
         synchronized (cache) {
-            worker.completeDueOrder();
+            batchExecutor.completeDueOrder();
             orders.versions().forEach((name, version) -> models.addObject()
                     .put("name", name)
                     .put("config_version", version)
@@ -114,7 +115,7 @@
         return json.toString();
     }
 
-    private int order(byte[] body) {
+    private int acceptOrder(byte[] body) {
         JsonNode json;
         try {
             json = MAPPER.readTree(body);
@@ -122,7 +123,7 @@
             return 400;
         }
         synchronized (cache) {
-            worker.completeDueOrder();
+            batchExecutor.completeDueOrder();
             return orders.accept(
                     new WeightsOrders.Order(
                             json.path("op").asText(),
@@ -141,68 +142,71 @@
         Headers headers = exchange.getRequestHeaders();
         GenerationRequest request;
         try {
-            request = request(headers);
+            request = parseRequest(headers);
         } catch (IllegalArgumentException malformed) {
             Responses.rejectUnexecuted(exchange, 400);
             return;
         }
         fetchSegments(headers, request);
-        BatchExecutor.Stream stream = worker.offer(request);
+        BatchExecutor.Stream stream = batchExecutor.offer(request);
         if (stream == null) {
             Responses.rejectUnexecuted(exchange, 503);
             return;
         }
         try {
-            stream(exchange, request, stream);
-            String store = headers.getFirst("Kv-Save");
-            if (store != null) {
-                KvCacheEndpoints.save(http, store, request.salt(), headers.getFirst("X-Prefix-Hash"), request.model());
+            writeStream(exchange, request, stream);
+            String storeAddress = headers.getFirst("Kv-Save");
+            if (storeAddress != null) {
+                KvCacheEndpoints.save(
+                        http, storeAddress, request.salt(), headers.getFirst("X-Prefix-Hash"), request.model());
             }
         } finally {
-            worker.cancel(request);
+            batchExecutor.cancel(request);
         }
     }
 
-    private static GenerationRequest request(Headers headers) {
-        String usage = headers.getFirst("X-Token-Usage");
-        if (usage == null) {
-            throw new IllegalArgumentException("no X-Token-Usage");
+    private static GenerationRequest parseRequest(Headers headers) {
+        String tokenUsage = headers.getFirst("X-Token-Usage");
+        if (tokenUsage == null) {
+            throw new IllegalArgumentException("header X-Token-Usage is missing");
         }
-        int out = Integer.parseInt(usage.substring(usage.indexOf(',') + 1).trim());
+        int outputTokens = Integer.parseInt(
+                tokenUsage.substring(tokenUsage.indexOf(',') + 1).trim());
         String salt = headers.getFirst("Cache-Salt");
         return new GenerationRequest(
                 headers.getFirst("X-Request-Id"),
                 headers.getFirst("X-Model"),
                 salt == null ? "" : salt,
                 PromptSegment.parse(headers.getFirst("X-Prefix-Hash")),
-                (int) KvCacheEndpoints.number(headers.getFirst("Last-Event-Id"), 0) + 1,
-                Math.max(1, out),
-                (int) KvCacheEndpoints.number(headers.getFirst("Priority"), 5));
+                (int) KvCacheEndpoints.parseLong(headers.getFirst("Last-Event-Id"), 0) + 1,
+                Math.max(1, outputTokens),
+                (int) KvCacheEndpoints.parseLong(headers.getFirst("Priority"), 5));
     }
 
     private void fetchSegments(Headers headers, GenerationRequest request) {
-        String source = headers.getFirst("Kv-Fetch");
-        if (source != null) {
-            List<PromptSegment> found =
-                    KvCacheEndpoints.fetch(http, source, request.salt(), headers.getFirst("X-Prefix-Hash"));
+        String sourceAddress = headers.getFirst("Kv-Fetch");
+        if (sourceAddress != null) {
+            List<PromptSegment> fetchedSegments =
+                    KvCacheEndpoints.fetch(http, sourceAddress, request.salt(), headers.getFirst("X-Prefix-Hash"));
             synchronized (cache) {
-                cache.cache(request.salt(), found, request.model());
+                cache.cache(request.salt(), fetchedSegments, request.model());
                 kvEndpoints.onChanged();
             }
         }
     }
 
-    private void stream(HttpExchange exchange, GenerationRequest request, BatchExecutor.Stream stream)
+    private void writeStream(HttpExchange exchange, GenerationRequest request, BatchExecutor.Stream stream)
             throws IOException, InterruptedException {
         ContinuousBatchModel.Token token = stream.next();
-        executions().onExecuted(request.id(), info().id());
-        sign(exchange);
-        Headers head = exchange.getResponseHeaders();
-        head.set("Content-Type", "text/event-stream");
+        executions().onExecuted(request.id(), identity().id());
+        setSignatureHeaders(exchange);
+        Headers responseHeaders = exchange.getResponseHeaders();
+        responseHeaders.set("Content-Type", "text/event-stream");
         synchronized (cache) {
-            head.set("X-Server-Load", model.running() + "," + model.queued() + "," + parameters.slots());
+            responseHeaders.set(
+                    "X-Server-Load", model.running() + "," + model.queued() + "," + parameters.maxRunning());
         }
-        head.set("Versions", Long.toString(versions().getOrDefault(request.model(), 0L)));
+        responseHeaders.set("Versions", Long.toString(versions().getOrDefault(request.model(), 0L)));
         exchange.sendResponseHeaders(200, 0);
         EventStreamWriter events =
                 new EventStreamWriter(exchange.getResponseBody(), versions().get(request.model()));
--- a/emulator/src/main/java/burlarch/emulator/server/EventStreamWriter.java
+++ b/emulator/src/main/java/burlarch/emulator/server/EventStreamWriter.java
@@ -5,20 +5,21 @@
 import java.io.OutputStream;
 import java.nio.charset.StandardCharsets;
 
-/** Writes the events of one stream. An event at which the weights version changes names the new one. */
+/** Writer of one event stream. An event at which the version of the weights changes carries the new version. */
 final class EventStreamWriter {
-    private final OutputStream out;
+    private final OutputStream output;
     private Long version;
 
-    EventStreamWriter(OutputStream out, Long version) {
-        this.out = out;
+    EventStreamWriter(OutputStream output, Long version) {
+        this.output = output;
         this.version = version;
     }
 
-    void write(Token token, Long versionNow) throws IOException {
+    /** Writes a token as an event and flushes; {@code currentVersion} is null if the model has no version. */
+    void write(Token token, Long currentVersion) throws IOException {
         StringBuilder event = new StringBuilder(64);
-        if (versionNow != null && !versionNow.equals(version)) {
-            version = versionNow;
+        if (currentVersion != null && !currentVersion.equals(version)) {
+            version = currentVersion;
             event.append("versions: ").append(version).append('\n');
         }
         event.append("id: ")
@@ -27,7 +28,7 @@
                 .append(token.number())
                 .append(token.last() ? " end" : "")
                 .append("\n\n");
-        out.write(event.toString().getBytes(StandardCharsets.UTF_8));
-        out.flush();
+        output.write(event.toString().getBytes(StandardCharsets.UTF_8));
+        output.flush();
     }
 }
--- a/emulator/src/main/java/burlarch/emulator/server/ExecutionListener.java
+++ b/emulator/src/main/java/burlarch/emulator/server/ExecutionListener.java
@@ -1,10 +1,10 @@
 package burlarch.emulator.server;
 
-/** Is notified of executions by emulated instances, on many threads. */
+/** Listener for executions of requests by emulated instances; called on many threads. */
 public interface ExecutionListener {
-    /** An instance begins to execute a request. */
+    /** Called when an instance begins to execute a request. */
     void onExecuted(String requestId, String instance);
 
-    /** A request arrived after the drain timeout of its instance. */
+    /** Called when a request arrives after the drain timeout of its instance. */
     void onRequestAfterDrain(String requestId, String instance);
 }
--- a/emulator/src/main/java/burlarch/emulator/server/InstanceAnnouncer.java
+++ b/emulator/src/main/java/burlarch/emulator/server/InstanceAnnouncer.java
@@ -7,29 +7,32 @@
 import java.util.Map;
 import java.util.function.Supplier;
 
-/** Announces an instance to the controllers: by heartbeats on a thread of its own, as draining, and as gone. */
+/** Announcer of an instance to the controllers: sends heartbeats on its own thread, and announces drain and end. */
 final class InstanceAnnouncer implements AutoCloseable {
     private static final ObjectMapper MAPPER = new ObjectMapper();
     private static final Duration HEARTBEAT_TIMEOUT = Duration.ofSeconds(2);
     private static final Duration LEAVE_TIMEOUT = Duration.ofSeconds(4);
 
-    private final InstanceIdentity info;
+    private final InstanceIdentity identity;
     private final Supplier<Map<String, Long>> versions;
-    private final ControllerClient calls;
+    private final ControllerClient controllerClient;
     private final long heartbeatMillis;
     private final Thread heartbeatThread;
     private volatile boolean draining;
     private volatile boolean ended;
     private long sequence;
 
-    /** @param versions of weights by model, empty for a plain service */
+    /** @param versions returns the versions of the weights by model, empty for a plain service */
     InstanceAnnouncer(
-            InstanceIdentity info, Supplier<Map<String, Long>> versions, ControllerClient calls, long heartbeatMillis) {
-        this.info = info;
+            InstanceIdentity identity,
+            Supplier<Map<String, Long>> versions,
+            ControllerClient controllerClient,
+            long heartbeatMillis) {
+        this.identity = identity;
         this.versions = versions;
-        this.calls = calls;
+        this.controllerClient = controllerClient;
         this.heartbeatMillis = heartbeatMillis;
-        this.heartbeatThread = new Thread(this::sendHeartbeats, "heartbeat-" + info.id());
+        this.heartbeatThread = new Thread(this::sendHeartbeats, "heartbeat-" + identity.id());
         heartbeatThread.setDaemon(true);
     }
 
@@ -43,14 +46,16 @@
                 announce(HEARTBEAT_TIMEOUT);
                 Thread.sleep(heartbeatMillis);
             }
-        } catch (InterruptedException over) {
+        } catch (InterruptedException interrupted) {
             Thread.currentThread().interrupt();
         }
     }
 
-    private synchronized boolean announce(Duration limit) throws InterruptedException {
+    private synchronized boolean announce(Duration timeout) throws InterruptedException {
         return !ended
-                && calls.call("PUT", path(), body(++sequence), null, limit).ok();
+                && controllerClient
+                        .call("PUT", path(), body(++sequence), null, timeout)
+                        .ok();
     }
 
     /** Announces that the instance drains; returns whether a controller acknowledged it. */
@@ -59,27 +64,29 @@
         return announce(LEAVE_TIMEOUT);
     }
 
-    /** Announces that the instance is gone, and nothing more; returns whether a controller acknowledged it. */
+    /** Announces that the instance is gone, and ends all heartbeats; returns whether a controller acknowledged it. */
     synchronized boolean leave() throws InterruptedException {
         ended = true;
-        return calls.call("DELETE", path(), null, null, LEAVE_TIMEOUT).ok();
+        return controllerClient
+                .call("DELETE", path(), null, null, LEAVE_TIMEOUT)
+                .ok();
     }
 
     private String path() {
-        return "/burlarch/instances/" + info.id();
+        return "/burlarch/instances/" + identity.id();
     }
 
-    private String body(long number) {
+    private String body(long sequenceNumber) {
         ObjectNode json = MAPPER.createObjectNode()
-                .put("service", info.service())
-                .put("address", info.address())
-                .put("zone", info.zone())
+                .put("service", identity.service())
+                .put("address", identity.address())
+                .put("zone", identity.zone())
                 .put("config_version", "v1")
-                .put("capacity", info.capacity())
+                .put("capacity", identity.capacity())
                 .put("state", draining ? "draining" : "ready")
                 .put("warmup_left_ms", 0)
                 .put("stage", "hybrid")
-                .put("sequence", number);
+                .put("sequence", sequenceNumber);
         ArrayNode models = json.putArray("models");
         versions.get().forEach((model, version) -> models.addObject()
                 .put("name", model)
--- a/emulator/src/main/java/burlarch/emulator/server/InstanceIdentity.java
+++ b/emulator/src/main/java/burlarch/emulator/server/InstanceIdentity.java
@@ -1,17 +1,17 @@
 package burlarch.emulator.server;
 
 /**
- * The identity of an emulated instance.
+ * Identity of an emulated instance.
  *
- * @param id unique to this start
- * @param service its service's name
- * @param ip loopback address
- * @param port at that address
- * @param zone where it runs
- * @param capacity requests that it executes at once
+ * @param id unique for each start of an instance
+ * @param service name of the service
+ * @param ip loopback address that it listens on
+ * @param port port that it listens on; 0 lets the system choose one
+ * @param zone zone that it runs in
+ * @param capacity maximum number of requests that it executes at once
  */
 public record InstanceIdentity(String id, String service, String ip, int port, String zone, int capacity) {
-    /** IP:PORT. */
+    /** Returns the address in the form IP:PORT. */
     public String address() {
         return ip + ":" + port;
     }
--- a/emulator/src/main/java/burlarch/emulator/server/KvCacheEndpoints.java
+++ b/emulator/src/main/java/burlarch/emulator/server/KvCacheEndpoints.java
@@ -19,8 +19,8 @@
 import java.util.concurrent.Semaphore;
 
 /**
- * HTTP calls to a KV cache: its events, its complete list and, between emulated instances only, the segments
- * themselves. The cache is used under its own lock, and whoever changes it calls {@link #onChanged}.
+ * HTTP endpoints of a KV cache: its events, a snapshot and, between emulated instances only, the transfer of segments.
+ * The cache is used under its own lock; code that changes it calls {@link #onChanged}.
  */
 final class KvCacheEndpoints {
     private static final ObjectMapper MAPPER = new ObjectMapper();
@@ -29,24 +29,25 @@
     private static final String SEGMENTS_PATH = "/burlarch/kv-parts";
 
     private final KvCache cache;
-    private final Semaphore concurrentEventCalls;
+    private final Semaphore eventCallPermits;
 
-    /** @param maxInFlight calls for events that may wait at once; more are rejected with 429 */
+    /** @param maxInFlight calls for events that may wait at once; further ones are rejected with status 429 */
     KvCacheEndpoints(KvCache cache, int maxInFlight) {
         this.cache = cache;
-        this.concurrentEventCalls = new Semaphore(maxInFlight);
+        this.eventCallPermits = new Semaphore(maxInFlight);
     }
 
-    /** Wakes the calls that wait for events. The caller holds the cache's lock. */
+    /** Wakes the calls that wait for events. The caller holds the lock of the cache. */
     void onChanged() {
         cache.notifyAll();
     }
 
+    /** Serves a call; returns false if there is no endpoint with this path. */
     boolean serve(HttpExchange exchange, String path) throws IOException, InterruptedException {
         switch (path) {
-            case "/burlarch/kv-events" -> events(exchange);
-            case "/burlarch/kv-list" -> list(exchange);
-            case SEGMENTS_PATH -> segments(exchange);
+            case "/burlarch/kv-events" -> serveEvents(exchange);
+            case "/burlarch/kv-list" -> serveSnapshot(exchange);
+            case SEGMENTS_PATH -> serveSegments(exchange);
             default -> {
                 return false;
             }
@@ -54,18 +55,18 @@
         return true;
     }
 
-    private void events(HttpExchange exchange) throws IOException, InterruptedException {
-        if (!concurrentEventCalls.tryAcquire()) {
+    private void serveEvents(HttpExchange exchange) throws IOException, InterruptedException {
+        if (!eventCallPermits.tryAcquire()) {
             Responses.send(exchange, 429, "");
             return;
         }
         KvEventLog.Page page;
         try {
-            page = await(
-                    number(query(exchange, "since"), 0),
-                    number(exchange.getRequestHeaders().getFirst("Wait-Ms"), 0));
+            page = awaitEvents(
+                    parseLong(queryParameter(exchange, "since"), 0),
+                    parseLong(exchange.getRequestHeaders().getFirst("Wait-Ms"), 0));
         } finally {
-            concurrentEventCalls.release();
+            eventCallPermits.release();
         }
         ObjectNode json = MAPPER.createObjectNode()
                 .put("epoch", page.epoch())
@@ -84,26 +85,26 @@
         Responses.sendJson(exchange, 200, json.toString());
     }
 
-    private KvEventLog.Page await(long since, long waitMillis) throws InterruptedException {
-        long end = System.nanoTime() + Math.min(MAX_WAIT_MILLIS, waitMillis) * 1_000_000;
+    private KvEventLog.Page awaitEvents(long since, long waitMillis) throws InterruptedException {
+        long deadlineNanos = System.nanoTime() + Math.min(MAX_WAIT_MILLIS, waitMillis) * 1_000_000;
         synchronized (cache) {
-            long left = end - System.nanoTime();
-            while (cache.log().lastNumber() == since && left > 0) {
-                cache.wait(left / 1_000_000 + 1);
-                left = end - System.nanoTime();
+            long remainingNanos = deadlineNanos - System.nanoTime();
+            while (cache.log().lastNumber() == since && remainingNanos > 0) {
+                cache.wait(remainingNanos / 1_000_000 + 1);
+                remainingNanos = deadlineNanos - System.nanoTime();
             }
             return cache.log().since(since);
         }
     }
 
-    private void list(HttpExchange exchange) throws IOException {
+    private void serveSnapshot(HttpExchange exchange) throws IOException {
         ObjectNode json = MAPPER.createObjectNode();
         synchronized (cache) {
             json.put("epoch", cache.log().epoch())
                     .put("next_page_token", cache.log().lastNumber());
-            ArrayNode list = json.putArray("held");
+            ArrayNode entries = json.putArray("held");
             for (KvCache.CachedSegment segment : cache.cachedSegments()) {
-                list.addArray()
+                entries.addArray()
                         .add(segment.salt())
                         .add(segment.segment())
                         .add(segment.tokens())
@@ -113,8 +114,8 @@
         Responses.sendJson(exchange, 200, json.toString());
     }
 
-    /** GET returns how many tokens of a prompt are cached, PUT transfers segments to the cache. */
-    private void segments(HttpExchange exchange) throws IOException {
+    /** PUT adds segments to the cache; GET and PUT return the tokens of the longest cached prefix of a prompt. */
+    private void serveSegments(HttpExchange exchange) throws IOException {
         String salt = exchange.getRequestHeaders().getFirst("Cache-Salt");
         List<PromptSegment> segments =
                 PromptSegment.parse(exchange.getRequestHeaders().getFirst("X-Prefix-Hash"));
@@ -130,66 +131,68 @@
                 exchange, 200, MAPPER.createObjectNode().put("tokens", tokens).toString());
     }
 
-    /** The longest prefix of a prompt that another instance caches; empty if it does not respond. */
-    static List<PromptSegment> fetch(HttpClient http, String source, String salt, String prefix) {
+    /** Returns the longest prefix of a prompt that another instance caches; empty if it does not respond. */
+    static List<PromptSegment> fetch(HttpClient http, String sourceAddress, String salt, String prefixHashes) {
         try {
-            HttpRequest request = call(source, salt, prefix).GET().build();
+            HttpRequest request =
+                    segmentsRequest(sourceAddress, salt, prefixHashes).GET().build();
             HttpResponse<String> response = http.send(request, HttpResponse.BodyHandlers.ofString());
             JsonNode json = MAPPER.readTree(response.body());
-            int left = json.path("tokens").asInt();
-            List<PromptSegment> found = new ArrayList<>();
-            for (PromptSegment segment : PromptSegment.parse(prefix)) {
-                left -= segment.tokens();
-                if (left < 0) {
+            int remainingTokens = json.path("tokens").asInt();
+            List<PromptSegment> cachedPrefix = new ArrayList<>();
+            for (PromptSegment segment : PromptSegment.parse(prefixHashes)) {
+                remainingTokens -= segment.tokens();
+                if (remainingTokens < 0) {
                     break;
                 }
-                found.add(segment);
+                cachedPrefix.add(segment);
             }
-            return found;
+            return cachedPrefix;
         } catch (IOException | IllegalArgumentException noResponse) {
             return List.of();
-        } catch (InterruptedException over) {
+        } catch (InterruptedException interrupted) {
             Thread.currentThread().interrupt();
             return List.of();
         }
     }
 
     /** Transfers the segments of a prompt to a store, without waiting for its response. */
-    static void save(HttpClient http, String store, String salt, String prefix, String model) {
+    static void save(HttpClient http, String storeAddress, String salt, String prefixHashes, String model) {
         try {
             http.sendAsync(
-                    call(store, salt, prefix)
+                    segmentsRequest(storeAddress, salt, prefixHashes)
                             .header("X-Model", model)
                             .PUT(HttpRequest.BodyPublishers.noBody())
                             .build(),
                     HttpResponse.BodyHandlers.discarding());
-        } catch (IllegalArgumentException noAddress) {
-            // Saving is best effort: the request does not depend on it.
+        } catch (IllegalArgumentException invalidAddress) {
+            // Saving is best effort: the response to the client does not depend on it.
         }
     }
 
-    private static HttpRequest.Builder call(String address, String salt, String prefix) {
+    private static HttpRequest.Builder segmentsRequest(String address, String salt, String prefixHashes) {
         return HttpRequest.newBuilder(URI.create("http://" + address + SEGMENTS_PATH))
                 .timeout(TRANSFER_TIMEOUT)
                 .header("Cache-Salt", salt)
-                .header("X-Prefix-Hash", prefix);
+                .header("X-Prefix-Hash", prefixHashes);
     }
 
-    private static String query(HttpExchange exchange, String name) {
+    private static String queryParameter(HttpExchange exchange, String name) {
         String query = exchange.getRequestURI().getQuery();
-        for (String item : query == null ? new String[0] : query.split("&")) {
-            if (item.startsWith(name + "=")) {
-                return item.substring(name.length() + 1);
+        for (String parameter : query == null ? new String[0] : query.split("&")) {
+            if (parameter.startsWith(name + "=")) {
+                return parameter.substring(name.length() + 1);
             }
         }
         return null;
     }
 
-    static long number(String text, long otherwise) {
+    /** Parses a number; returns the default if the text is null or malformed. */
+    static long parseLong(String text, long defaultValue) {
         try {
-            return text == null ? otherwise : Long.parseLong(text.trim());
+            return text == null ? defaultValue : Long.parseLong(text.trim());
         } catch (NumberFormatException malformed) {
-            return otherwise;
+            return defaultValue;
         }
     }
 }
--- a/emulator/src/main/java/burlarch/emulator/server/PlainServer.java
+++ b/emulator/src/main/java/burlarch/emulator/server/PlainServer.java
@@ -6,17 +6,17 @@
 import java.util.concurrent.Semaphore;
 import java.util.concurrent.atomic.AtomicInteger;
 
-/** Emulates an instance of a plain service: each request takes a fixed time and gets a short text. */
+/** Emulated instance of a plain service: each request takes a fixed time and is answered with a short text. */
 public final class PlainServer extends EmulatedInstance {
     private final long workMillis;
     private final Semaphore slots;
     private final AtomicInteger running = new AtomicInteger();
 
-    /** @param workMillis that a request takes */
-    public PlainServer(InstanceIdentity info, ExecutionListener executions, long workMillis) throws IOException {
-        super(info, executions);
+    /** @param workMillis time that the execution of a request takes */
+    public PlainServer(InstanceIdentity identity, ExecutionListener executions, long workMillis) throws IOException {
+        super(identity, executions);
         this.workMillis = workMillis;
-        this.slots = new Semaphore(info.capacity());
+        this.slots = new Semaphore(identity.capacity());
     }
 
     @Override
@@ -33,11 +33,12 @@
         running.incrementAndGet();
         try {
             String id = exchange.getRequestHeaders().getFirst("X-Request-Id");
-            executions().onExecuted(id, info().id());
+            executions().onExecuted(id, identity().id());
             Thread.sleep(workMillis);
-            sign(exchange);
-            exchange.getResponseHeaders().set("X-Server-Load", running.get() + ",0," + info().capacity());
-            Responses.send(exchange, 200, info().service() + " " + id);
+            setSignatureHeaders(exchange);
+            exchange.getResponseHeaders()
+                    .set("X-Server-Load", running.get() + ",0," + identity().capacity());
+            Responses.send(exchange, 200, identity().service() + " " + id);
         } finally {
             running.decrementAndGet();
             slots.release();
--- a/emulator/src/main/java/burlarch/emulator/server/Responses.java
+++ b/emulator/src/main/java/burlarch/emulator/server/Responses.java
@@ -5,7 +5,7 @@
 import java.io.OutputStream;
 import java.nio.charset.StandardCharsets;
 
-/** Sends complete responses. */
+/** Helper methods that send complete HTTP responses. */
 final class Responses {
     private Responses() {}
 
@@ -14,6 +14,7 @@
         send(exchange, status, body);
     }
 
+    /** Sends a response and repeats the request id in it, if the request has one. */
     static void send(HttpExchange exchange, int status, String body) throws IOException {
         String id = exchange.getRequestHeaders().getFirst("X-Request-Id");
         if (id != null) {
@@ -21,12 +22,12 @@
         }
         byte[] bytes = body.getBytes(StandardCharsets.UTF_8);
         exchange.sendResponseHeaders(status, bytes.length == 0 ? -1 : bytes.length);
-        try (OutputStream out = exchange.getResponseBody()) {
-            out.write(bytes);
+        try (OutputStream output = exchange.getResponseBody()) {
+            output.write(bytes);
         }
     }
 
-    /** Rejects the request, and states that it was not executed and never will be. */
+    /** Rejects a request and states in the response that it was not executed and will not be. */
     static void rejectUnexecuted(HttpExchange exchange, int status) throws IOException {
         exchange.getResponseHeaders().set("X-Not-Executed", "1");
         exchange.getResponseHeaders().set("Retry-After", "0.050");
--- a/emulator/src/main/java/burlarch/emulator/server/StoreServer.java
+++ b/emulator/src/main/java/burlarch/emulator/server/StoreServer.java
@@ -6,16 +6,17 @@
 import java.io.IOException;
 import java.util.Map;
 
-/** Emulates a store of cached prompt segments. It is not announced and no route leads to it. */
+/** Emulated KV store, which caches prompt segments. It is not announced to controllers, and no route leads to it. */
 public final class StoreServer extends EmulatedInstance {
-    private final KvCacheEndpoints calls;
+    private final KvCacheEndpoints kvEndpoints;
 
-    /** @param tokens its capacity */
-    public StoreServer(InstanceIdentity info, ExecutionListener executions, int tokens, int maxInFlight, long epoch)
+    /** @param capacityTokens capacity in tokens */
+    public StoreServer(
+            InstanceIdentity identity, ExecutionListener executions, int capacityTokens, int maxInFlight, long epoch)
             throws IOException {
-        super(info, executions);
-        this.calls =
-                new KvCacheEndpoints(new KvCache(1, tokens, new KvEventLog(epoch, EngineServer.EVENTS)), maxInFlight);
+        super(identity, executions);
+        this.kvEndpoints = new KvCacheEndpoints(
+                new KvCache(1, capacityTokens, new KvEventLog(epoch, EngineServer.MAX_RETAINED_EVENTS)), maxInFlight);
     }
 
     @Override
@@ -25,7 +26,7 @@
 
     @Override
     boolean serveControlCall(HttpExchange exchange, String path, byte[] body) throws IOException, InterruptedException {
-        return calls.serve(exchange, path);
+        return kvEndpoints.serve(exchange, path);
     }
 
     @Override
--- a/emulator/src/main/java/burlarch/emulator/server/TimestampingEngineServer.java
+++ b/emulator/src/main/java/burlarch/emulator/server/TimestampingEngineServer.java
@@ -11,7 +11,7 @@
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.atomic.AtomicInteger;
 
-/** An engine without a model: the events of its streams are evenly spaced, and each carries its send time. */
+/** Emulated engine without a batch model: stream events are evenly spaced, and each carries its send time. */
 public final class TimestampingEngineServer extends EmulatedInstance {
     private static final int BLOCK_TOKENS = 16;
     private static final int BLOCKS = 4_096;
@@ -19,27 +19,28 @@
 
     private final String model;
     private final int slots;
-    private volatile long gapNanos;
+    private volatile long eventIntervalNanos;
     private final KvCacheEndpoints kvEndpoints;
     private final AtomicInteger running = new AtomicInteger();
 
     /**
-     * @param model of which it has version 1
-     * @param gapNanos interval between two events of a stream
+     * @param model name of the model, of which it has version 1
+     * @param eventIntervalNanos interval between two events of a stream
      */
-    public TimestampingEngineServer(InstanceIdentity info, ExecutionListener executions, String model, long gapNanos)
+    public TimestampingEngineServer(
+            InstanceIdentity identity, ExecutionListener executions, String model, long eventIntervalNanos)
             throws IOException {
-        super(info, executions);
+        super(identity, executions);
         this.model = model;
-        this.slots = info.capacity();
-        this.gapNanos = gapNanos;
+        this.slots = identity.capacity();
+        this.eventIntervalNanos = eventIntervalNanos;
         this.kvEndpoints = new KvCacheEndpoints(
-                new KvCache(BLOCK_TOKENS, BLOCKS, new KvEventLog(1, EngineServer.EVENTS)), MAX_IN_FLIGHT);
+                new KvCache(BLOCK_TOKENS, BLOCKS, new KvEventLog(1, EngineServer.MAX_RETAINED_EVENTS)), MAX_IN_FLIGHT);
     }
 
-    /** Sets the interval between two events of a stream, also of open ones. */
-    public void setGap(long nanos) {
-        gapNanos = nanos;
+    /** Sets the interval between two events of a stream, also for open streams. */
+    public void setEventInterval(long nanos) {
+        eventIntervalNanos = nanos;
     }
 
     @Override
@@ -64,31 +65,36 @@
 
     @Override
     void serve(HttpExchange exchange) throws IOException, InterruptedException {
-        String usage = exchange.getRequestHeaders().getFirst("X-Token-Usage");
-        int events = Integer.parseInt(usage.substring(usage.indexOf(',') + 1).trim());
-        executions().onExecuted(exchange.getRequestHeaders().getFirst("X-Request-Id"), info().id());
-        sign(exchange);
-        Headers head = exchange.getResponseHeaders();
-        head.set("Content-Type", "text/event-stream");
-        head.set("Versions", "1");
-        head.set("X-Server-Load", running.incrementAndGet() + ",0," + slots);
+        String tokenUsage = exchange.getRequestHeaders().getFirst("X-Token-Usage");
+        int eventCount = Integer.parseInt(
+                tokenUsage.substring(tokenUsage.indexOf(',') + 1).trim());
+        executions()
+                .onExecuted(
+                        exchange.getRequestHeaders().getFirst("X-Request-Id"),
+                        identity().id());
+        setSignatureHeaders(exchange);
+        Headers responseHeaders = exchange.getResponseHeaders();
+        responseHeaders.set("Content-Type", "text/event-stream");
+        responseHeaders.set("Versions", "1");
+        responseHeaders.set("X-Server-Load", running.incrementAndGet() + ",0," + slots);
         try {
             exchange.sendResponseHeaders(200, 0);
-            stream(exchange.getResponseBody(), events);
+            writeStream(exchange.getResponseBody(), eventCount);
         } finally {
             running.decrementAndGet();
         }
     }
 
-    private void stream(OutputStream out, int events) throws IOException, InterruptedException {
-        long due = System.nanoTime();
-        for (int number = 1; number <= events; number++) {
-            String event = "id: " + number + "\ndata: " + System.nanoTime() + (number == events ? " end" : "") + "\n\n";
-            out.write(event.getBytes(StandardCharsets.UTF_8));
-            out.flush();
-            due += gapNanos;
-            TimeUnit.NANOSECONDS.sleep(due - System.nanoTime());
+    private void writeStream(OutputStream output, int eventCount) throws IOException, InterruptedException {
+        long nextEventNanos = System.nanoTime();
+        for (int number = 1; number <= eventCount; number++) {
+            String event =
+                    "id: " + number + "\ndata: " + System.nanoTime() + (number == eventCount ? " end" : "") + "\n\n";
+            output.write(event.getBytes(StandardCharsets.UTF_8));
+            output.flush();
+            nextEventNanos += eventIntervalNanos;
+            TimeUnit.NANOSECONDS.sleep(nextEventNanos - System.nanoTime());
         }
-        out.close();
+        output.close();
     }
 }
